--- a/crates/medlarlug-core/src/gateway/patience.rs
+++ b/crates/medlarlug-core/src/gateway/attempt_timeout.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::silence::Source;
+use crate::gateway::stream_timeout::StreamSource;
 
 /// Limit as a multiple of the predicted wait: predictions are rarely off by more.
 const PREDICTION_FACTOR: u32 = 4;
@@ -25,13 +25,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempt {
     /// Where it goes.
-    pub source: Source,
+    pub source: StreamSource,
     /// Predicted time to the first token or the answer.
-    pub wait: Duration,
+    pub predicted_wait: Duration,
     /// Latency objective of its route.
     pub objective: Duration,
     /// Time until the call has to be answered.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Whether no other attempt may follow.
     pub is_last: bool,
 }
@@ -40,24 +40,24 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::{patience::{Attempt, limit}, silence::Source};
+/// use medlarlug_core::gateway::{attempt_timeout::{Attempt, first_token_timeout}, stream_timeout::StreamSource};
 ///
 /// let second = Duration::from_secs(1);
 /// let attempt = Attempt {
-///     source: Source::Upstream,
-///     wait: second / 10,
+///     source: StreamSource::Upstream,
+///     predicted_wait: second / 10,
 ///     objective: second,
-///     left: second * 5,
+///     time_left: second * 5,
 ///     is_last: false,
 /// };
-/// assert_eq!(limit(attempt), second * 2);
+/// assert_eq!(first_token_timeout(attempt), second * 2);
 /// ```
-pub fn limit(attempt: Attempt) -> Duration {
-    if attempt.is_last || attempt.source == Source::Instance {
-        return attempt.left;
+pub fn first_token_timeout(attempt: Attempt) -> Duration {
+    if attempt.is_last || attempt.source == StreamSource::Instance {
+        return attempt.time_left;
     }
-    let usual = (attempt.wait * PREDICTION_FACTOR)
+    let usual = (attempt.predicted_wait * PREDICTION_FACTOR)
         .max(attempt.objective.mul_f64(OBJECTIVE_FACTOR))
         .max(SHORTEST);
-    usual.min(attempt.left.mul_f64(LEFT_SHARE).max(SHORTEST)).min(attempt.left)
+    usual.min(attempt.time_left.mul_f64(LEFT_SHARE).max(SHORTEST)).min(attempt.time_left)
 }
--- a/crates/medlarlug-core/src/gateway/availability.rs
+++ b/crates/medlarlug-core/src/gateway/availability.rs
@@ -26,40 +26,40 @@
 /// Time for which an upstream wants no requests, at most [a day](LONGEST_REST).
 ///
 /// ```
-/// use medlarlug_core::gateway::availability::Rest;
+/// use medlarlug_core::gateway::availability::Backoff;
 ///
-/// assert_eq!("1.5".parse::<Rest>().unwrap().to_string(), "1.5s");
-/// assert_eq!("1e12".parse::<Rest>().unwrap().to_string(), "86400s");
-/// assert!("-1".parse::<Rest>().is_err());
+/// assert_eq!("1.5".parse::<Backoff>().unwrap().to_string(), "1.5s");
+/// assert_eq!("1e12".parse::<Backoff>().unwrap().to_string(), "86400s");
+/// assert!("-1".parse::<Backoff>().is_err());
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Rest(Duration);
+pub struct Backoff(Duration);
 
 /// A text that holds no time to rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("not a number of seconds from zero on")]
-pub struct RestError;
+pub struct BackoffError;
 
-impl FromStr for Rest {
-    type Err = RestError;
+impl FromStr for Backoff {
+    type Err = BackoffError;
 
-    fn from_str(text: &str) -> Result<Rest, RestError> {
-        let seconds: f64 = text.trim().parse().map_err(|_| RestError)?;
+    fn from_str(text: &str) -> Result<Backoff, BackoffError> {
+        let seconds: f64 = text.trim().parse().map_err(|_| BackoffError)?;
         match seconds {
-            seconds if seconds.is_nan() || seconds < 0.0 => Err(RestError),
-            seconds if seconds >= LONGEST_REST.as_secs_f64() => Ok(Rest(LONGEST_REST)),
-            seconds => Ok(Rest(Duration::from_secs_f64(seconds))),
+            seconds if seconds.is_nan() || seconds < 0.0 => Err(BackoffError),
+            seconds if seconds >= LONGEST_REST.as_secs_f64() => Ok(Backoff(LONGEST_REST)),
+            seconds => Ok(Backoff(Duration::from_secs_f64(seconds))),
         }
     }
 }
 
-impl fmt::Display for Rest {
+impl fmt::Display for Backoff {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}s", self.0.as_secs_f64())
     }
 }
 
-impl Rest {
+impl Backoff {
     /// When the rest ends that was asked for at `now`; `spread` lies between 0 and 1 and differs from
     /// instance to instance.
     fn end(self, now: Time, spread: f64) -> Time {
@@ -71,11 +71,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Availability {
     /// It has said nothing else.
-    Open,
+    Available,
     /// It wants none for some time.
-    Resting {
+    BackingOff {
         /// Time until this instance sends requests again.
-        left: Duration,
+        remaining: Duration,
     },
     /// It wants none any more.
     Leaving,
@@ -84,7 +84,7 @@
 /// The state of one incarnation, as it has told this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    Resting { until: Time },
+    BackingOff { until: Time },
     Leaving { since: Time },
 }
 
@@ -92,14 +92,14 @@
     /// The same after the upstream has asked for a rest.
     fn rests(self, until: Time) -> State {
         match self {
-            State::Resting { until: before } => State::Resting { until: until.max(before) },
+            State::BackingOff { until: before } => State::BackingOff { until: until.max(before) },
             State::Leaving { .. } => self,
         }
     }
 
     fn has_ended(self, now: Time) -> bool {
         match self {
-            State::Resting { until } => until <= now,
+            State::BackingOff { until } => until <= now,
             State::Leaving { since } => now - since > LEAVING_KEPT,
         }
     }
@@ -116,44 +116,45 @@
 ///
 /// ```
 /// use medlarlug_core::{
-///     gateway::{availability::{Availabilities, Availability}, upstreams::Birth},
+///     gateway::{availability::{AvailabilityTracker, Availability}, upstreams::Birth},
 ///     time::Time,
 /// };
 ///
-/// let (mut told, id) = (Availabilities::default(), "engine-1".parse().unwrap());
-/// told.leaves(Time::ZERO, &id, Birth(1));
+/// let (mut told, id) = (AvailabilityTracker::default(), "engine-1".parse().unwrap());
+/// told.record_leaving(Time::ZERO, &id, Birth(1));
 /// assert_eq!(told.of(Time::ZERO, &id, Birth(1)), Availability::Leaving);
-/// assert_eq!(told.of(Time::ZERO, &id, Birth(2)), Availability::Open);
+/// assert_eq!(told.of(Time::ZERO, &id, Birth(2)), Availability::Available);
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Availabilities {
+pub struct AvailabilityTracker {
     told: Vec<Told>,
 }
 
-impl Availabilities {
+impl AvailabilityTracker {
     /// An incarnation has asked for a rest; returns for how long it gets one, if that is news.
-    pub fn rests(
+    pub fn record_backoff(
         &mut self,
         now: Time,
         id: &UpstreamId,
         birth: Birth,
-        rest: Rest,
+        rest: Backoff,
         spread: f64,
     ) -> Option<Duration> {
         let until = rest.end(now, spread);
         let before = self.of(now, id, birth);
-        self.tell(now, id, birth, State::Resting { until }, |state| state.rests(until));
+        self.tell(now, id, birth, State::BackingOff { until }, |state| state.rests(until));
         match (before, self.of(now, id, birth)) {
-            (Availability::Resting { left: before }, Availability::Resting { left }) => {
-                (left > before).then_some(left)
-            }
-            (_, Availability::Resting { left }) => Some(left),
+            (
+                Availability::BackingOff { remaining: before },
+                Availability::BackingOff { remaining: left },
+            ) => (left > before).then_some(left),
+            (_, Availability::BackingOff { remaining: left }) => Some(left),
             _ => None,
         }
     }
 
     /// An incarnation has said that it is leaving; returns whether that is news.
-    pub fn leaves(&mut self, now: Time, id: &UpstreamId, birth: Birth) -> bool {
+    pub fn record_leaving(&mut self, now: Time, id: &UpstreamId, birth: Birth) -> bool {
         let before = self.of(now, id, birth);
         let leaving = State::Leaving { since: now };
         self.tell(now, id, birth, leaving, |_| leaving);
@@ -164,10 +165,10 @@
     pub fn of(&self, now: Time, id: &UpstreamId, birth: Birth) -> Availability {
         let told = self.place(id).ok().map(|at| &self.told[at]);
         match told.filter(|it| it.birth >= birth && !it.state.has_ended(now)) {
-            None => Availability::Open,
+            None => Availability::Available,
             Some(Told { state: State::Leaving { .. }, .. }) => Availability::Leaving,
-            Some(Told { state: State::Resting { until }, .. }) => {
-                Availability::Resting { left: *until - now }
+            Some(Told { state: State::BackingOff { until }, .. }) => {
+                Availability::BackingOff { remaining: *until - now }
             }
         }
     }
--- a/crates/medlarlug-core/src/gateway/cold.rs
+++ b/crates/medlarlug-core/src/gateway/cold.rs
@@ -2,14 +2,14 @@
 //!
 //! The limit holds for all entry instances together. Instances that see the same peers agree on
 //! one of them that sends to a cold upstream, by the highest rank of the pair of upstream and
-//! instance. It sends only while its [`view`](super::view) of the others is settled: behind a cut,
+//! instance. It sends only while its [`keeper_view`](super::keeper_view) of the others is settled: behind a cut,
 //! after a freeze or a start, and while keepers are down, a cold upstream gets nothing and becomes
 //! warm by itself.
 
 use std::time::Duration;
 
 use crate::{
-    gateway::{placing::rank, upstreams::Known},
+    gateway::{placement::rendezvous_rank, upstreams::KnownUpstream},
     ids::{InstanceId, UpstreamId, ZoneId},
     time::Time,
 };
@@ -20,14 +20,17 @@
 /// The live entry instance that sends to a cold upstream.
 ///
 /// ```
-/// use medlarlug_core::gateway::cold::sender;
+/// use medlarlug_core::gateway::cold::designated_sender;
 ///
 /// let instances = ["entry-1".parse().unwrap(), "entry-2".parse().unwrap()];
-/// let first = sender(&"engine-1".parse().unwrap(), &instances).unwrap();
+/// let first = designated_sender(&"engine-1".parse().unwrap(), &instances).unwrap();
 /// assert!(instances.contains(first));
 /// ```
-pub fn sender<'a>(upstream: &UpstreamId, instances: &'a [InstanceId]) -> Option<&'a InstanceId> {
-    instances.iter().max_by_key(|instance| rank(instance.as_str(), upstream.as_str()))
+pub fn designated_sender<'a>(
+    upstream: &UpstreamId,
+    instances: &'a [InstanceId],
+) -> Option<&'a InstanceId> {
+    instances.iter().max_by_key(|instance| rendezvous_rank(instance.as_str(), upstream.as_str()))
 }
 
 /// Longest way of an announcement that its age does not show: from another region, with a lost
@@ -36,7 +39,7 @@
 
 /// Age of an announcement up to which its upstream is taken for the one that made it: three missed
 /// in a row. After that, it may have started anew where it can't announce itself.
-pub const FRESH_FOR: Duration = Duration::from_millis(4_500);
+pub const ANNOUNCEMENT_LIFETIME: Duration = Duration::from_millis(4_500);
 
 /// The same for an announcement from before this process started, which has seen no connection to the
 /// upstream break: the next one is made 1.2 s later, and keepers pass it on within a second.
@@ -48,14 +51,14 @@
 ///
 /// Such an upstream counts as cold until it announces itself anew.
 #[derive(Debug, Clone, Default)]
-pub struct Suspicions {
+pub struct ColdDetector {
     /// When the evacuation of a zone was withdrawn last, sorted by zone.
     restored: Vec<(ZoneId, Time)>,
 }
 
-impl Suspicions {
+impl ColdDetector {
     /// The evacuation of a zone was withdrawn at `when`.
-    pub fn restored(&mut self, when: Time, zone: &ZoneId) {
+    pub fn zone_restored(&mut self, when: Time, zone: &ZoneId) {
         match self.restored.binary_search_by(|it| it.0.cmp(zone)) {
             Ok(at) => self.restored[at].1 = self.restored[at].1.max(when),
             Err(at) => self.restored.insert(at, (zone.clone(), when)),
@@ -63,7 +66,7 @@
     }
 
     /// The zones that were evacuated, and when that was withdrawn last.
-    pub fn all_restored(&self) -> &[(ZoneId, Time)] {
+    pub fn restored_zones(&self) -> &[(ZoneId, Time)] {
         &self.restored
     }
 
@@ -72,26 +75,26 @@
     pub fn is_cold(
         &self,
         now: Time,
-        known: &Known,
+        known: &KnownUpstream,
         observations: Observations,
-        process: Process,
+        process: ProcessTimes,
     ) -> bool {
-        let Process { started, resumed } = process;
+        let ProcessTimes { started, resumed } = process;
         let zone = self.restored.binary_search_by(|it| it.0.cmp(&known.upstream.zone));
         let restored = zone.ok().map(|at| self.restored[at].1);
         let missed = restored.max(resumed).map(|when| when + NEWS_DELAY);
-        let suspect = missed.max(observations.unreachable);
-        let is_suspect = suspect.is_some_and(|since| known.heard <= since);
-        let limit = if known.heard < started { TOLD_FOR } else { FRESH_FOR };
-        let is_unheard =
-            now - known.heard > limit && !observations.is_still_serving(now, known.heard);
+        let suspect = missed.max(observations.last_unreachable);
+        let is_suspect = suspect.is_some_and(|since| known.announced_at <= since);
+        let limit = if known.announced_at < started { TOLD_FOR } else { ANNOUNCEMENT_LIFETIME };
+        let is_unheard = now - known.announced_at > limit
+            && !observations.is_still_serving(now, known.announced_at);
         is_suspect || is_unheard || known.may_be_cold(now)
     }
 }
 
 /// Moments of a process before which it has seen nothing itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Process {
+pub struct ProcessTimes {
     /// When it started.
     pub started: Time,
     /// When it last resumed after a stall.
@@ -102,18 +105,19 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Observations {
     /// When it last answered a call, while it did not count as cold.
-    pub answered: Option<Time>,
+    pub last_answer: Option<Time>,
     /// When a connection to it last broke.
-    pub broken: Option<Time>,
+    pub last_broken: Option<Time>,
     /// When a connection to it last failed to open, or all of them broke.
-    pub unreachable: Option<Time>,
+    pub last_unreachable: Option<Time>,
 }
 
 impl Observations {
     /// Whether it has gone on answering since, and no connection has broken.
     fn is_still_serving(self, now: Time, since: Time) -> bool {
-        let is_answering = self.answered.is_some_and(|it| it > since && now - it <= FRESH_FOR);
-        is_answering && self.broken.max(self.unreachable) <= Some(since)
+        let is_answering =
+            self.last_answer.is_some_and(|it| it > since && now - it <= ANNOUNCEMENT_LIFETIME);
+        is_answering && self.last_broken.max(self.last_unreachable) <= Some(since)
     }
 }
 
@@ -141,12 +145,12 @@
 
 /// When this instance may send to the cold upstreams that it is the sender for.
 #[derive(Debug, Clone, Default)]
-pub struct ColdSends {
+pub struct ColdSendPacer {
     /// The next moment at which a request may go out, sorted by upstream.
     next: Vec<(UpstreamId, Time)>,
 }
 
-impl ColdSends {
+impl ColdSendPacer {
     /// Whether a request may go out now to an upstream that bears `rate` requests a second.
     pub fn may_send(&self, now: Time, upstream: &UpstreamId, rate: f64) -> bool {
         let at = self.next.binary_search_by(|it| it.0.cmp(upstream));
@@ -154,7 +158,7 @@
     }
 
     /// Counts a request that goes out now.
-    pub fn sent(&mut self, now: Time, upstream: &UpstreamId, rate: f64) {
+    pub fn record_send(&mut self, now: Time, upstream: &UpstreamId, rate: f64) {
         let pause = Duration::from_secs_f64(1.0 / (rate * SAFE_SHARE).max(0.01));
         self.next.retain(|it| it.1 > now);
         let next = now + pause;
--- a/crates/medlarlug-core/src/gateway/contacts.rs
+++ b/crates/medlarlug-core/src/gateway/contacts.rs
@@ -16,7 +16,7 @@
 
 /// What an instance does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Part {
+pub enum InstanceKind {
     /// Takes calls in.
     Entry,
     /// Keeps the replicated state.
@@ -25,11 +25,11 @@
 
 /// How an instance introduces itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Card {
+pub struct InstanceInfo {
     /// Its id.
     pub id: InstanceId,
     /// What it does.
-    pub part: Part,
+    pub part: InstanceKind,
     /// Its availability zone.
     pub zone: ZoneId,
     /// Its region.
@@ -42,7 +42,7 @@
 
 /// Work that an entry instance could take over from other regions, for one service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Spare {
+pub struct ServiceWait {
     /// The service.
     pub service: ServiceName,
     /// Predicted wait of a call of usual size, in milliseconds; `None` if no upstream is usable.
@@ -66,24 +66,24 @@
     /// Whether it takes new callers.
     pub ready: bool,
     /// What it could take over, sorted by service.
-    pub spare: Vec<Spare>,
+    pub spare: Vec<ServiceWait>,
 }
 
 /// A known instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Contact {
     /// How it introduced itself.
-    pub card: Card,
+    pub info: InstanceInfo,
     /// Its newest status.
     pub status: Status,
     /// When it was last heard, by this process or by the one that told of it.
-    pub heard: Time,
-    /// Number of its last change, see [`Contacts::since`].
+    pub last_seen: Time,
+    /// Number of its last change, see [`Contacts::changed_since`].
     change: u64,
 }
 
 /// Silence after which an instance is no longer taken to be alive.
-pub const ALIVE_FOR: Duration = Duration::from_millis(2_500);
+pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Silence after which a keeper forgets an instance.
 pub const FORGET_AFTER: Duration = Duration::from_secs(30);
 
@@ -99,18 +99,24 @@
 impl Contacts {
     /// Takes in that an instance was heard `age` before `now`. Returns whether it is new or has
     /// changed.
-    pub fn hear(&mut self, now: Time, card: Card, status: Option<Status>, age: Duration) -> bool {
+    pub fn update(
+        &mut self,
+        now: Time,
+        card: InstanceInfo,
+        status: Option<Status>,
+        age: Duration,
+    ) -> bool {
         let heard = now.saturating_sub(age);
         match self.place(&card.id) {
             Ok(at) => {
                 let known = &mut self.known[at];
-                if heard < known.heard {
+                if heard < known.last_seen {
                     return false;
                 }
                 let is_ready = status.as_ref().map_or(known.status.ready, |it| it.ready);
-                let is_new = known.card != card || known.status.ready != is_ready;
-                known.card = card;
-                known.heard = heard;
+                let is_new = known.info != card || known.status.ready != is_ready;
+                known.info = card;
+                known.last_seen = heard;
                 if let Some(status) = status {
                     known.status = status;
                 }
@@ -123,8 +129,11 @@
             Err(at) => {
                 let status = status.unwrap_or_default();
                 self.change += 1;
-                self.known.insert(at, Contact { card, status, heard, change: self.change });
-                let entries = self.known.iter().filter(|it| it.card.part == Part::Entry);
+                self.known.insert(
+                    at,
+                    Contact { info: card, status, last_seen: heard, change: self.change },
+                );
+                let entries = self.known.iter().filter(|it| it.info.part == InstanceKind::Entry);
                 self.most_entries = self.most_entries.max(entries.count());
                 true
             }
@@ -135,14 +144,14 @@
     pub fn renew(&mut self, now: Time, id: &InstanceId, age: Duration) {
         if let Ok(at) = self.place(id) {
             let heard = now.saturating_sub(age);
-            self.known[at].heard = self.known[at].heard.max(heard);
+            self.known[at].last_seen = self.known[at].last_seen.max(heard);
         }
     }
 
     /// Takes in a sign of life of the instance at an internal address.
     pub fn renew_at(&mut self, now: Time, address: SocketAddr) {
-        if let Some(contact) = self.known.iter_mut().find(|it| it.card.internal == address) {
-            contact.heard = now;
+        if let Some(contact) = self.known.iter_mut().find(|it| it.info.internal == address) {
+            contact.last_seen = now;
         }
     }
 
@@ -152,7 +161,7 @@
     }
 
     /// The instances that changed after the change with number `change`.
-    pub fn since(&self, change: u64) -> impl Iterator<Item = &Contact> {
+    pub fn changed_since(&self, change: u64) -> impl Iterator<Item = &Contact> {
         self.known.iter().filter(move |contact| contact.change > change)
     }
 
@@ -163,7 +172,7 @@
             .live_entries(now)
             .filter(|contact| contact.status.ready)
             .flat_map(|contact| {
-                let region = &contact.card.region;
+                let region = &contact.info.region;
                 let told = contact.status.spare.iter();
                 told.filter_map(|it| Some((region.clone(), it.service.clone(), it.wait_ms?)))
             })
@@ -186,7 +195,7 @@
 
     /// Forgets instances that were silent for `limit`.
     pub fn forget(&mut self, now: Time, limit: Duration) {
-        self.known.retain(|contact| now - contact.heard <= limit);
+        self.known.retain(|contact| now - contact.last_seen <= limit);
     }
 
     /// All known instances, sorted by id.
@@ -199,41 +208,41 @@
         self.place(id).ok().map(|at| &self.known[at])
     }
 
-    /// Instances that were heard within [`ALIVE_FOR`].
+    /// Instances that were heard within [`LIVENESS_TIMEOUT`].
     pub fn live(&self, now: Time) -> impl Iterator<Item = &Contact> {
-        self.known.iter().filter(move |contact| now - contact.heard <= ALIVE_FOR)
+        self.known.iter().filter(move |contact| now - contact.last_seen <= LIVENESS_TIMEOUT)
     }
 
-    /// Entry instances that were heard within [`ALIVE_FOR`].
+    /// Entry instances that were heard within [`LIVENESS_TIMEOUT`].
     pub fn live_entries(&self, now: Time) -> impl Iterator<Item = &Contact> {
-        self.live(now).filter(|contact| contact.card.part == Part::Entry)
+        self.live(now).filter(|contact| contact.info.part == InstanceKind::Entry)
     }
 
     /// The most entry instances that were known at once, forgotten ones included.
-    pub fn most_entries(&self) -> usize {
+    pub fn peak_entries(&self) -> usize {
         self.most_entries
     }
 
     fn place(&self, id: &InstanceId) -> Result<usize, usize> {
-        self.known.binary_search_by(|contact| contact.card.id.cmp(id))
+        self.known.binary_search_by(|contact| contact.info.id.cmp(id))
     }
 }
 
 /// The addresses of entry instances to name to a caller in `zone` of `region`, near ones first:
 /// those of its zone, else of its region, else of a region in `homes`, else any.
-pub fn directory(
+pub fn entry_addresses(
     contacts: &Contacts,
     now: Time,
     zone: Option<&ZoneId>,
     region: Option<&RegionId>,
     homes: &[RegionId],
 ) -> Vec<SocketAddr> {
-    let ready: Vec<&Card> = contacts
+    let ready: Vec<&InstanceInfo> = contacts
         .live_entries(now)
         .filter(|contact| contact.status.ready)
-        .map(|contact| &contact.card)
+        .map(|contact| &contact.info)
         .collect();
-    let named = |filter: &dyn Fn(&Card) -> bool| -> Vec<SocketAddr> {
+    let named = |filter: &dyn Fn(&InstanceInfo) -> bool| -> Vec<SocketAddr> {
         ready.iter().filter(|card| filter(card)).filter_map(|card| card.front).collect()
     };
     let in_zone = named(&|card| Some(&card.zone) == zone);
--- a/crates/medlarlug-core/src/gateway/handover.rs
+++ b/crates/medlarlug-core/src/gateway/handover.rs
@@ -49,9 +49,9 @@
 /// What an instance did with a call that another one handed to it.
 ///
 /// Every answer to such a call carries it, whatever kind of answer it is. An answer without one, or no answer,
-/// may stand for everything that was left; see [`Attempts::unreported`].
+/// may stand for everything that was left; see [`Attempts::record_missing_report`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct HandoverReport {
     /// Upstreams that began to run the call, or may have.
     pub runs: u32,
     /// Requests that reached an upstream, refused ones included.
@@ -60,25 +60,26 @@
     pub is_refused: bool,
 }
 
-impl Report {
+impl HandoverReport {
     /// A call that reached no upstream and may be tried elsewhere.
-    pub const REFUSED: Report = Report { runs: 0, arrivals: 0, is_refused: true };
+    pub const REFUSED: HandoverReport = HandoverReport { runs: 0, arrivals: 0, is_refused: true };
     /// A call that the instance rejected by itself.
-    pub const REJECTED: Report = Report { is_refused: false, ..Report::REFUSED };
+    pub const REJECTED: HandoverReport =
+        HandoverReport { is_refused: false, ..HandoverReport::REFUSED };
 }
 
 /// The attempts of a call: how many upstreams may run it and how many requests for it may reach one, and
 /// how many have, or may have.
 ///
 /// ```
-/// use medlarlug_core::gateway::handover::{Attempts, Report};
+/// use medlarlug_core::gateway::handover::{Attempts, HandoverReport};
 ///
 /// let mut attempts = Attempts::new(3, 4);
-/// attempts.refused();
-/// attempts.reported(Report { runs: 1, arrivals: 2, is_refused: false });
-/// assert_eq!((attempts.left(), attempts.arrivals_left()), (2, 1));
-/// attempts.unreported();
-/// assert_eq!((attempts.left(), attempts.arrivals_left()), (0, 0));
+/// attempts.record_refusal();
+/// attempts.record_report(HandoverReport { runs: 1, arrivals: 2, is_refused: false });
+/// assert_eq!((attempts.runs_left(), attempts.arrivals_left()), (2, 1));
+/// attempts.record_missing_report();
+/// assert_eq!((attempts.runs_left(), attempts.arrivals_left()), (0, 0));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempts {
@@ -97,24 +98,24 @@
     }
 
     /// An upstream has begun to run the call, or may have.
-    pub fn ran(&mut self) {
-        self.reported(Report { runs: 1, arrivals: 1, is_refused: false });
+    pub fn record_run(&mut self) {
+        self.record_report(HandoverReport { runs: 1, arrivals: 1, is_refused: false });
     }
 
     /// An upstream was reached and has not run the call.
-    pub fn refused(&mut self) {
-        self.reported(Report { runs: 0, arrivals: 1, is_refused: true });
+    pub fn record_refusal(&mut self) {
+        self.record_report(HandoverReport { runs: 0, arrivals: 1, is_refused: true });
     }
 
     /// Another instance reports what it did with the call.
-    pub fn reported(&mut self, report: Report) {
+    pub fn record_report(&mut self, report: HandoverReport) {
         self.runs = self.runs.saturating_add(report.runs);
         self.arrivals = self.arrivals.saturating_add(report.arrivals);
     }
 
     /// Another instance had the call, and what it did with it is not known: it may have used all that was
     /// left.
-    pub fn unreported(&mut self) {
+    pub fn record_missing_report(&mut self) {
         self.runs = self.runs.max(self.allowed);
         self.arrivals = self.arrivals.max(self.most_arrivals);
     }
@@ -130,7 +131,7 @@
     }
 
     /// Upstreams that may still run it.
-    pub fn left(self) -> u32 {
+    pub fn runs_left(self) -> u32 {
         self.allowed.saturating_sub(self.runs)
     }
 
@@ -141,11 +142,11 @@
 
     /// Whether another request may go out.
     pub fn may_send(self) -> bool {
-        self.left() > 0 && self.arrivals_left() > 0
+        self.runs_left() > 0 && self.arrivals_left() > 0
     }
 
     /// What is told to the instance that handed the call over.
-    pub fn report(self, is_refused: bool) -> Report {
-        Report { runs: self.runs, arrivals: self.arrivals, is_refused }
+    pub fn report(self, is_refused: bool) -> HandoverReport {
+        HandoverReport { runs: self.runs, arrivals: self.arrivals, is_refused }
     }
 }
--- a/crates/medlarlug-core/src/gateway/health.rs
+++ b/crates/medlarlug-core/src/gateway/health.rs
@@ -2,7 +2,7 @@
 //!
 //! An upstream that refuses connections or goes silent is avoided for a while that doubles with
 //! each further failure. One that answers but fails a part of its calls is not avoided: its share
-//! of failures makes it look slower to [`placing`](super::placing), so that it is used last.
+//! of failures makes it look slower to [`placement`](super::placement), so that it is used last.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 
 /// How a call ended, as far as the health of its upstream is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// A whole answer.
     Answered,
     /// A whole answer of an upstream that counted as cold.
@@ -49,7 +49,7 @@
 
 /// The health of upstreams, sorted by id.
 #[derive(Debug, Clone, Default)]
-pub struct Healths {
+pub struct HealthTracker {
     known: Vec<Health>,
 }
 
@@ -66,40 +66,40 @@
     }
 }
 
-impl Healths {
+impl HealthTracker {
     /// Takes in how a call ended. Returns how long the upstream is avoided from now on, if that
     /// is news.
-    pub fn ended(&mut self, now: Time, id: &UpstreamId, end: CallEnd) -> Option<Duration> {
+    pub fn record(&mut self, now: Time, id: &UpstreamId, end: CallOutcome) -> Option<Duration> {
         let health = self.entry(id);
         match end {
-            CallEnd::Answered | CallEnd::AnsweredCold => {
-                if end == CallEnd::Answered {
-                    health.observations.answered = Some(now);
+            CallOutcome::Answered | CallOutcome::AnsweredCold => {
+                if end == CallOutcome::Answered {
+                    health.observations.last_answer = Some(now);
                 }
                 health.failures *= 1.0 - SMOOTHING;
                 health.strikes = 0;
                 health.avoid = None;
                 None
             }
-            CallEnd::Failed | CallEnd::Broken => {
-                if end == CallEnd::Broken {
-                    health.observations.broken = Some(now);
+            CallOutcome::Failed | CallOutcome::Broken => {
+                if end == CallOutcome::Broken {
+                    health.observations.last_broken = Some(now);
                 }
                 health.failures += SMOOTHING * (1.0 - health.failures);
                 None
             }
-            CallEnd::Refused => health.strike(now, FIRST_REST, LONGEST_REST),
-            CallEnd::Unreachable => {
-                health.observations.unreachable = Some(now);
+            CallOutcome::Refused => health.strike(now, FIRST_REST, LONGEST_REST),
+            CallOutcome::Unreachable => {
+                health.observations.last_unreachable = Some(now);
                 health.strike(now, FIRST_PAUSE, LONGEST_PAUSE)
             }
         }
     }
 
     /// Takes in that the upstream may have crashed at `when`. It is not avoided, since it may be back.
-    pub fn crashed(&mut self, when: Time, id: &UpstreamId) {
+    pub fn record_crash(&mut self, when: Time, id: &UpstreamId) {
         let observations = &mut self.entry(id).observations;
-        observations.unreachable = observations.unreachable.max(Some(when));
+        observations.last_unreachable = observations.last_unreachable.max(Some(when));
     }
 
     /// Forgets what was learned about an upstream, which has a new incarnation.
@@ -121,7 +121,7 @@
     }
 
     /// Share of the upstream's recent calls that failed, 0 to 1.
-    pub fn failures(&self, id: &UpstreamId) -> f64 {
+    pub fn failure_rate(&self, id: &UpstreamId) -> f64 {
         self.place(id).map_or(0.0, |at| self.known[at].failures)
     }
 
--- a/crates/medlarlug-core/src/gateway/view.rs
+++ b/crates/medlarlug-core/src/gateway/keeper_view.rs
@@ -1,58 +1,58 @@
 //! Whether an entry instance sees enough of the others to act on its part of a common limit.
 //!
 //! Entry instances hear of each other from keepers. Each wants links to all keepers that it knows,
-//! and takes signs of life of the others from [`SOURCES`] of them. One that hears all keepers but
+//! and takes signs of life of the others from [`KEEPER_SOURCES`] of them. One that hears all keepers but
 //! one shares a keeper with the sources of every other instance: whichever two instances act, each
 //! has heard of the other. Behind a cut, after a freeze and while keepers are down the view is not
 //! complete, and an instance leaves its part to others.
 
 use std::{net::SocketAddr, time::Duration};
 
-use crate::{gateway::stall::Stall, time::Time};
+use crate::{gateway::stall::StallDetector, time::Time};
 
 /// Keepers that tell an instance the signs of life of the others.
-pub const SOURCES: usize = 2;
+pub const KEEPER_SOURCES: usize = 2;
 /// Age of the last word of a keeper up to which it counts as heard: as long as a link may be silent.
-pub const HEARD_FOR: Duration = Duration::from_millis(1_500);
+pub const KEEPER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time for which a view has to be complete before an instance acts alone on it: until all others
-/// have heard of it, or count it as silent, see [`ALIVE_FOR`](super::contacts::ALIVE_FOR).
+/// have heard of it, or count it as silent, see [`LIVENESS_TIMEOUT`](super::contacts::LIVENESS_TIMEOUT).
 const SETTLING_TIME: Duration = Duration::from_millis(2_500);
 
 /// Which keepers an instance hears.
 #[derive(Debug, Clone)]
-pub struct View {
+pub struct KeeperView {
     /// When each keeper was last heard, sorted by address.
     heard: Vec<(SocketAddr, Time)>,
     /// Since when the view is complete.
     complete: Option<Time>,
     /// Stalls of this process, during which it hears nothing.
-    stall: Stall,
+    stall: StallDetector,
     was_complete: bool,
 }
 
-impl Default for View {
-    fn default() -> View {
-        let stall = Stall::new(HEARD_FOR);
-        View { heard: Vec::new(), complete: None, stall, was_complete: false }
+impl Default for KeeperView {
+    fn default() -> KeeperView {
+        let stall = StallDetector::new(KEEPER_TIMEOUT);
+        KeeperView { heard: Vec::new(), complete: None, stall, was_complete: false }
     }
 }
 
-impl View {
+impl KeeperView {
     /// Takes in that a keeper was heard.
-    pub fn hear(&mut self, now: Time, keeper: SocketAddr) {
+    pub fn record_keeper(&mut self, now: Time, keeper: SocketAddr) {
         match self.heard.binary_search_by(|it| it.0.cmp(&keeper)) {
             Ok(at) => self.heard[at].1 = now,
             Err(at) => self.heard.insert(at, (keeper, now)),
         }
     }
 
-    /// Takes in which keepers there are, sorted. Has to be called more often than [`HEARD_FOR`].
+    /// Takes in which keepers there are, sorted. Has to be called more often than [`KEEPER_TIMEOUT`].
     /// Returns the length of the stall that ends now, if there was one.
-    pub fn look(&mut self, now: Time, keepers: &[SocketAddr]) -> Option<Duration> {
+    pub fn update(&mut self, now: Time, keepers: &[SocketAddr]) -> Option<Duration> {
         self.heard.retain(|it| keepers.binary_search(&it.0).is_ok());
-        let heard = self.heard.iter().filter(|it| now - it.1 <= HEARD_FOR).count();
+        let heard = self.heard.iter().filter(|it| now - it.1 <= KEEPER_TIMEOUT).count();
         let is_complete = heard >= needed(keepers.len());
-        let stalled = self.stall.turn(now);
+        let stalled = self.stall.tick(now);
         self.complete = match self.complete.filter(|_| stalled.is_none()) {
             Some(since) if is_complete => Some(since),
             _ => is_complete.then_some(now),
@@ -68,10 +68,10 @@
         is_settled && !self.stall.is_overdue(now)
     }
 
-    /// When the process last resumed after a stall of [`HEARD_FOR`] or more. What it knew then may be
+    /// When the process last resumed after a stall of [`KEEPER_TIMEOUT`] or more. What it knew then may be
     /// out of date, though no age shows it.
-    pub fn resumed(&self, now: Time) -> Option<Time> {
-        self.stall.resumed(now)
+    pub fn last_resumed(&self, now: Time) -> Option<Time> {
+        self.stall.last_resumed(now)
     }
 
     /// Whether the view was complete at any time.
@@ -84,7 +84,7 @@
 fn needed(keepers: usize) -> usize {
     match keepers {
         0 => 1,
-        few if few <= SOURCES => few,
-        many => many + 1 - SOURCES,
+        few if few <= KEEPER_SOURCES => few,
+        many => many + 1 - KEEPER_SOURCES,
     }
 }
--- a/crates/medlarlug-core/src/gateway/exchange.rs
+++ b/crates/medlarlug-core/src/gateway/load_exchange.rs
@@ -5,7 +5,7 @@
 //! instances, so in a larger one each availability zone has a few *collectors*: the instances of the
 //! zone report to all of these, the first one sends the sum over the zone to those of the other zones,
 //! and each tells those that ask it what all others have under way. Instances ask different collectors
-//! first, and the others only while theirs is silent, so news are missing for [`SILENCE`] after a
+//! first, and the others only while theirs is silent, so news are missing for [`COLLECTOR_TIMEOUT`] after a
 //! collector has died, and not until it is known to be dead.
 //!
 //! Everything here follows from the live entry instances that an instance knows. Two that disagree
@@ -13,14 +13,14 @@
 
 use std::time::Duration;
 
-use crate::{gateway::placing::rank, ids::InstanceId, ids::ZoneId};
+use crate::{gateway::placement::rendezvous_rank, ids::InstanceId, ids::ZoneId};
 
 /// Entry instances of a region up to which each tells all others.
 const DIRECT_INSTANCES: usize = 8;
 /// Collectors of a zone: each tells a quarter of its instances.
 const COLLECTORS: usize = 4;
 /// Silence of a collector after which the next one is asked as well: two of its whole sums.
-pub const SILENCE: Duration = Duration::from_millis(600);
+pub const COLLECTOR_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A live entry instance of the own region.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -47,32 +47,32 @@
 
 /// The part of one instance in the exchange.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Plan {
+pub struct ExchangePlan {
     /// What it does.
     pub role: Role,
     /// To whom it reports its own load; a reporter asks the first one for sums.
     pub report_to: Vec<InstanceId>,
     /// Collectors of other zones, to which a collector sends the sum over its zone.
-    pub sum_to: Vec<InstanceId>,
+    pub aggregate_to: Vec<InstanceId>,
 }
 
-impl Plan {
+impl ExchangePlan {
     /// The part of `own` among the live entry instances of its region, itself included.
     ///
     /// ```
-    /// use medlarlug_core::gateway::exchange::{Member, Plan, Role};
+    /// use medlarlug_core::gateway::load_exchange::{Member, ExchangePlan, Role};
     ///
     /// let zone: medlarlug_core::ids::ZoneId = "riga-a".parse().unwrap();
     /// let member = |at| Member { id: format!("entry-{at}").parse().unwrap(), zone: zone.clone() };
     /// let few: Vec<Member> = (0..3).map(member).collect();
-    /// let plan = Plan::of(&few[0], &few);
+    /// let plan = ExchangePlan::of(&few[0], &few);
     /// assert_eq!((plan.role, plan.report_to.len()), (Role::Direct, 2));
     /// ```
-    pub fn of(own: &Member, region: &[Member]) -> Plan {
+    pub fn of(own: &Member, region: &[Member]) -> ExchangePlan {
         if region.len() <= DIRECT_INSTANCES {
             let others = region.iter().filter(|it| it.id != own.id);
             let report_to = others.map(|it| it.id.clone()).collect();
-            return Plan { role: Role::Direct, report_to, sum_to: Vec::new() };
+            return ExchangePlan { role: Role::Direct, report_to, aggregate_to: Vec::new() };
         }
         let collectors = collectors(region, &own.zone);
         let role = match collectors.iter().position(|it| *it == own.id) {
@@ -91,8 +91,8 @@
         };
         let mut report_to: Vec<InstanceId> =
             collectors.into_iter().filter(|it| *it != own.id).collect();
-        report_to.sort_by_key(|it| rank(own.id.as_str(), it.as_str()));
-        Plan { role, report_to, sum_to }
+        report_to.sort_by_key(|it| rendezvous_rank(own.id.as_str(), it.as_str()));
+        ExchangePlan { role, report_to, aggregate_to: sum_to }
     }
 }
 
@@ -100,7 +100,7 @@
 fn collectors(region: &[Member], zone: &ZoneId) -> Vec<InstanceId> {
     let members = region.iter().filter(|it| it.zone == *zone);
     let mut ranked: Vec<(u64, &InstanceId)> =
-        members.map(|it| (rank(zone.as_str(), it.id.as_str()), &it.id)).collect();
+        members.map(|it| (rendezvous_rank(zone.as_str(), it.id.as_str()), &it.id)).collect();
     ranked.sort();
     ranked.into_iter().rev().take(COLLECTORS).map(|it| it.1.clone()).collect()
 }
--- a/crates/medlarlug-core/src/gateway/refusing.rs
+++ b/crates/medlarlug-core/src/gateway/load_shedding.rs
@@ -10,20 +10,20 @@
 
 /// What is known about a call when it is about to be placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Outlook {
+pub struct CallForecast {
     /// Shortest predicted wait at any permitted upstream; `None` if there is none.
-    pub wait: Option<Duration>,
+    pub predicted_wait: Option<Duration>,
     /// Time that the caller has left.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Latency objective of the route, if calls that are behind it delay others: at model engines,
     /// not at plain services, whose predicted wait is mostly the risk of a failure.
     pub objective: Option<Duration>,
 }
 
-impl Outlook {
+impl CallForecast {
     /// Longest predicted wait with which the call is still worth its upstream's time.
     fn patience(&self) -> Duration {
-        let most = self.left.mul_f64(WAIT_SHARE);
+        let most = self.time_left.mul_f64(WAIT_SHARE);
         self.objective.map_or(most, |objective| most.min(objective.mul_f64(LATE_FACTOR)))
     }
 }
@@ -36,7 +36,7 @@
     /// Refuse it as not run.
     Refuse {
         /// When the caller should come back.
-        after: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -57,28 +57,28 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::refusing::{Outlook, Verdict, judge};
+/// use medlarlug_core::gateway::load_shedding::{CallForecast, Verdict, decide};
 ///
 /// let second = Duration::from_secs(1);
-/// let outlook = Outlook { wait: Some(second), left: second * 5, objective: Some(second) };
-/// assert_eq!(judge(outlook, 0.5), Verdict::Serve);
+/// let outlook = CallForecast { predicted_wait: Some(second), time_left: second * 5, objective: Some(second) };
+/// assert_eq!(decide(outlook, 0.5), Verdict::Serve);
 /// ```
-pub fn judge(outlook: Outlook, spread: f64) -> Verdict {
-    let excess = match outlook.wait {
+pub fn decide(outlook: CallForecast, spread: f64) -> Verdict {
+    let excess = match outlook.predicted_wait {
         None => UNKNOWN_AFTER,
         Some(wait) if wait <= outlook.patience() => return Verdict::Serve,
         Some(wait) => wait.saturating_sub(outlook.objective.unwrap_or_default()),
     };
-    Verdict::Refuse { after: after(excess, outlook.left, spread) }
+    Verdict::Refuse { retry_after: retry_after(excess, outlook.time_left, spread) }
 }
 
 /// When to come back if all upstreams want no requests for `rest`: no sooner, and not all together.
-pub fn after_rest(rest: Duration, spread: f64) -> Duration {
+pub fn retry_after_backoff(rest: Duration, spread: f64) -> Duration {
     rest.max(MIN_AFTER).mul_f64(1.0 + 0.25 * spread)
 }
 
 /// When to come back if the excess of work drains within `excess`.
-pub fn after(excess: Duration, left: Duration, spread: f64) -> Duration {
+pub fn retry_after(excess: Duration, left: Duration, spread: f64) -> Duration {
     let latest = left.mul_f64(RETURN_SHARE);
     excess.max(MIN_AFTER).mul_f64(0.75 + 0.5 * spread).min(latest)
 }
--- a/crates/medlarlug-core/src/gateway/peer_loads.rs
+++ b/crates/medlarlug-core/src/gateway/peer_loads.rs
@@ -1,6 +1,6 @@
 //! What the other entry instances of the region have under way at each upstream, as they tell.
 //!
-//! Reports come from single instances, or are sums over several, see [`exchange`](super::exchange).
+//! Reports come from single instances, or are sums over several, see [`load_exchange`](super::load_exchange).
 //! Each replaces the one before from the same source. The total is kept up to date with every
 //! report, since it is asked for each candidate of each call.
 
@@ -88,7 +88,7 @@
 
 /// Where a report comes from.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Source {
+pub enum ReportSource {
     /// One instance that tells of its own calls.
     Peer(InstanceId),
     /// A collector of another zone, with the sum over that zone.
@@ -99,7 +99,7 @@
 
 #[derive(Debug, Clone)]
 struct Told {
-    source: Source,
+    source: ReportSource,
     heard: Time,
     /// Instances whose calls the loads are.
     instances: usize,
@@ -121,10 +121,16 @@
     ///
     /// A collector's sum holds everything, so it replaces all other reports, and any other report
     /// replaces it.
-    pub fn hear(&mut self, now: Time, source: Source, instances: usize, loads: Vec<LoadReport>) {
-        let is_sum = source == Source::Collector;
+    pub fn apply_report(
+        &mut self,
+        now: Time,
+        source: ReportSource,
+        instances: usize,
+        loads: Vec<LoadReport>,
+    ) {
+        let is_sum = source == ReportSource::Collector;
         self.retain(|it| {
-            now - it.heard < REPORT_LIFETIME && (it.source == Source::Collector) == is_sum
+            now - it.heard < REPORT_LIFETIME && (it.source == ReportSource::Collector) == is_sum
         });
         let told = Told { source, heard: now, instances, loads };
         match self.told.binary_search_by(|it| it.source.cmp(&told.source)) {
@@ -139,7 +145,7 @@
 
     /// Takes in what a source has under way at one upstream. It says nothing of other upstreams, so it
     /// is left out for a source without a whole report.
-    pub fn hear_change(&mut self, source: &Source, change: LoadReport) {
+    pub fn apply_change(&mut self, source: &ReportSource, change: LoadReport) {
         let Ok(at) = self.told.binary_search_by(|it| it.source.cmp(source)) else { return };
         let loads = &mut self.told[at].loads;
         match loads.binary_search_by(|it| it.upstream.cmp(&change.upstream)) {
@@ -153,28 +159,28 @@
     }
 
     /// What others have under way at an upstream, and for how many instances that was told.
-    pub fn at(&self, now: Time, upstream: UpstreamKey) -> (LoadReport, usize) {
+    pub fn load_at(&self, now: Time, upstream: UpstreamKey) -> (LoadReport, usize) {
         let is_fresh = |it: &&Told| now - it.heard < REPORT_LIFETIME;
         let fresh = self.told.iter().filter(is_fresh);
         let instances = fresh.clone().map(|it| it.instances).sum();
         if fresh.clone().count() == self.told.len() {
-            return (find(&self.total, upstream), instances);
+            return (load_of(&self.total, upstream), instances);
         }
-        let loads = fresh.map(|it| find(&it.loads, upstream));
+        let loads = fresh.map(|it| load_of(&it.loads, upstream));
         (loads.fold(LoadReport::idle(upstream), LoadReport::plus), instances)
     }
 
     /// Drops reports that count no more.
-    pub fn forget(&mut self, now: Time) {
+    pub fn drop_expired(&mut self, now: Time) {
         self.retain(|it| now - it.heard < REPORT_LIFETIME);
     }
 
     /// The sum over the own calls and those of all sources but the ones that `is_left_out`, and the
     /// instances that it stands for.
-    pub fn sum(
+    pub fn aggregate(
         &self,
         own: &[LoadReport],
-        is_left_out: impl Fn(&Source) -> bool,
+        is_left_out: impl Fn(&ReportSource) -> bool,
     ) -> (usize, Vec<LoadReport>) {
         let mut sum = PeerLoads { told: Vec::new(), total: self.total.clone() };
         let mut instances = 1;
@@ -218,7 +224,7 @@
 }
 
 /// What `loads`, sorted by upstream, hold of one.
-pub fn find(loads: &[LoadReport], upstream: UpstreamKey) -> LoadReport {
+pub fn load_of(loads: &[LoadReport], upstream: UpstreamKey) -> LoadReport {
     let at = loads.binary_search_by(|it| it.upstream.cmp(&upstream));
     at.map_or(LoadReport::idle(upstream), |at| loads[at])
 }
--- a/crates/medlarlug-core/src/gateway/allotment.rs
+++ b/crates/medlarlug-core/src/gateway/permits.rs
@@ -9,14 +9,14 @@
 //! uneven, and with one permit saved up by each of many instances a burst exceeds it; one instance that sends
 //! alone, as to cold upstreams, serves only the callers that happen to use it.
 //!
-//! An instance whose [`view`](super::view) of the others is not settled gives permits to itself, at an
+//! An instance whose [`keeper_view`](super::keeper_view) of the others is not settled gives permits to itself, at an
 //! equal part of the pace. Such instances begin at a random moment of their turn, so that they don't act
 //! together.
 
 use std::{collections::VecDeque, time::Duration};
 
 use crate::{
-    gateway::{named_limits::NamedLimit, upstreams::Birth},
+    gateway::{upstream_limits::UpstreamLimit, upstreams::Birth},
     ids::{InstanceId, UpstreamId},
     time::Time,
 };
@@ -37,17 +37,17 @@
 
 /// Permits a second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
-pub struct Pace(f64);
+pub struct PermitRate(f64);
 
-impl Pace {
+impl PermitRate {
     /// The pace of the allotter.
-    pub fn whole(limit: NamedLimit) -> Pace {
-        Pace(limit.per_second() * PACE_SHARE)
+    pub fn for_allocator(limit: UpstreamLimit) -> PermitRate {
+        PermitRate(limit.per_second() * PACE_SHARE)
     }
 
     /// The pace of one of `instances` that don't know what the others do.
-    pub fn alone(limit: NamedLimit, instances: usize) -> Pace {
-        Pace(Pace::whole(limit).0 / instances.max(1) as f64)
+    pub fn for_isolated(limit: UpstreamLimit, instances: usize) -> PermitRate {
+        PermitRate(PermitRate::for_allocator(limit).0 / instances.max(1) as f64)
     }
 
     /// Permits a second.
@@ -63,7 +63,7 @@
 
 /// A question for permits.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Want {
+pub struct PermitRequest {
     /// Who asks.
     pub from: InstanceId,
     /// The upstream.
@@ -76,7 +76,7 @@
 
 /// Permits that an instance gets.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Grant {
+pub struct PermitGrant {
     /// Who gets them.
     pub to: InstanceId,
     /// The upstream.
@@ -101,7 +101,7 @@
 struct Account {
     upstream: UpstreamId,
     birth: Birth,
-    pace: Pace,
+    pace: PermitRate,
     /// Permits that are saved up, as of `filled`.
     saved: f64,
     filled: Time,
@@ -128,9 +128,9 @@
     }
 
     /// Gives out one permit after the other, in turn.
-    fn grant(&mut self, now: Time) -> Vec<Grant> {
+    fn grant(&mut self, now: Time) -> Vec<PermitGrant> {
         self.fill(now);
-        let mut grants: Vec<Grant> = Vec::new();
+        let mut grants: Vec<PermitGrant> = Vec::new();
         while self.saved >= 1.0
             && let Some(waiter) = self.queue.pop_front()
         {
@@ -139,7 +139,7 @@
                 Some(grant) => grant.permits += 1,
                 None => {
                     let (upstream, birth) = (self.upstream.clone(), self.birth);
-                    grants.push(Grant { to: waiter.id.clone(), upstream, birth, permits: 1 });
+                    grants.push(PermitGrant { to: waiter.id.clone(), upstream, birth, permits: 1 });
                 }
             }
             if waiter.calls > 1 {
@@ -152,15 +152,15 @@
 
 /// What an instance gives out as an allotter, sorted by upstream.
 #[derive(Debug, Clone, Default)]
-pub struct Allotter {
+pub struct PermitAllocator {
     accounts: Vec<Account>,
 }
 
-impl Allotter {
+impl PermitAllocator {
     /// An instance asks. A new account begins with `saved` of a permit, below one.
-    pub fn ask(&mut self, now: Time, want: Want, pace: Pace, saved: f64) {
+    pub fn request(&mut self, now: Time, want: PermitRequest, pace: PermitRate, saved: f64) {
         self.accounts.retain(|it| now - it.asked <= FORGET_AFTER);
-        let Want { from, upstream, birth, calls } = want;
+        let PermitRequest { from, upstream, birth, calls } = want;
         let at = match self.accounts.binary_search_by(|it| it.upstream.cmp(&upstream)) {
             Ok(at) => at,
             Err(at) => {
@@ -180,12 +180,12 @@
     }
 
     /// The permits that may be used from now on.
-    pub fn grant(&mut self, now: Time) -> Vec<Grant> {
+    pub fn grant(&mut self, now: Time) -> Vec<PermitGrant> {
         self.accounts.iter_mut().flat_map(|it| it.grant(now)).collect()
     }
 
     /// Whether an instance waits for a permit.
-    pub fn is_asked(&self) -> bool {
+    pub fn has_waiters(&self) -> bool {
         self.accounts.iter().any(|it| !it.queue.is_empty())
     }
 }
@@ -225,7 +225,7 @@
 
 impl Permits {
     /// Takes in permits that were granted to this instance.
-    pub fn hold(&mut self, now: Time, upstream: &UpstreamId, birth: Birth, permits: u32) {
+    pub fn add_granted(&mut self, now: Time, upstream: &UpstreamId, birth: Birth, permits: u32) {
         let until = now + PERMIT_LIFETIME;
         let granted = (0..permits).map(|_| Permit { upstream: upstream.clone(), birth, until });
         self.held.retain(|it| it.until > now);
@@ -244,7 +244,7 @@
     }
 
     /// A call could use a permit for an incarnation; `is_first` if it had not said so before.
-    pub fn want(&mut self, upstream: &UpstreamId, birth: Birth, is_first: bool) {
+    pub fn record_demand(&mut self, upstream: &UpstreamId, birth: Birth, is_first: bool) {
         let at = match self.wanted.binary_search_by(|it| it.upstream.cmp(upstream)) {
             Ok(at) => at,
             Err(at) => {
@@ -260,7 +260,7 @@
     }
 
     /// The questions that are due, and whether there are more later.
-    pub fn questions(&mut self, now: Time, from: &InstanceId) -> (Vec<Want>, bool) {
+    pub fn due_requests(&mut self, now: Time, from: &InstanceId) -> (Vec<PermitRequest>, bool) {
         let is_recent = |it: &Wanted| it.asked.is_some_and(|asked| now - asked < ASK_INTERVAL);
         self.wanted.retain(|it| it.is_due || is_recent(it));
         let due = self.wanted.iter_mut().filter(|it| it.is_due && !is_recent(it));
@@ -268,7 +268,7 @@
             let calls = std::mem::take(&mut it.calls).max(1);
             (it.is_due, it.asked) = (false, Some(now));
             let (upstream, birth) = (it.upstream.clone(), it.birth);
-            Want { from: from.clone(), upstream, birth, calls }
+            PermitRequest { from: from.clone(), upstream, birth, calls }
         });
         (questions.collect(), self.wanted.iter().any(|it| it.is_due))
     }
--- a/crates/medlarlug-core/src/gateway/placing.rs
+++ b/crates/medlarlug-core/src/gateway/placement.rs
@@ -11,15 +11,15 @@
 //! read, and calls that share a part stay on the engine that every instance finds for it by the
 //! same rank, until waiting there has grown well above reading it again elsewhere. A long queue of
 //! prompts stalls the streams of its engine, so it weighs more than the time that it takes, and long
-//! prompts take turns at an engine, see [`turns`](super::turns).
+//! prompts take turns at an engine, see [`prefill_queue`](super::prefill_queue).
 //!
 //! This answers load that is high but bearable. What to do when no upstream can serve in time is
-//! decided by [`refusing`](super::refusing).
+//! decided by [`load_shedding`](super::load_shedding).
 
 use std::time::Duration;
 
 use crate::{
-    gateway::peer_loads::{LoadReport, PeerLoads, Source, UpstreamKey},
+    gateway::peer_loads::{LoadReport, PeerLoads, ReportSource, UpstreamKey},
     ids::{InstanceId, UpstreamId},
     time::Time,
 };
@@ -39,23 +39,23 @@
     /// Parts of the prompt in order; the last one is the call's own.
     pub parts: Vec<PromptPart>,
     /// Tokens of the prompt; zero for plain services.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Tokens of the answer, at most.
-    pub output: u32,
+    pub max_output_tokens: u32,
     /// Rank of the call; engines read the prompts of rank 0 first.
-    pub rank: u8,
+    pub priority: u8,
 }
 
 impl Choice {
     /// Whether it is a long prompt, which takes turns with others at its engine.
     pub fn is_long(&self) -> bool {
-        self.unread >= LONG_PROMPT
+        self.prefill_tokens >= LONG_PROMPT
     }
 
     /// Whether peers have to know of it at once: it is a long prompt, or a call to a plain service,
     /// which has few places.
-    pub fn is_told(&self) -> bool {
-        self.is_long() || self.unread == 0
+    pub fn needs_immediate_report(&self) -> bool {
+        self.is_long() || self.prefill_tokens == 0
     }
 }
 
@@ -80,11 +80,11 @@
     /// Requests that it works on at once.
     pub slots: u32,
     /// Tokens that fit into its memory; zero for a plain service.
-    pub memory: u64,
+    pub memory_tokens: u64,
     /// Share of its recent calls that failed, 0 to 1.
-    pub failures: f64,
+    pub failure_rate: f64,
     /// Time on the way to it and back.
-    pub distance: Duration,
+    pub round_trip: Duration,
 }
 
 /// The upstream that was chosen.
@@ -97,9 +97,9 @@
     /// The same with the delay of other calls and the risk of a failure.
     pub cost: Duration,
     /// Tokens of the prompt that it is expected to read.
-    pub unread: u32,
+    pub prefill_tokens: u32,
     /// Rank of the call.
-    pub rank: u8,
+    pub priority: u8,
 }
 
 /// Prompt tokens that an engine reads in a millisecond, until it is known better; the engines of
@@ -216,7 +216,7 @@
 }
 
 /// Orders upstreams for a key, alike at every instance: the highest rank is preferred.
-pub fn rank(key: &str, upstream: &str) -> u64 {
+pub fn rendezvous_rank(key: &str, upstream: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(key.as_bytes());
     hasher.update(&[0]);
@@ -225,7 +225,7 @@
     u64::from_le_bytes(hash.as_bytes()[..8].try_into().expect("a hash has 32 bytes"))
 }
 
-/// Rank of an upstream for a prompt part, cheaper than [`rank`].
+/// Rank of an upstream for a prompt part, cheaper than [`rendezvous_rank`].
 fn part_rank(part: u64, upstream: &UpstreamId) -> u64 {
     // FNV-1a, then the finalizer of SplitMix64.
     let mut hash = 0xcbf2_9ce4_8422_2325 ^ part;
@@ -242,7 +242,7 @@
     /// send to the same upstreams.
     ///
     /// ```
-    /// use medlarlug_core::{gateway::placing::*, time::Time};
+    /// use medlarlug_core::{gateway::placement::*, time::Time};
     ///
     /// let id = "engine-1".parse().unwrap();
     /// let only = Candidate { id: &id, slots: 8, memory: 0, failures: 0.0, distance: Default::default() };
@@ -263,9 +263,11 @@
         let predicted = candidates.iter().map(|candidate| {
             let is_preferred = preferred == Some(candidate.id);
             let predicted = self.predict(now, demand, candidate, peers, is_preferred);
-            let way = candidate.distance.as_secs_f64() * 1_000.0;
-            let cost =
-                way + predicted.wait + predicted.others + candidate.failures.powi(2) * FAILURE_MS;
+            let way = candidate.round_trip.as_secs_f64() * 1_000.0;
+            let cost = way
+                + predicted.wait
+                + predicted.others
+                + candidate.failure_rate.powi(2) * FAILURE_MS;
             (cost, predicted, candidate)
         });
         let best = predicted.min_by(|a, b| {
@@ -275,8 +277,14 @@
         let (cost, predicted, candidate) = best;
         let wait = Duration::from_secs_f64(predicted.wait / 1_000.0);
         let cost = Duration::from_secs_f64(cost / 1_000.0);
-        let (unread, rank) = (predicted.unread, demand.rank);
-        Some(Choice { id: candidate.id.clone(), wait, cost, unread, rank })
+        let (unread, rank) = (predicted.unread, demand.priority);
+        Some(Choice {
+            id: candidate.id.clone(),
+            wait,
+            cost,
+            prefill_tokens: unread,
+            priority: rank,
+        })
     }
 
     fn predict(
@@ -291,7 +299,7 @@
         let slowness = load.map_or(1.0, |load| load.slowness);
         let others = self.others(now, candidate.id, peers);
         let running = load.map_or(0.0, |load| load.running.value as f64) + others.running;
-        if candidate.memory == 0 {
+        if candidate.memory_tokens == 0 {
             let queue = (running + 1.0 - f64::from(candidate.slots)).max(0.0);
             let busy = 0.1 * running / f64::from(candidate.slots.max(1));
             let calls = 1.0 + busy + queue / f64::from(candidate.slots.max(1));
@@ -299,8 +307,8 @@
             return Predicted { unread: 0, wait, others: 0.0 };
         }
         let held = load.map_or(0, |load| load.held(now, &demand.parts));
-        let mut unread = f64::from(demand.prompt.saturating_sub(held));
-        let own = demand.parts.last().map_or(demand.prompt, |part| part.tokens);
+        let mut unread = f64::from(demand.prompt_tokens.saturating_sub(held));
+        let own = demand.parts.last().map_or(demand.prompt_tokens, |part| part.tokens);
         let mut shared = (unread - f64::from(own)).max(0.0);
         if is_preferred {
             unread -= shared * PREFERRED_GAIN;
@@ -310,7 +318,7 @@
         let excess = (running + 1.0 - f64::from(candidate.slots)).max(0.0);
         let urgent = load.map_or(0.0, |load| load.urgent.value as f64) + others.urgent;
         let queued = load.map_or(0.0, |load| load.waiting as f64) + others.waiting;
-        let ahead = match demand.rank {
+        let ahead = match demand.priority {
             0 => urgent + (waiting - urgent).clamp(0.0, STEP_TOKENS),
             _ => waiting + queued,
         };
@@ -336,37 +344,44 @@
         self.place(id).map_or_else(|_| idle(), |at| self.known[at].report())
     }
 
-    /// Takes in what peers have under way, see [`PeerLoads::hear`].
-    pub fn hear(&mut self, now: Time, source: Source, instances: usize, loads: Vec<LoadReport>) {
-        self.peers.hear(now, source, instances, loads);
+    /// Takes in what peers have under way, see [`PeerLoads::apply_report`].
+    pub fn apply_report(
+        &mut self,
+        now: Time,
+        source: ReportSource,
+        instances: usize,
+        loads: Vec<LoadReport>,
+    ) {
+        self.peers.apply_report(now, source, instances, loads);
     }
 
-    /// Takes in what peers have under way at one upstream, see [`PeerLoads::hear_change`].
-    pub fn hear_change(&mut self, source: &Source, change: LoadReport) {
-        self.peers.hear_change(source, change);
+    /// Takes in what peers have under way at one upstream, see [`PeerLoads::apply_change`].
+    pub fn apply_change(&mut self, source: &ReportSource, change: LoadReport) {
+        self.peers.apply_change(source, change);
     }
 
     /// Drops reports of peers that count no more.
-    pub fn forget_silent(&mut self, now: Time) {
-        self.peers.forget(now);
+    pub fn drop_expired_reports(&mut self, now: Time) {
+        self.peers.drop_expired(now);
     }
 
     /// What a collector tells the instance `to`: the sum over all instances but that one, and how many
     /// they are.
-    pub fn sum_for(&self, to: &InstanceId) -> (usize, Vec<LoadReport>) {
-        let is_receiver = |source: &Source| matches!(source, Source::Peer(id) if id == to);
-        self.peers.sum(&self.report(), is_receiver)
+    pub fn aggregate_for(&self, to: &InstanceId) -> (usize, Vec<LoadReport>) {
+        let is_receiver =
+            |source: &ReportSource| matches!(source, ReportSource::Peer(id) if id == to);
+        self.peers.aggregate(&self.report(), is_receiver)
     }
 
     /// What a collector tells other zones: the sum over the instances of its own, and how many they
     /// are.
-    pub fn zone_sum(&self) -> (usize, Vec<LoadReport>) {
-        self.peers.sum(&self.report(), |source| matches!(source, Source::Zone(_)))
+    pub fn zone_aggregate(&self) -> (usize, Vec<LoadReport>) {
+        self.peers.aggregate(&self.report(), |source| matches!(source, ReportSource::Zone(_)))
     }
 
     /// What the other `peers` have under way at an upstream.
     fn others(&self, now: Time, id: &UpstreamId, peers: usize) -> Others {
-        let (told, instances) = self.peers.at(now, UpstreamKey::of(id));
+        let (told, instances) = self.peers.load_at(now, UpstreamKey::of(id));
         let mut others = Others {
             running: f64::from(told.running),
             unread: f64::from(told.unread),
@@ -386,7 +401,7 @@
 
     /// Whether the engine that was chosen would take the call now: long prompts go to an engine one
     /// after the other, short ones at any time.
-    pub fn is_free(&self, now: Time, choice: &Choice, peers: usize) -> bool {
+    pub fn can_admit(&self, now: Time, choice: &Choice, peers: usize) -> bool {
         if !choice.is_long() {
             return true;
         }
@@ -395,23 +410,23 @@
     }
 
     /// Counts a call that waits for its turn at `choice`, so that others go elsewhere.
-    pub fn waits(&mut self, choice: &Choice) {
-        self.entry(&choice.id).waiting += u64::from(choice.unread);
+    pub fn enqueue(&mut self, choice: &Choice) {
+        self.entry(&choice.id).waiting += u64::from(choice.prefill_tokens);
     }
 
     /// A call waits no longer for its turn.
-    pub fn waits_no_longer(&mut self, choice: &Choice) {
+    pub fn dequeue(&mut self, choice: &Choice) {
         let load = self.entry(&choice.id);
-        load.waiting = load.waiting.saturating_sub(u64::from(choice.unread));
+        load.waiting = load.waiting.saturating_sub(u64::from(choice.prefill_tokens));
     }
 
     /// Counts a call that goes out to `choice`; `memory` is that of the upstream in tokens.
-    pub fn sent(&mut self, now: Time, choice: &Choice, demand: &Demand, memory: u64) {
+    pub fn record_sent(&mut self, now: Time, choice: &Choice, demand: &Demand, memory: u64) {
         let load = self.entry(&choice.id);
         load.running.change(now, load.running.value + 1);
-        load.unread.change(now, load.unread.value + u64::from(choice.unread));
-        if demand.rank == 0 {
-            load.urgent.change(now, load.urgent.value + u64::from(choice.unread));
+        load.unread.change(now, load.unread.value + u64::from(choice.prefill_tokens));
+        if demand.priority == 0 {
+            load.urgent.change(now, load.urgent.value + u64::from(choice.prefill_tokens));
         }
         for part in demand.parts.iter().rev().skip(1) {
             load.use_part(now, *part);
@@ -420,7 +435,7 @@
     }
 
     /// The first token or the answer of a call came after `took`.
-    pub fn answered(&mut self, now: Time, choice: &Choice, took: Duration) {
+    pub fn record_first_token(&mut self, now: Time, choice: &Choice, took: Duration) {
         let load = self.entry(&choice.id);
         load.was_read(now, choice);
         let predicted = choice.wait.as_secs_f64().max(0.001) / load.slowness;
@@ -428,8 +443,8 @@
         load.slowness += SMOOTHING * (ratio - load.slowness);
     }
 
-    /// A call ended; `was_read` tells whether [`Loads::answered`] was called for it.
-    pub fn ended(&mut self, now: Time, choice: &Choice, was_read: bool) {
+    /// A call ended; `was_read` tells whether [`Loads::record_first_token`] was called for it.
+    pub fn record_end(&mut self, now: Time, choice: &Choice, was_read: bool) {
         let load = self.entry(&choice.id);
         load.running.change(now, load.running.value.saturating_sub(1));
         if !was_read {
@@ -438,7 +453,7 @@
     }
 
     /// Forgets what an upstream holds, which has a new incarnation.
-    pub fn forget(&mut self, id: &UpstreamId) {
+    pub fn reset(&mut self, id: &UpstreamId) {
         if let Ok(at) = self.place(id) {
             self.known[at].warm.clear();
             self.known[at].slowness = 1.0;
@@ -489,9 +504,9 @@
 
     /// The prompt of a call was read, or nobody waits for it any more.
     fn was_read(&mut self, now: Time, choice: &Choice) {
-        let tokens = u64::from(choice.unread);
+        let tokens = u64::from(choice.prefill_tokens);
         self.unread.change(now, self.unread.value.saturating_sub(tokens));
-        if choice.rank == 0 {
+        if choice.priority == 0 {
             self.urgent.change(now, self.urgent.value.saturating_sub(tokens));
         }
     }
--- a/crates/medlarlug-core/src/gateway/turns.rs
+++ b/crates/medlarlug-core/src/gateway/prefill_queue.rs
@@ -18,9 +18,9 @@
 
 /// What a call does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum PrefillDecision {
     /// It goes to its engine.
-    Go,
+    Send,
     /// It waits.
     Wait,
     /// It is refused.
@@ -41,34 +41,34 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::turns::{Turn, turn};
+/// use medlarlug_core::gateway::prefill_queue::{PrefillDecision, decide};
 ///
 /// let objective = Duration::from_secs(1);
-/// assert_eq!(turn(true, Duration::ZERO, objective, 1), Turn::Go);
-/// assert_eq!(turn(false, Duration::ZERO, objective, 1), Turn::Wait);
-/// assert_eq!(turn(false, objective, objective, 1), Turn::Refuse);
+/// assert_eq!(decide(true, Duration::ZERO, objective, 1), PrefillDecision::Send);
+/// assert_eq!(decide(false, Duration::ZERO, objective, 1), PrefillDecision::Wait);
+/// assert_eq!(decide(false, objective, objective, 1), PrefillDecision::Refuse);
 /// ```
-pub fn turn(is_free: bool, waited: Duration, objective: Duration, rank: u8) -> Turn {
+pub fn decide(is_free: bool, waited: Duration, objective: Duration, rank: u8) -> PrefillDecision {
     let share = if rank == 0 { URGENT_WAIT_SHARE } else { WAIT_SHARE };
     match waited < objective.mul_f64(share) {
-        _ if is_free => Turn::Go,
-        true => Turn::Wait,
-        false if rank == 0 => Turn::Go,
-        false => Turn::Refuse,
+        _ if is_free => PrefillDecision::Send,
+        true => PrefillDecision::Wait,
+        false if rank == 0 => PrefillDecision::Send,
+        false => PrefillDecision::Refuse,
     }
 }
 
 /// How long calls have waited for their turn lately.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct TurnWaits {
+pub struct QueueWaits {
     /// Smoothed wait in seconds, when it was last counted.
     wait: f64,
     counted: Time,
 }
 
-impl TurnWaits {
+impl QueueWaits {
     /// Counts a call that waited for `waited`.
-    pub fn count(&mut self, now: Time, waited: Duration) {
+    pub fn record(&mut self, now: Time, waited: Duration) {
         let expected = self.expected(now).as_secs_f64();
         self.wait = expected + SMOOTHING * (waited.as_secs_f64() - expected);
         self.counted = now;
--- a/crates/medlarlug-core/src/gateway/away.rs
+++ b/crates/medlarlug-core/src/gateway/remote_region.rs
@@ -10,10 +10,10 @@
 
 use std::time::Duration;
 
-use crate::gateway::placing::{Demand, READ_RATE};
+use crate::gateway::placement::{Demand, READ_RATE};
 
 /// Prompt tokens of the call for which a region tells the wait.
-pub const USUAL_PROMPT: u32 = 2_000;
+pub const REFERENCE_PROMPT_TOKENS: u32 = 2_000;
 
 /// Part of the shared tokens of a prompt that another region is taken to read again: sessions live
 /// in few regions, and parts that everyone shares are held in all.
@@ -25,11 +25,11 @@
 
 /// What is known of a service in another region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Region {
+pub struct RemoteService {
     /// Time to the first token of a usual call, as told by the instances there.
-    pub told: Duration,
+    pub reported_wait: Duration,
     /// Prompt tokens that this instance has handed over since and that are not answered yet.
-    pub unread: u64,
+    pub pending_tokens: u64,
     /// Upstreams there.
     pub upstreams: usize,
 }
@@ -38,17 +38,17 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::{away::{Region, cost}, placing::Demand};
+/// use medlarlug_core::gateway::{remote_region::{RemoteService, predicted_cost}, placement::Demand};
 ///
 /// let told = Duration::from_millis(80);
-/// let region = Region { told, unread: 0, upstreams: 4 };
-/// assert_eq!(cost(region, &Demand::default()), told);
+/// let region = RemoteService { reported_wait: told, pending_tokens: 0, upstreams: 4 };
+/// assert_eq!(predicted_cost(region, &Demand::default()), told);
 /// ```
-pub fn cost(region: Region, demand: &Demand) -> Duration {
-    let queued = region.unread as f64 / READ_RATE / region.upstreams.max(1) as f64;
+pub fn predicted_cost(region: RemoteService, demand: &Demand) -> Duration {
+    let queued = region.pending_tokens as f64 / READ_RATE / region.upstreams.max(1) as f64;
     let shared = f64::from(demand.shared()) * UNHELD_SHARE;
-    let own = f64::from(demand.prompt.saturating_sub(demand.shared()));
-    let longer = (own + shared - f64::from(USUAL_PROMPT)).max(0.0) / READ_RATE;
+    let own = f64::from(demand.prompt_tokens.saturating_sub(demand.shared()));
+    let longer = (own + shared - f64::from(REFERENCE_PROMPT_TOKENS)).max(0.0) / READ_RATE;
     let others = shared * REREAD_WEIGHT / READ_RATE;
-    region.told + Duration::from_secs_f64((queued + longer + others) / 1_000.0)
+    region.reported_wait + Duration::from_secs_f64((queued + longer + others) / 1_000.0)
 }
--- a/crates/medlarlug-core/src/gateway/budget.rs
+++ b/crates/medlarlug-core/src/gateway/retry_budget.rs
@@ -5,7 +5,7 @@
 //! takes in itself, so that this part of the sum holds whoever freezes, joins or is cut off.
 //!
 //! The allowance is divided by the most entry instances that were ever known, and an instance has a
-//! share once its [`view`](super::view) of the others was complete. Half of the allowance is never
+//! share once its [`keeper_view`](super::keeper_view) of the others was complete. Half of the allowance is never
 //! handed out.
 //!
 //! What an instance has spent is forgotten when it restarts. Its successor repeats no call until a
@@ -43,25 +43,25 @@
 
 /// What an instance may spend as one of many.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Share {
+pub struct InstanceShare {
     /// The most entry instances that were ever known, this one included.
     pub instances: usize,
     /// Time for which this process has run, or `None` if there was none before it that may have
     /// repeated calls.
-    pub age: Option<Duration>,
+    pub process_age: Option<Duration>,
     /// Whether its view of the other instances was complete since it started.
-    pub has_seen_all: bool,
+    pub has_complete_view: bool,
 }
 
-impl Share {
+impl InstanceShare {
     /// Whether repeats of the process before this one may still count in the present window.
     fn overlaps_predecessor(self, bounds: RetryBounds) -> bool {
-        self.age.is_some_and(|age| age <= bounds.window + way(bounds))
+        self.process_age.is_some_and(|age| age <= bounds.window + way(bounds))
     }
 
     /// Repeats that the instance may make in a window beyond those that it has earned.
-    pub fn of(self, bounds: RetryBounds) -> f64 {
-        match self.has_seen_all {
+    pub fn allowance(self, bounds: RetryBounds) -> f64 {
+        match self.has_complete_view {
             true => ALLOWANCE_SHARE * bounds.allowance / self.instances.max(1) as f64,
             false => 0.0,
         }
@@ -74,9 +74,9 @@
     /// Calls that count.
     pub calls: usize,
     /// Repeats that count.
-    pub repeats: usize,
+    pub retries: usize,
     /// Repeats that are left.
-    pub left: f64,
+    pub remaining: f64,
 }
 
 /// Calls and repeats of one service at this entry instance.
@@ -91,15 +91,15 @@
 
 impl RetryWindow {
     /// Counts a call for the service.
-    pub fn count(&mut self, now: Time, bounds: RetryBounds) {
+    pub fn record_call(&mut self, now: Time, bounds: RetryBounds) {
         self.trim(now, bounds);
         self.calls.push_back(now);
     }
 
     /// Takes one repeat out of the budget.
-    pub fn take(&mut self, now: Time, bounds: RetryBounds, share: Share) -> bool {
+    pub fn try_take_retry(&mut self, now: Time, bounds: RetryBounds, share: InstanceShare) -> bool {
         self.trim(now, bounds);
-        if self.balance(bounds, share).left < 1.0 {
+        if self.balance(bounds, share).remaining < 1.0 {
             return false;
         }
         self.repeats.push_back(now);
@@ -107,13 +107,13 @@
     }
 
     /// What is left at the time of the last change.
-    pub fn balance(&self, bounds: RetryBounds, share: Share) -> Balance {
+    pub fn balance(&self, bounds: RetryBounds, share: InstanceShare) -> Balance {
         let (calls, repeats) = (self.calls.len(), self.repeats.len());
         let left = match share.overlaps_predecessor(bounds) {
             true => 0.0,
-            false => bounds.ratio * calls as f64 + share.of(bounds) - repeats as f64,
+            false => bounds.ratio * calls as f64 + share.allowance(bounds) - repeats as f64,
         };
-        Balance { calls, repeats, left }
+        Balance { calls, retries: repeats, remaining: left }
     }
 
     fn trim(&mut self, now: Time, bounds: RetryBounds) {
@@ -139,11 +139,11 @@
 /// out. What was paid for a request that reached nobody is kept for the next one.
 ///
 /// ```
-/// use medlarlug_core::gateway::budget::Spending;
+/// use medlarlug_core::gateway::retry_budget::Spending;
 ///
 /// let mut spending = Spending::default();
 /// assert!(spending.is_covered());
-/// spending.arrived();
+/// spending.record_arrival();
 /// assert!(!spending.is_covered());
 /// spending.pay();
 /// assert!(spending.is_covered());
@@ -166,7 +166,7 @@
     }
 
     /// A request has reached an upstream, or another instance that sent it to one.
-    pub fn arrived(&mut self) {
+    pub fn record_arrival(&mut self) {
         self.arrived += 1;
     }
 }
--- a/crates/medlarlug-core/src/gateway/stall.rs
+++ b/crates/medlarlug-core/src/gateway/stall.rs
@@ -13,16 +13,16 @@
 /// Notices stalls by the time between two turns of a loop.
 ///
 /// ```
-/// use medlarlug_core::{gateway::stall::Stall, time::Time};
+/// use medlarlug_core::{gateway::stall::StallDetector, time::Time};
 /// use std::time::Duration;
 ///
-/// let mut stall = Stall::new(Duration::from_millis(300));
-/// stall.turn(Time::from_millis(1_000));
-/// assert_eq!(stall.age(Time::from_millis(1_050)), Duration::ZERO);
-/// assert_eq!(stall.age(Time::from_millis(3_000)), Duration::from_secs(2));
+/// let mut stall = StallDetector::new(Duration::from_millis(300));
+/// stall.tick(Time::from_millis(1_000));
+/// assert_eq!(stall.max_message_age(Time::from_millis(1_050)), Duration::ZERO);
+/// assert_eq!(stall.max_message_age(Time::from_millis(3_000)), Duration::from_secs(2));
 /// ```
 #[derive(Debug, Clone)]
-pub struct Stall {
+pub struct StallDetector {
     /// Longest time between two turns that is no stall.
     limit: Duration,
     turned: Option<Time>,
@@ -30,14 +30,14 @@
     newest: Option<(Time, Time)>,
 }
 
-impl Stall {
+impl StallDetector {
     /// Takes more than `limit` without a turn for a stall.
-    pub fn new(limit: Duration) -> Stall {
-        Stall { limit, turned: None, newest: None }
+    pub fn new(limit: Duration) -> StallDetector {
+        StallDetector { limit, turned: None, newest: None }
     }
 
     /// The loop has a turn; returns the length of the stall that it ends, if there was one.
-    pub fn turn(&mut self, now: Time) -> Option<Duration> {
+    pub fn tick(&mut self, now: Time) -> Option<Duration> {
         let began = self.began(now);
         if let Some(began) = began {
             self.newest = Some((began, now));
@@ -47,7 +47,7 @@
     }
 
     /// When the process last resumed: now, if the loop has not had its turn since.
-    pub fn resumed(&self, now: Time) -> Option<Time> {
+    pub fn last_resumed(&self, now: Time) -> Option<Time> {
         self.began(now).map(|_| now).or(self.newest.map(|it| it.1))
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// How old what is read now may be.
-    pub fn age(&self, now: Time) -> Duration {
+    pub fn max_message_age(&self, now: Time) -> Duration {
         if let Some(began) = self.began(now) {
             return now - began;
         }
--- a/crates/medlarlug-core/src/gateway/silence.rs
+++ b/crates/medlarlug-core/src/gateway/stream_timeout.rs
@@ -20,7 +20,7 @@
 
 /// Where a stream comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Source {
+pub enum StreamSource {
     /// An upstream of the own region.
     Upstream,
     /// An entry instance of another region.
@@ -32,19 +32,19 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::silence::{Source, limit};
+/// use medlarlug_core::gateway::stream_timeout::{StreamSource, idle_timeout};
 ///
 /// let pause = Duration::from_millis(600);
-/// assert_eq!(limit(Source::Upstream, pause, true), Some(pause * 3));
-/// assert_eq!(limit(Source::Upstream, pause, false), None);
+/// assert_eq!(idle_timeout(StreamSource::Upstream, pause, true), Some(pause * 3));
+/// assert_eq!(idle_timeout(StreamSource::Upstream, pause, false), None);
 /// ```
-pub fn limit(source: Source, pause: Duration, may_repeat: bool) -> Option<Duration> {
+pub fn idle_timeout(source: StreamSource, pause: Duration, may_repeat: bool) -> Option<Duration> {
     if !may_repeat {
         return None;
     }
     let own = pause.max(SHORTEST_PAUSE) * SILENT_PAUSES;
     Some(match source {
-        Source::Upstream => own,
-        Source::Instance => own + HANDED_OVER_TIME,
+        StreamSource::Upstream => own,
+        StreamSource::Instance => own + HANDED_OVER_TIME,
     })
 }
--- a/crates/medlarlug-core/src/gateway/table.rs
+++ b/crates/medlarlug-core/src/gateway/table.rs
@@ -200,7 +200,7 @@
     },
     /// Two routes have the same host and prefix.
     #[error("routes `{first}` and `{second}` share `{host}{prefix}`")]
-    SamePlace {
+    DuplicateRoute {
         /// A route.
         first: SmolStr,
         /// Another one.
@@ -212,19 +212,19 @@
     },
     /// The weights of a route add up to zero.
     #[error("the weights of route `{route}` add up to zero")]
-    NoWeight {
+    ZeroWeight {
         /// The route.
         route: SmolStr,
     },
     /// A route has a timeout of zero.
     #[error("the timeout of route `{route}` is zero")]
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: SmolStr,
     },
     /// A prefix does not begin and end with a slash.
     #[error("prefix `{prefix}` of route `{route}` has to begin and end with a slash")]
-    Prefix {
+    InvalidPrefix {
         /// The route.
         route: SmolStr,
         /// The prefix.
@@ -271,7 +271,7 @@
         }
         for pair in routes.windows(2) {
             if pair[0].host == pair[1].host && pair[0].prefix == pair[1].prefix {
-                return Err(TableError::SamePlace {
+                return Err(TableError::DuplicateRoute {
                     first: pair[0].name.clone(),
                     second: pair[1].name.clone(),
                     host: pair[0].host.clone(),
@@ -337,10 +337,10 @@
 fn check_route(route: &Route, services: &[Service]) -> Result<(), TableError> {
     let name = || route.name.clone();
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-        return Err(TableError::Prefix { route: name(), prefix: route.prefix.clone() });
+        return Err(TableError::InvalidPrefix { route: name(), prefix: route.prefix.clone() });
     }
     if route.timeout.is_zero() {
-        return Err(TableError::NoTimeout { route: name() });
+        return Err(TableError::ZeroTimeout { route: name() });
     }
     for target in &route.targets {
         if services.binary_search_by(|it| it.name.cmp(&target.service)).is_err() {
@@ -349,7 +349,7 @@
         }
     }
     if route.targets.iter().all(|target| target.weight == 0) {
-        return Err(TableError::NoWeight { route: name() });
+        return Err(TableError::ZeroWeight { route: name() });
     }
     Ok(())
 }
--- a/crates/medlarlug-core/src/gateway/named_limits.rs
+++ b/crates/medlarlug-core/src/gateway/upstream_limits.rs
@@ -5,7 +5,7 @@
 //! the limit was last named, and one to an older request can lower a limit, but not raise it.
 //!
 //! Instances of a region tell each other of changes. How they divide a limit is up to
-//! [`allotment`](super::allotment).
+//! [`permits`](super::permits).
 
 use std::{fmt, str::FromStr};
 
@@ -25,24 +25,24 @@
 /// Requests a second that an upstream takes from all entry instances together.
 ///
 /// ```
-/// use medlarlug_core::gateway::named_limits::NamedLimit;
+/// use medlarlug_core::gateway::upstream_limits::UpstreamLimit;
 ///
-/// assert_eq!("1.7".parse::<NamedLimit>().unwrap().to_string(), "1.7/s");
-/// assert_eq!("0".parse::<NamedLimit>().unwrap(), NamedLimit::LOWEST);
-/// assert!("few".parse::<NamedLimit>().is_err());
+/// assert_eq!("1.7".parse::<UpstreamLimit>().unwrap().to_string(), "1.7/s");
+/// assert_eq!("0".parse::<UpstreamLimit>().unwrap(), UpstreamLimit::LOWEST);
+/// assert!("few".parse::<UpstreamLimit>().is_err());
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
-pub struct NamedLimit(f64);
+pub struct UpstreamLimit(f64);
 
 /// A text that holds no limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("not a number of requests a second from zero on")]
 pub struct LimitError;
 
-impl NamedLimit {
+impl UpstreamLimit {
     /// The lowest limit, which also holds for an upstream that names one that can't be read.
-    pub const LOWEST: NamedLimit = NamedLimit(LOWEST_RATE);
+    pub const LOWEST: UpstreamLimit = UpstreamLimit(LOWEST_RATE);
 
     /// Requests a second.
     pub fn per_second(self) -> f64 {
@@ -50,33 +50,33 @@
     }
 }
 
-impl From<NamedLimit> for f64 {
-    fn from(limit: NamedLimit) -> f64 {
+impl From<UpstreamLimit> for f64 {
+    fn from(limit: UpstreamLimit) -> f64 {
         limit.0
     }
 }
 
-impl TryFrom<f64> for NamedLimit {
+impl TryFrom<f64> for UpstreamLimit {
     type Error = LimitError;
 
-    fn try_from(rate: f64) -> Result<NamedLimit, LimitError> {
+    fn try_from(rate: f64) -> Result<UpstreamLimit, LimitError> {
         match rate.is_nan() || rate < 0.0 {
             true => Err(LimitError),
-            false => Ok(NamedLimit(rate.clamp(LOWEST_RATE, HIGHEST_RATE))),
+            false => Ok(UpstreamLimit(rate.clamp(LOWEST_RATE, HIGHEST_RATE))),
         }
     }
 }
 
-impl FromStr for NamedLimit {
+impl FromStr for UpstreamLimit {
     type Err = LimitError;
 
-    fn from_str(text: &str) -> Result<NamedLimit, LimitError> {
+    fn from_str(text: &str) -> Result<UpstreamLimit, LimitError> {
         let rate: f64 = text.trim().parse().map_err(|_| LimitError)?;
-        NamedLimit::try_from(rate)
+        UpstreamLimit::try_from(rate)
     }
 }
 
-impl fmt::Display for NamedLimit {
+impl fmt::Display for UpstreamLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/s", self.0)
     }
@@ -84,54 +84,54 @@
 
 /// What an answer says about a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Said {
+pub enum LimitHeader {
     /// The upstream names this limit.
-    Limit(NamedLimit),
+    Limit(UpstreamLimit),
     /// The upstream names a limit that can't be read.
-    Unreadable,
+    Invalid,
     /// The upstream names none.
-    None,
+    Absent,
 }
 
 #[derive(Debug, Clone)]
 struct Known {
     id: UpstreamId,
     birth: Birth,
-    limit: NamedLimit,
+    limit: UpstreamLimit,
     /// When an answer named it last.
     named: Time,
     /// The limit as other instances were told.
-    told: NamedLimit,
+    told: UpstreamLimit,
 }
 
 /// The limits that this instance knows, sorted by upstream.
 ///
 /// ```
 /// use medlarlug_core::{
-///     gateway::{named_limits::{NamedLimits, Said}, upstreams::Birth},
+///     gateway::{upstream_limits::{UpstreamLimits, LimitHeader}, upstreams::Birth},
 ///     time::Time,
 /// };
 ///
-/// let (mut limits, id) = (NamedLimits::default(), "engine-1".parse().unwrap());
-/// let said = Said::Limit("1.7".parse().unwrap());
-/// limits.answered(Time::from_millis(20), Time::from_millis(10), &id, Birth(1), said);
+/// let (mut limits, id) = (UpstreamLimits::default(), "engine-1".parse().unwrap());
+/// let said = LimitHeader::Limit("1.7".parse().unwrap());
+/// limits.record_answer(Time::from_millis(20), Time::from_millis(10), &id, Birth(1), said);
 /// assert!(limits.of(&id, Birth(1)).is_some());
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct NamedLimits {
+pub struct UpstreamLimits {
     known: Vec<Known>,
 }
 
-impl NamedLimits {
+impl UpstreamLimits {
     /// Takes in what an answer to a request says that went out at `sent`. Returns whether other instances
     /// have to know.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Time,
         sent: Time,
         id: &UpstreamId,
         birth: Birth,
-        said: Said,
+        said: LimitHeader,
     ) -> bool {
         let known = self.place(id).ok().map(|at| self.known[at].clone());
         if known.as_ref().is_some_and(|it| it.birth > birth) {
@@ -139,18 +139,20 @@
         }
         let known = known.filter(|it| it.birth == birth);
         let limit = match (said, &known) {
-            (Said::None, None) => return false,
-            (Said::None, Some(known)) if sent <= known.named => return false,
-            (Said::None, Some(_)) => {
+            (LimitHeader::Absent, None) => return false,
+            (LimitHeader::Absent, Some(known)) if sent <= known.named => return false,
+            (LimitHeader::Absent, Some(_)) => {
                 self.remove(id);
                 return true;
             }
-            (Said::Unreadable, Some(known)) => known.limit,
-            (Said::Unreadable, None) => NamedLimit::LOWEST,
-            (Said::Limit(limit), Some(known)) if sent <= known.named && limit > known.limit => {
+            (LimitHeader::Invalid, Some(known)) => known.limit,
+            (LimitHeader::Invalid, None) => UpstreamLimit::LOWEST,
+            (LimitHeader::Limit(limit), Some(known))
+                if sent <= known.named && limit > known.limit =>
+            {
                 known.limit
             }
-            (Said::Limit(limit), _) => limit,
+            (LimitHeader::Limit(limit), _) => limit,
         };
         let told = known.map(|it| it.told);
         let is_news = told.is_none_or(|told| (limit.0 - told.0).abs() > told.0 * NEWS_SHARE);
@@ -160,7 +162,13 @@
     }
 
     /// Takes in what another instance tells of an upstream; `None` if its limit has ended.
-    pub fn told(&mut self, now: Time, id: &UpstreamId, birth: Birth, limit: Option<NamedLimit>) {
+    pub fn apply_update(
+        &mut self,
+        now: Time,
+        id: &UpstreamId,
+        birth: Birth,
+        limit: Option<UpstreamLimit>,
+    ) {
         let newest = self.place(id).ok().map(|at| self.known[at].birth);
         if newest.is_some_and(|newest| newest > birth) {
             return;
@@ -174,7 +182,7 @@
     }
 
     /// The limit of an incarnation, if it has one.
-    pub fn of(&self, id: &UpstreamId, birth: Birth) -> Option<NamedLimit> {
+    pub fn of(&self, id: &UpstreamId, birth: Birth) -> Option<UpstreamLimit> {
         let known = self.place(id).ok().map(|at| &self.known[at]);
         known.filter(|it| it.birth >= birth).map(|it| it.limit)
     }
--- a/crates/medlarlug-core/src/gateway/upstreams.rs
+++ b/crates/medlarlug-core/src/gateway/upstreams.rs
@@ -59,7 +59,7 @@
 
 impl Upstream {
     /// What it tells, read up to `age` late: its cold time ends no earlier than if it were new.
-    pub fn read_late(self, age: Duration) -> Upstream {
+    pub fn extend_cold(self, age: Duration) -> Upstream {
         let cold = match self.cold {
             Duration::ZERO => Duration::ZERO,
             cold => cold + age,
@@ -70,12 +70,12 @@
 
 /// A known upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Known {
+pub struct KnownUpstream {
     /// Its newest announcement.
     pub upstream: Upstream,
     /// When that was made, as far as known.
-    pub heard: Time,
-    /// Number of the last change, see [`Upstreams::since`].
+    pub announced_at: Time,
+    /// Number of the last change, see [`Upstreams::changed_since`].
     change: u64,
     /// Number of the last renewal, see [`Upstreams::renewed_since`].
     renewal: u64,
@@ -85,34 +85,34 @@
     tellers: Vec<SocketAddr>,
 }
 
-impl Known {
+impl KnownUpstream {
     /// It was heard again at `heard`, and has told nothing new.
     fn renew(&mut self, heard: Time) {
         // The time that is left to be cold counts from the announcement that told it.
         // It is not over before an announcement says so, which is told as a change.
         if !self.upstream.cold.is_zero() {
-            let left = self.upstream.cold.saturating_sub(heard - self.heard);
+            let left = self.upstream.cold.saturating_sub(heard - self.announced_at);
             self.upstream.cold = left.max(Duration::from_millis(1));
         }
-        self.heard = self.heard.max(heard);
+        self.announced_at = self.announced_at.max(heard);
     }
 
     /// How long the upstream still is cold.
     pub fn cold_left(&self, now: Time) -> Duration {
-        self.upstream.cold.saturating_sub(now - self.heard)
+        self.upstream.cold.saturating_sub(now - self.announced_at)
     }
 
     /// Whether the upstream may still be cold, by what it has announced: a longer time is passed on
     /// only if it differs by more than the jitter.
     pub fn may_be_cold(&self, now: Time) -> bool {
         let cold = self.upstream.cold;
-        !cold.is_zero() && now - self.heard < cold + COLD_JITTER
+        !cold.is_zero() && now - self.announced_at < cold + COLD_JITTER
     }
 
     /// Whether an announcement that was heard at `heard` says that it stays cold for longer than
     /// the last one said.
     fn is_cold_longer(&self, upstream: &Upstream, heard: Time) -> bool {
-        heard + upstream.cold > self.heard + self.upstream.cold + COLD_JITTER
+        heard + upstream.cold > self.announced_at + self.upstream.cold + COLD_JITTER
     }
 }
 
@@ -142,7 +142,7 @@
 /// The upstreams that a process knows, sorted by id.
 #[derive(Debug, Clone, Default)]
 pub struct Upstreams {
-    known: Vec<Known>,
+    known: Vec<KnownUpstream>,
     change: u64,
     renewal: u64,
 }
@@ -160,7 +160,7 @@
     pub age_ms: u32,
 }
 
-/// Age up to which an upstream is part of a [`Pulse`] without being named: it announces itself each
+/// Age up to which an upstream is part of a [`Heartbeat`] without being named: it announces itself each
 /// 1.2 s, and keepers tell each other within half a second.
 const PULSE_AGE: Duration = Duration::from_millis(1_800);
 /// Silence after which a pulse does not renew an upstream: the keeper may have forgotten it.
@@ -169,7 +169,7 @@
 /// What a keeper tells of all upstreams that it has told of on a link: that each was heard lately, but
 /// for some. Its size does not grow with the upstreams.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pulse {
+pub struct Heartbeat {
     /// Age of what was heard of those that are not named, at most, in milliseconds.
     pub age_ms: u32,
     /// Those that are silent for longer.
@@ -178,20 +178,20 @@
 
 impl Upstreams {
     /// The pulse of all known upstreams.
-    pub fn pulse(&self, now: Time) -> Pulse {
-        let late = self.known.iter().filter(|it| now - it.heard > PULSE_AGE);
+    pub fn heartbeat(&self, now: Time) -> Heartbeat {
+        let late = self.known.iter().filter(|it| now - it.announced_at > PULSE_AGE);
         let late = late.filter(|it| it.upstream.state != UpstreamState::Gone);
         let late = late.map(|it| Renewal {
             id: it.upstream.id.clone(),
             birth: it.upstream.birth,
             sequence: it.upstream.sequence,
-            age_ms: u32::try_from((now - it.heard).as_millis()).unwrap_or(u32::MAX),
+            age_ms: u32::try_from((now - it.announced_at).as_millis()).unwrap_or(u32::MAX),
         });
-        Pulse { age_ms: PULSE_AGE.as_millis() as u32, late: late.collect() }
+        Heartbeat { age_ms: PULSE_AGE.as_millis() as u32, late: late.collect() }
     }
 
     /// Takes in that `keeper` has told of an incarnation of an upstream, new or not.
-    pub fn told_by(&mut self, keeper: SocketAddr, id: &UpstreamId, birth: Birth) {
+    pub fn record_keeper(&mut self, keeper: SocketAddr, id: &UpstreamId, birth: Birth) {
         let Ok(at) = self.place(id) else { return };
         let known = &mut self.known[at];
         if known.upstream.birth == birth && !known.tellers.contains(&keeper) {
@@ -200,13 +200,13 @@
     }
 
     /// The link to `keeper` is a new one: what it told before says nothing of what it knows now.
-    pub fn forget_teller(&mut self, keeper: SocketAddr) {
+    pub fn forget_keeper(&mut self, keeper: SocketAddr) {
         self.known.iter_mut().for_each(|it| it.tellers.retain(|teller| *teller != keeper));
     }
 
     /// Takes in the pulse of `keeper`. It renews what that keeper has told of: another one may have
     /// heard of an upstream that is silent since, which this keeper does not know.
-    pub fn take_pulse(&mut self, now: Time, keeper: SocketAddr, pulse: &Pulse) {
+    pub fn apply_heartbeat(&mut self, now: Time, keeper: SocketAddr, pulse: &Heartbeat) {
         let heard = now.saturating_sub(Duration::from_millis(pulse.age_ms.into()));
         let mut late: Vec<&Renewal> = pulse.late.iter().collect();
         late.sort_by(|a, b| a.id.cmp(&b.id));
@@ -214,8 +214,8 @@
             let is_late = late.binary_search_by(|it| it.id.cmp(&known.upstream.id)).is_ok();
             let is_told = known.tellers.contains(&keeper);
             let is_here = known.upstream.state != UpstreamState::Gone;
-            if is_told && is_here && !is_late && now - known.heard <= PULSE_LIMIT {
-                known.renew(heard.max(known.heard));
+            if is_told && is_here && !is_late && now - known.announced_at <= PULSE_LIMIT {
+                known.renew(heard.max(known.announced_at));
             }
         }
         for renewal in late {
@@ -229,8 +229,8 @@
     }
 
     /// Takes in what an upstream announced to this process, which reads it up to `age` late.
-    pub fn announce_here(&mut self, now: Time, upstream: Upstream, age: Duration) -> Effect {
-        self.take(now, upstream.read_late(age), age, true)
+    pub fn announce_local(&mut self, now: Time, upstream: Upstream, age: Duration) -> Effect {
+        self.take(now, upstream.extend_cold(age), age, true)
     }
 
     fn take(&mut self, now: Time, upstream: Upstream, age: Duration, is_local: bool) -> Effect {
@@ -245,7 +245,14 @@
                 self.renewal += 1;
                 let (change, renewal) = (self.change, self.renewal);
                 let tellers = Vec::new();
-                let known = Known { upstream, heard, change, renewal, is_local, tellers };
+                let known = KnownUpstream {
+                    upstream,
+                    announced_at: heard,
+                    change,
+                    renewal,
+                    is_local,
+                    tellers,
+                };
                 self.known.insert(at, known);
                 return Effect::Changed;
             }
@@ -265,7 +272,7 @@
         if old.birth != upstream.birth {
             known.tellers.clear();
         }
-        known.heard = heard.max(known.heard);
+        known.announced_at = heard.max(known.announced_at);
         known.upstream = upstream;
         known.renewal = self.renewal;
         known.is_local = is_local;
@@ -297,8 +304,8 @@
 
     /// Incarnations that an announcement shows to have crashed: an older one with the same id or
     /// address that took requests until then.
-    pub fn crashed_before(&self, upstream: &Upstream) -> Vec<(UpstreamId, Birth)> {
-        let is_replaced = |known: &&Known| {
+    pub fn crashed_predecessors(&self, upstream: &Upstream) -> Vec<(UpstreamId, Birth)> {
+        let is_replaced = |known: &&KnownUpstream| {
             let old = &known.upstream;
             (old.id == upstream.id || old.address == upstream.address)
                 && old.birth < upstream.birth
@@ -310,7 +317,7 @@
 
     /// Takes in that an incarnation has said in an answer that it is leaving. Later announcements of the
     /// same incarnation do not take it back.
-    pub fn leaves(&mut self, id: &UpstreamId, birth: Birth) -> Effect {
+    pub fn mark_draining(&mut self, id: &UpstreamId, birth: Birth) -> Effect {
         let Ok(at) = self.place(id) else { return Effect::Ignored };
         let known = &mut self.known[at];
         if known.upstream.birth != birth || known.upstream.state != UpstreamState::Ready {
@@ -324,7 +331,7 @@
     }
 
     /// Takes in that the present incarnation of `id` has left.
-    pub fn leave(&mut self, id: &UpstreamId) -> Effect {
+    pub fn mark_gone(&mut self, id: &UpstreamId) -> Effect {
         let Ok(at) = self.place(id) else { return Effect::Ignored };
         let known = &mut self.known[at];
         if known.upstream.state == UpstreamState::Gone {
@@ -338,9 +345,9 @@
     }
 
     /// Takes in that an upstream has left of which nothing else is known.
-    pub fn leave_unknown(&mut self, now: Time, upstream: Upstream) -> Effect {
+    pub fn mark_unknown_gone(&mut self, now: Time, upstream: Upstream) -> Effect {
         if self.place(&upstream.id).is_ok() {
-            return self.leave(&upstream.id);
+            return self.mark_gone(&upstream.id);
         }
         let gone = Upstream { state: UpstreamState::Gone, birth: Birth(0), ..upstream };
         self.take(now, gone, Duration::ZERO, true)
@@ -348,7 +355,7 @@
 
     /// Forgets upstreams that have announced nothing for [`FORGET_AFTER`], and returns their ids.
     pub fn forget(&mut self, now: Time) -> Vec<UpstreamId> {
-        let is_old = |known: &Known| now - known.heard > FORGET_AFTER;
+        let is_old = |known: &KnownUpstream| now - known.announced_at > FORGET_AFTER;
         let ids = self.known.iter().filter(|it| is_old(it)).map(|it| it.upstream.id.clone());
         let ids = ids.collect();
         self.known.retain(|known| !is_old(known));
@@ -356,17 +363,17 @@
     }
 
     /// The upstream with `id`.
-    pub fn get(&self, id: &UpstreamId) -> Option<&Known> {
+    pub fn get(&self, id: &UpstreamId) -> Option<&KnownUpstream> {
         self.place(id).ok().map(|at| &self.known[at])
     }
 
     /// All known upstreams, sorted by id.
-    pub fn all(&self) -> &[Known] {
+    pub fn all(&self) -> &[KnownUpstream] {
         &self.known
     }
 
     /// The upstreams of `service`.
-    pub fn of<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Known> {
+    pub fn of<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a KnownUpstream> {
         self.known.iter().filter(move |known| known.upstream.service == *service)
     }
 
@@ -376,7 +383,7 @@
     }
 
     /// The upstreams that changed after the change with number `change`.
-    pub fn since(&self, change: u64) -> impl Iterator<Item = &Known> {
+    pub fn changed_since(&self, change: u64) -> impl Iterator<Item = &KnownUpstream> {
         self.known.iter().filter(move |known| known.change > change)
     }
 
@@ -386,7 +393,7 @@
     }
 
     /// The upstreams that renewed themselves after the renewal with number `renewal`.
-    pub fn renewed_since(&self, renewal: u64) -> impl Iterator<Item = &Known> {
+    pub fn renewed_since(&self, renewal: u64) -> impl Iterator<Item = &KnownUpstream> {
         self.known.iter().filter(move |known| known.renewal > renewal)
     }
 
@@ -396,12 +403,12 @@
 
     /// Whether a younger upstream has the address of this one.
     fn is_superseded(&self, upstream: &Upstream) -> bool {
-        let has_address = |known: &&Known| {
+        let has_address = |known: &&KnownUpstream| {
             known.upstream.address == upstream.address
                 && known.upstream.id != upstream.id
                 && known.upstream.state != UpstreamState::Gone
         };
-        let is_younger = |known: &Known| known.upstream.birth > upstream.birth;
+        let is_younger = |known: &KnownUpstream| known.upstream.birth > upstream.birth;
         self.known.iter().filter(has_address).any(is_younger)
     }
 }
--- a/crates/medlarlug-core/src/suspects/trials.rs
+++ b/crates/medlarlug-core/src/suspects/trials.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     fingerprint::Fingerprint,
-    gateway::placing::rank,
+    gateway::placement::rendezvous_rank,
     ids::InstanceId,
     suspects::{FACT_LIFETIME, QUARANTINE_LIFETIME},
     time::Time,
@@ -68,5 +68,5 @@
 /// The instance that tries a content, among those that could.
 pub fn tester(content: Fingerprint, instances: &[InstanceId]) -> Option<&InstanceId> {
     let content = content.to_string();
-    instances.iter().max_by_key(|instance| rank(&content, instance.as_str()))
+    instances.iter().max_by_key(|instance| rendezvous_rank(&content, instance.as_str()))
 }
--- a/crates/medlarlug-core/tests/testsuite/gateway/announcements.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/announcements.rs
@@ -35,7 +35,7 @@
 fn announcement_after_leaving_is_ignored_within_the_incarnation() {
     let mut upstreams = Upstreams::default();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), NOW);
-    upstreams.leave(&"engine-1".parse().unwrap());
+    upstreams.mark_gone(&"engine-1".parse().unwrap());
 
     let late = upstreams.announce(Time::ZERO, upstream("engine-1", 9), NOW);
 
@@ -46,7 +46,7 @@
 fn new_incarnation_under_the_same_id_is_taken_in() {
     let mut upstreams = Upstreams::default();
     upstreams.announce(Time::ZERO, upstream("engine-1", 40), NOW);
-    upstreams.leave(&"engine-1".parse().unwrap());
+    upstreams.mark_gone(&"engine-1".parse().unwrap());
 
     let reborn = Upstream { birth: Birth(2_000), ..upstream("engine-1", 1) };
     let effect = upstreams.announce(Time::ZERO, reborn, NOW);
@@ -69,7 +69,7 @@
 #[test]
 fn leaving_of_an_unknown_upstream_holds_back_its_late_announcement() {
     let mut upstreams = Upstreams::default();
-    upstreams.leave_unknown(Time::ZERO, upstream("engine-1", 0));
+    upstreams.mark_unknown_gone(Time::ZERO, upstream("engine-1", 0));
 
     let late = upstreams.announce(Time::ZERO, upstream("engine-1", 17), NOW);
     let first = Upstream { birth: Birth(9_000), ..upstream("engine-1", 1) };
@@ -224,14 +224,14 @@
 fn told(birth: u64) -> (Upstreams, Upstreams) {
     let announced = Upstream { birth: Birth(birth), ..upstream("engine-1", 1) };
     let (mut entry, mut at_keeper) = (Upstreams::default(), Upstreams::default());
-    at_keeper.announce_here(Time::ZERO, announced.clone(), NOW);
+    at_keeper.announce_local(Time::ZERO, announced.clone(), NOW);
     entry.announce(Time::ZERO, announced, NOW);
-    entry.told_by(keeper(1), &"engine-1".parse().unwrap(), Birth(birth));
+    entry.record_keeper(keeper(1), &"engine-1".parse().unwrap(), Birth(birth));
     (entry, at_keeper)
 }
 
 fn heard(upstreams: &Upstreams) -> Time {
-    upstreams.get(&"engine-1".parse().unwrap()).unwrap().heard
+    upstreams.get(&"engine-1".parse().unwrap()).unwrap().announced_at
 }
 
 /// Seen in the sweep: a keeper told 100 of 300 instances of each renewal of 3,000 upstreams, 9 MB a second.
@@ -239,10 +239,10 @@
 fn pulse_renews_what_the_keeper_has_told_without_naming_it() {
     let (mut entry, mut at_keeper) = told(7);
     let now = Time::from_millis(10_000);
-    at_keeper.announce_here(now, Upstream { birth: Birth(7), ..upstream("engine-1", 9) }, NOW);
+    at_keeper.announce_local(now, Upstream { birth: Birth(7), ..upstream("engine-1", 9) }, NOW);
 
-    let pulse = at_keeper.pulse(now);
-    entry.take_pulse(now, keeper(1), &pulse);
+    let pulse = at_keeper.heartbeat(now);
+    entry.apply_heartbeat(now, keeper(1), &pulse);
 
     assert!(pulse.late.is_empty());
     assert_eq!(heard(&entry), Time::from_millis(8_200));
@@ -253,8 +253,8 @@
     let (mut entry, at_keeper) = told(7);
     let now = Time::from_millis(3_000);
 
-    let pulse = at_keeper.pulse(now);
-    entry.take_pulse(now, keeper(1), &pulse);
+    let pulse = at_keeper.heartbeat(now);
+    entry.apply_heartbeat(now, keeper(1), &pulse);
 
     assert_eq!(pulse.late.len(), 1);
     assert_eq!(heard(&entry), Time::ZERO);
@@ -266,9 +266,9 @@
     let (mut entry, _) = told(7);
     let now = Time::from_millis(3_000);
 
-    entry.take_pulse(now, keeper(2), &Upstreams::default().pulse(now));
-    entry.forget_teller(keeper(1));
-    entry.take_pulse(now, keeper(1), &Upstreams::default().pulse(now));
+    entry.apply_heartbeat(now, keeper(2), &Upstreams::default().heartbeat(now));
+    entry.forget_keeper(keeper(1));
+    entry.apply_heartbeat(now, keeper(1), &Upstreams::default().heartbeat(now));
 
     assert_eq!(heard(&entry), Time::ZERO);
 }
@@ -278,9 +278,9 @@
     let (mut entry, mut at_keeper) = told(7);
     entry.announce(Time::ZERO, Upstream { birth: Birth(8), ..upstream("engine-1", 1) }, NOW);
     let now = Time::from_millis(3_000);
-    at_keeper.announce_here(now, Upstream { birth: Birth(7), ..upstream("engine-1", 9) }, NOW);
+    at_keeper.announce_local(now, Upstream { birth: Birth(7), ..upstream("engine-1", 9) }, NOW);
 
-    entry.take_pulse(now, keeper(1), &at_keeper.pulse(now));
+    entry.apply_heartbeat(now, keeper(1), &at_keeper.heartbeat(now));
 
     assert_eq!(heard(&entry), Time::ZERO);
 }
@@ -291,7 +291,7 @@
     let (mut entry, _) = told(7);
     let now = Time::from_millis(39_900);
 
-    entry.take_pulse(now, keeper(1), &Upstreams::default().pulse(now));
+    entry.apply_heartbeat(now, keeper(1), &Upstreams::default().heartbeat(now));
 
     assert_eq!(heard(&entry), Time::ZERO);
 }
@@ -301,12 +301,12 @@
     let cold = Upstream { cold: Duration::from_secs(6), ..upstream("engine-1", 1) };
     let mut entry = Upstreams::default();
     entry.announce(Time::ZERO, cold.clone(), NOW);
-    entry.told_by(keeper(1), &cold.id, cold.birth);
+    entry.record_keeper(keeper(1), &cold.id, cold.birth);
     let mut at_keeper = Upstreams::default();
-    at_keeper.announce_here(Time::ZERO, cold, NOW);
+    at_keeper.announce_local(Time::ZERO, cold, NOW);
 
     let now = Time::from_millis(1_700);
-    entry.take_pulse(now, keeper(1), &at_keeper.pulse(now));
+    entry.apply_heartbeat(now, keeper(1), &at_keeper.heartbeat(now));
 
     let known = entry.get(&"engine-1".parse().unwrap()).unwrap();
     assert!(known.may_be_cold(Time::from_millis(5_900)));
@@ -322,10 +322,12 @@
     let back = Upstream { birth: Birth(2_000), ..upstream("engine-2", 1) };
     let returned = Upstream { birth: Birth(2_000), ..upstream("engine-1", 1) };
 
-    let at_address = upstreams.crashed_before(&back);
-    let after_leaving = upstreams
-        .crashed_before(&Upstream { address: "10.128.0.11:8080".parse().unwrap(), ..returned });
-    let same = upstreams.crashed_before(&upstream("engine-0", 2));
+    let at_address = upstreams.crashed_predecessors(&back);
+    let after_leaving = upstreams.crashed_predecessors(&Upstream {
+        address: "10.128.0.11:8080".parse().unwrap(),
+        ..returned
+    });
+    let same = upstreams.crashed_predecessors(&upstream("engine-0", 2));
 
     assert_eq!(at_address, [("engine-0".parse().unwrap(), Birth(1_000))]);
     assert_eq!((after_leaving, same), (Vec::new(), Vec::new()));
--- a/crates/medlarlug-core/tests/testsuite/gateway/patience.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/attempt_timeout.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 use medlarlug_core::gateway::{
-    patience::{Attempt, limit},
-    silence::Source,
+    attempt_timeout::{Attempt, first_token_timeout},
+    stream_timeout::StreamSource,
 };
 
 fn attempt() -> Attempt {
     Attempt {
-        source: Source::Upstream,
-        wait: Duration::from_millis(150),
+        source: StreamSource::Upstream,
+        predicted_wait: Duration::from_millis(150),
         objective: Duration::from_millis(1_200),
-        left: Duration::from_secs(5),
+        time_left: Duration::from_secs(5),
         is_last: false,
     }
 }
@@ -21,47 +21,47 @@
 /// 4 s left and nothing else to try, while its prompt was being read in the other region.
 #[test]
 fn call_that_was_handed_over_keeps_the_time_it_has() {
-    let handed_over = Attempt { source: Source::Instance, ..attempt() };
+    let handed_over = Attempt { source: StreamSource::Instance, ..attempt() };
 
-    assert_eq!(limit(handed_over), handed_over.left);
+    assert_eq!(first_token_timeout(handed_over), handed_over.time_left);
 }
 
 #[test]
 fn last_attempt_keeps_the_time_it_has() {
     let last = Attempt { is_last: true, ..attempt() };
 
-    assert_eq!(limit(last), last.left);
+    assert_eq!(first_token_timeout(last), last.time_left);
 }
 
 /// A long prompt that waits behind others for as long as its objective is not sent elsewhere, where
 /// it would be read once more.
 #[test]
 fn attempt_outlasts_the_latency_objective() {
-    assert!(limit(attempt()) > attempt().objective);
+    assert!(first_token_timeout(attempt()) > attempt().objective);
 }
 
 #[test]
 fn attempt_leaves_time_for_another_one() {
-    let slow = Attempt { wait: Duration::from_secs(2), ..attempt() };
+    let slow = Attempt { predicted_wait: Duration::from_secs(2), ..attempt() };
 
-    assert!(limit(slow) <= slow.left - Duration::from_secs(2));
+    assert!(first_token_timeout(slow) <= slow.time_left - Duration::from_secs(2));
 }
 
 #[test]
 fn short_call_is_repeated_soon() {
     let lookup = Attempt {
-        wait: Duration::from_millis(30),
+        predicted_wait: Duration::from_millis(30),
         objective: Duration::from_millis(300),
-        left: Duration::from_secs(3),
+        time_left: Duration::from_secs(3),
         ..attempt()
     };
 
-    assert!(limit(lookup) <= Duration::from_secs(1));
+    assert!(first_token_timeout(lookup) <= Duration::from_secs(1));
 }
 
 #[test]
 fn limit_is_never_longer_than_the_time_left() {
-    let late = Attempt { left: Duration::from_millis(500), ..attempt() };
+    let late = Attempt { time_left: Duration::from_millis(500), ..attempt() };
 
-    assert!(limit(late) <= late.left);
+    assert!(first_token_timeout(late) <= late.time_left);
 }
--- a/crates/medlarlug-core/tests/testsuite/gateway/availability.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/availability.rs
@@ -4,7 +4,7 @@
 
 use medlarlug_core::{
     gateway::{
-        availability::{Availabilities, Availability, Rest},
+        availability::{Availability, AvailabilityTracker, Backoff},
         upstreams::Birth,
     },
     ids::UpstreamId,
@@ -16,7 +16,7 @@
     "engine-1".parse().unwrap()
 }
 
-fn rest(text: &str) -> Rest {
+fn rest(text: &str) -> Backoff {
     text.parse().unwrap()
 }
 
@@ -26,12 +26,12 @@
 
 #[test]
 fn fractions_of_seconds_are_rested() {
-    let mut told = Availabilities::default();
+    let mut told = AvailabilityTracker::default();
 
-    let granted = told.rests(at(0), &engine(), Birth(1), rest("0.25"), 0.0);
+    let granted = told.record_backoff(at(0), &engine(), Birth(1), rest("0.25"), 0.0);
 
     assert_eq!(granted, Some(Duration::from_millis(250)));
-    assert_eq!(told.of(at(250), &engine(), Birth(1)), Availability::Open);
+    assert_eq!(told.of(at(250), &engine(), Birth(1)), Availability::Available);
 }
 
 #[test]
@@ -44,41 +44,47 @@
 #[test]
 fn what_is_no_time_is_no_rest() {
     for text in ["", "soon", "-0.5", "NaN", "Wed, 21 Oct 2026 07:28:00 GMT"] {
-        assert!(text.parse::<Rest>().is_err(), "{text}");
+        assert!(text.parse::<Backoff>().is_err(), "{text}");
     }
 }
 
 #[test]
 fn shorter_rest_does_not_end_a_longer_one() {
-    let mut told = Availabilities::default();
-    told.rests(at(0), &engine(), Birth(1), rest("5"), 0.0);
+    let mut told = AvailabilityTracker::default();
+    told.record_backoff(at(0), &engine(), Birth(1), rest("5"), 0.0);
 
-    let granted = told.rests(at(100), &engine(), Birth(1), rest("1"), 0.0);
+    let granted = told.record_backoff(at(100), &engine(), Birth(1), rest("1"), 0.0);
 
     let left = Duration::from_millis(4_900);
     assert_eq!(granted, None);
-    assert_eq!(told.of(at(100), &engine(), Birth(1)), Availability::Resting { left });
+    assert_eq!(told.of(at(100), &engine(), Birth(1)), Availability::BackingOff { remaining: left });
 }
 
 #[test]
 fn younger_incarnation_neither_rests_nor_leaves() {
-    let mut told = Availabilities::default();
-    told.leaves(at(0), &engine(), Birth(1));
+    let mut told = AvailabilityTracker::default();
+    told.record_leaving(at(0), &engine(), Birth(1));
 
     let younger = told.of(at(0), &engine(), Birth(2));
-    told.rests(at(0), &engine(), Birth(2), rest("2"), 0.0);
+    told.record_backoff(at(0), &engine(), Birth(2), rest("2"), 0.0);
     // A late answer of the older one.
-    told.leaves(at(10), &engine(), Birth(1));
+    told.record_leaving(at(10), &engine(), Birth(1));
 
     let left = Duration::from_millis(1_990);
-    assert_eq!(younger, Availability::Open);
-    assert_eq!(told.of(at(10), &engine(), Birth(2)), Availability::Resting { left });
+    assert_eq!(younger, Availability::Available);
+    assert_eq!(told.of(at(10), &engine(), Birth(2)), Availability::BackingOff { remaining: left });
 }
 
 #[test]
 fn instances_return_at_different_times() {
     let ends = [0.0, 0.5, 1.0].map(|spread| {
-        Availabilities::default().rests(at(0), &engine(), Birth(1), rest("10"), spread)
+        AvailabilityTracker::default().record_backoff(
+            at(0),
+            &engine(),
+            Birth(1),
+            rest("10"),
+            spread,
+        )
     });
 
     assert_eq!(ends, [10_000, 10_500, 11_000].map(|end| Some(Duration::from_millis(end))));
@@ -125,7 +131,7 @@
     now: u64,
     birth: u64,
     says: Says,
-    told: Availabilities,
+    told: AvailabilityTracker,
     open: Vec<Sent>,
     /// Until when the instance was told to rest, by incarnation, and since when it knows.
     rested: Option<(u64, u64, u64)>,
@@ -163,7 +169,7 @@
 
     fn call(&mut self) {
         let availability = self.told.of(at(self.now), &engine(), Birth(self.birth));
-        if !self.is_deaf && availability != Availability::Open {
+        if !self.is_deaf && availability != Availability::Available {
             return;
         }
         let is_rested = self.rested.is_some_and(|(birth, since, until)| {
@@ -179,7 +185,7 @@
     fn answer(&mut self, sent: Sent) {
         let Sent { birth, says } = sent;
         if says.is_leaving {
-            self.told.leaves(at(self.now), &engine(), Birth(birth));
+            self.told.record_leaving(at(self.now), &engine(), Birth(birth));
             if self.left.is_none_or(|it| it.0 < birth) {
                 self.left = Some((birth, self.now));
             }
@@ -188,7 +194,7 @@
         if let Some(until) = tired {
             let seconds = (until - self.now) as f64 / 1_000.0;
             let asked = rest(&seconds.to_string());
-            self.told.rests(at(self.now), &engine(), Birth(birth), asked, 0.3);
+            self.told.record_backoff(at(self.now), &engine(), Birth(birth), asked, 0.3);
             if self.rested.is_none_or(|it| it.0 < birth || (it.0 == birth && it.2 < until)) {
                 self.rested = Some((birth, self.now, until));
             }
--- a/crates/medlarlug-core/tests/testsuite/gateway/contacts.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/contacts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use medlarlug_core::{
-    gateway::contacts::{Contacts, Spare, Status, directory},
+    gateway::contacts::{Contacts, ServiceWait, Status, entry_addresses},
     time::Time,
 };
 
@@ -16,14 +16,14 @@
 }
 
 fn waiting(wait_ms: u32) -> Option<Status> {
-    let spare = vec![Spare { service: service("scribe"), wait_ms: Some(wait_ms) }];
+    let spare = vec![ServiceWait { service: service("scribe"), wait_ms: Some(wait_ms) }];
     Some(Status { ready: true, spare })
 }
 
 fn two_regions() -> Contacts {
     let mut contacts = Contacts::default();
     for (id, region) in [("e-1", "kochi"), ("e-2", "kochi"), ("e-3", "kollam")] {
-        contacts.hear(Time::ZERO, entry(id, region), ready(), NOW);
+        contacts.update(Time::ZERO, entry(id, region), ready(), NOW);
     }
     contacts
 }
@@ -31,7 +31,7 @@
 fn named(contacts: &Contacts, now: Time, near: &str, homes: &[&str]) -> Vec<String> {
     let homes: Vec<_> = homes.iter().map(|it| region(it)).collect();
     let zone = format!("{near}-a").parse().unwrap();
-    let found = directory(contacts, now, Some(&zone), Some(&region(near)), &homes);
+    let found = entry_addresses(contacts, now, Some(&zone), Some(&region(near)), &homes);
     found.iter().map(ToString::to_string).collect()
 }
 
@@ -52,7 +52,7 @@
 #[test]
 fn silent_instance_is_not_named() {
     let mut contacts = two_regions();
-    contacts.hear(Time::from_millis(4_000), entry("e-2", "kochi"), ready(), NOW);
+    contacts.update(Time::from_millis(4_000), entry("e-2", "kochi"), ready(), NOW);
 
     let found = named(&contacts, Time::from_millis(4_000), "kochi", &[]);
 
@@ -62,7 +62,7 @@
 #[test]
 fn leaving_instance_is_not_named() {
     let mut contacts = two_regions();
-    contacts.hear(Time::ZERO, entry("e-1", "kochi"), Some(Status::default()), NOW);
+    contacts.update(Time::ZERO, entry("e-1", "kochi"), Some(Status::default()), NOW);
 
     let found = named(&contacts, Time::ZERO, "kochi", &[]);
 
@@ -74,10 +74,10 @@
     let mut contacts = two_regions();
     let before = contacts.change();
 
-    contacts.hear(Time::from_millis(1), entry("e-1", "kochi"), ready(), NOW);
-    let renewed = contacts.since(before).count();
-    contacts.hear(Time::from_millis(2), entry("e-1", "kochi"), Some(Status::default()), NOW);
-    let changed = contacts.since(before).count();
+    contacts.update(Time::from_millis(1), entry("e-1", "kochi"), ready(), NOW);
+    let renewed = contacts.changed_since(before).count();
+    contacts.update(Time::from_millis(2), entry("e-1", "kochi"), Some(Status::default()), NOW);
+    let changed = contacts.changed_since(before).count();
 
     assert_eq!((renewed, changed), (0, 1));
 }
@@ -86,7 +86,7 @@
 fn wait_of_a_region_is_the_median_of_its_instances() {
     let mut contacts = Contacts::default();
     for (id, wait_ms) in [("e-1", 900), ("e-2", 40), ("e-3", 60)] {
-        contacts.hear(Time::ZERO, entry(id, "kochi"), waiting(wait_ms), NOW);
+        contacts.update(Time::ZERO, entry(id, "kochi"), waiting(wait_ms), NOW);
     }
 
     let waits = contacts.waits(Time::ZERO);
@@ -102,8 +102,8 @@
 
     let later = Time::from_millis(90_000);
     contacts.forget(later, Duration::from_secs(60));
-    contacts.hear(later, entry("e-1", "kochi"), ready(), NOW);
+    contacts.update(later, entry("e-1", "kochi"), ready(), NOW);
 
     assert_eq!(contacts.live_entries(later).count(), 1);
-    assert_eq!(contacts.most_entries(), 3);
+    assert_eq!(contacts.peak_entries(), 3);
 }
--- a/crates/medlarlug-core/tests/testsuite/gateway/fixture.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/fixture.rs
@@ -4,7 +4,7 @@
 
 use medlarlug_core::{
     gateway::{
-        contacts::{Card, Part},
+        contacts::{InstanceInfo, InstanceKind},
         table::{
             CallerLimits, Route, RouteKind, RouteTable, Service, ServiceName, TableError,
             TableVersion, Target,
@@ -67,11 +67,11 @@
 }
 
 /// An entry instance of the zone `REGION-a`.
-pub fn entry(id: &str, region: &str) -> Card {
+pub fn entry(id: &str, region: &str) -> InstanceInfo {
     let last = id.rsplit('-').next().unwrap();
-    Card {
+    InstanceInfo {
         id: id.parse().unwrap(),
-        part: Part::Entry,
+        part: InstanceKind::Entry,
         zone: format!("{region}-a").parse().unwrap(),
         region: region.parse().unwrap(),
         internal: format!("10.1.0.{last}:7600").parse().unwrap(),
--- a/crates/medlarlug-core/tests/testsuite/gateway/handover.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/handover.rs
@@ -1,7 +1,7 @@
 //! Calls that one region hands over to another, under equal and different tables.
 
 use medlarlug_core::gateway::{
-    handover::{Attempts, Handover, Report},
+    handover::{Attempts, Handover, HandoverReport},
     table::{Route, TableVersion},
 };
 use proptest::prelude::*;
@@ -59,16 +59,16 @@
 #[test]
 fn stream_that_another_region_broke_off_may_have_used_every_attempt() {
     let mut attempts = Attempts::new(3, 4);
-    attempts.ran();
+    attempts.record_run();
 
-    attempts.unreported();
+    attempts.record_missing_report();
 
-    assert_eq!((attempts.left(), attempts.arrivals_left()), (0, 0));
+    assert_eq!((attempts.runs_left(), attempts.arrivals_left()), (0, 0));
 }
 
 #[test]
 fn route_without_attempts_allows_one() {
-    assert_eq!(Attempts::new(0, 0).left(), 1);
+    assert_eq!(Attempts::new(0, 0).runs_left(), 1);
 }
 
 /// How a request to an upstream ends, as the instance that sent it sees it.
@@ -105,10 +105,10 @@
         }
         counted.arrivals += 1;
         match end {
-            End::Refused => attempts.refused(),
+            End::Refused => attempts.record_refusal(),
             End::Run => {
                 counted.runs += 1;
-                attempts.ran();
+                attempts.record_run();
             }
         }
     }
@@ -137,11 +137,11 @@
             if !first.may_send() {
                 break;
             }
-            let mut other = Attempts::new(first.left(), first.arrivals_left());
+            let mut other = Attempts::new(first.runs_left(), first.arrivals_left());
             serve(&mut other, &there, &mut counted);
             match returned {
-                Return::Reported => first.reported(other.report(other.runs() == 0)),
-                Return::Unreported => first.unreported(),
+                Return::Reported => first.record_report(other.report(other.runs() == 0)),
+                Return::Unreported => first.record_missing_report(),
             }
         }
 
@@ -152,9 +152,9 @@
 
 #[test]
 fn report_survives_its_way_as_a_header() {
-    let report = Report { runs: 2, arrivals: 3, is_refused: false };
+    let report = HandoverReport { runs: 2, arrivals: 3, is_refused: false };
 
     let text = serde_json::to_string(&report).unwrap();
 
-    assert_eq!(serde_json::from_str::<Report>(&text).unwrap(), report);
+    assert_eq!(serde_json::from_str::<HandoverReport>(&text).unwrap(), report);
 }
--- a/crates/medlarlug-core/tests/testsuite/gateway/view.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/keeper_view.rs
@@ -4,9 +4,9 @@
 
 use medlarlug_core::{
     gateway::{
-        cold::{Observations, Process, Suspicions},
+        cold::{ColdDetector, Observations, ProcessTimes},
+        keeper_view::KeeperView,
         upstreams::Upstreams,
-        view::View,
     },
     time::Time,
 };
@@ -18,11 +18,11 @@
 }
 
 /// A view of an instance that has heard the first `heard` of `count` keepers just now.
-fn view(heard: usize, count: u8) -> View {
+fn view(heard: usize, count: u8) -> KeeperView {
     let keepers = keepers(count);
-    let mut view = View::default();
-    keepers[..heard].iter().for_each(|keeper| view.hear(Time::ZERO, *keeper));
-    view.look(Time::ZERO, &keepers);
+    let mut view = KeeperView::default();
+    keepers[..heard].iter().for_each(|keeper| view.record_keeper(Time::ZERO, *keeper));
+    view.update(Time::ZERO, &keepers);
     view
 }
 
@@ -40,13 +40,13 @@
 }
 
 /// A view of an instance that hears all of three keepers from the start to `until`, in milliseconds.
-fn heard_until(until: u64) -> View {
+fn heard_until(until: u64) -> KeeperView {
     let keepers = keepers(3);
-    let mut view = View::default();
+    let mut view = KeeperView::default();
     for millis in (0..=until).step_by(400) {
         let now = Time::from_millis(millis);
-        keepers.iter().for_each(|keeper| view.hear(now, *keeper));
-        view.look(now, &keepers);
+        keepers.iter().for_each(|keeper| view.record_keeper(now, *keeper));
+        view.update(now, &keepers);
     }
     view
 }
@@ -64,8 +64,8 @@
     let woken = Time::from_millis(13_000);
 
     let at_once = view.is_settled(woken);
-    keepers(3).iter().for_each(|keeper| view.hear(woken, *keeper));
-    view.look(woken, &keepers(3));
+    keepers(3).iter().for_each(|keeper| view.record_keeper(woken, *keeper));
+    view.update(woken, &keepers(3));
 
     assert!(!at_once);
     assert!(!view.is_settled(woken));
@@ -78,8 +78,8 @@
 
     for millis in (4_000..=6_000).step_by(400) {
         let now = Time::from_millis(millis);
-        view.hear(now, keepers[0]);
-        view.look(now, &keepers);
+        view.record_keeper(now, keepers[0]);
+        view.update(now, &keepers);
     }
 
     assert!(!view.is_settled(Time::from_millis(6_000)));
@@ -87,11 +87,11 @@
 
 #[test]
 fn start_is_no_stall() {
-    let mut view = View::default();
+    let mut view = KeeperView::default();
 
-    view.look(Time::from_millis(600_000), &keepers(3));
+    view.update(Time::from_millis(600_000), &keepers(3));
 
-    assert_eq!(view.resumed(Time::from_millis(600_400)), None);
+    assert_eq!(view.last_resumed(Time::from_millis(600_400)), None);
 }
 
 /// The soak, seed 307: calls that had waited for a paused instance went to an upstream that had
@@ -103,14 +103,14 @@
     let view = heard_until(4_000);
     upstreams.announce(Time::from_millis(4_000), upstream("engine-1", 1), Duration::ZERO);
     let resumed = Time::from_millis(6_500);
-    let when = view.resumed(resumed);
+    let when = view.last_resumed(resumed);
     let is_cold = |upstreams: &Upstreams, now| {
         let known = upstreams.get(&id).unwrap();
-        Suspicions::default().is_cold(
+        ColdDetector::default().is_cold(
             now,
             known,
             Observations::default(),
-            Process { resumed: when, ..Process::default() },
+            ProcessTimes { resumed: when, ..ProcessTimes::default() },
         )
     };
 
--- a/crates/medlarlug-core/tests/testsuite/gateway/limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/limits.rs
@@ -5,9 +5,11 @@
 
 use medlarlug_core::{
     gateway::{
-        budget::{RetryBounds, RetryWindow, Share, Spending},
-        cold::{ColdSends, Evacuations, Observations, Process, Suspicions, sender},
-        health::{CallEnd, Healths},
+        cold::{
+            ColdDetector, ColdSendPacer, Evacuations, Observations, ProcessTimes, designated_sender,
+        },
+        health::{CallOutcome, HealthTracker},
+        retry_budget::{InstanceShare, RetryBounds, RetryWindow, Spending},
         upstreams::Upstreams,
     },
     ids::{InstanceId, ZoneId},
@@ -23,8 +25,8 @@
     (0..count).map(|at| format!("entry-{at}").parse().unwrap()).collect()
 }
 
-fn share(instances: usize) -> Share {
-    Share { instances, age: None, has_seen_all: true }
+fn share(instances: usize) -> InstanceShare {
+    InstanceShare { instances, process_age: None, has_complete_view: true }
 }
 
 /// Asserts that repeats stay within the bounds in every window: calls count in that window, the one
@@ -60,10 +62,10 @@
         for window in &mut windows {
             // Calls stop for a while, as when callers leave.
             if !(20_000..=40_000).contains(&millis) {
-                window.count(now, BOUNDS);
+                window.record_call(now, BOUNDS);
                 calls.push(now);
             }
-            if window.take(now, BOUNDS, share(instances)) {
+            if window.try_take_retry(now, BOUNDS, share(instances)) {
                 repeats.push(now);
             }
         }
@@ -83,10 +85,10 @@
         let now = Time::from_millis(millis);
         for window in &mut windows {
             if (20_000..30_000).contains(&millis) || millis % 100 == 0 {
-                window.count(now, BOUNDS);
+                window.record_call(now, BOUNDS);
                 calls.push(now);
             }
-            if millis >= 30_000 && window.take(now, BOUNDS, share(7)) {
+            if millis >= 30_000 && window.try_take_retry(now, BOUNDS, share(7)) {
                 repeats.push(now);
             }
         }
@@ -110,11 +112,11 @@
         }
         for window in &mut windows {
             if millis % 100 == 0 {
-                window.count(now, BOUNDS);
+                window.record_call(now, BOUNDS);
                 calls.push(now);
             }
-            let share = Share { age: Some(now - started), ..share(7) };
-            if window.take(now, BOUNDS, share) {
+            let share = InstanceShare { process_age: Some(now - started), ..share(7) };
+            if window.try_take_retry(now, BOUNDS, share) {
                 repeats.push(now);
             }
         }
@@ -138,10 +140,11 @@
             started = Some(now);
         }
         for window in &mut windows {
-            window.count(now, BOUNDS);
+            window.record_call(now, BOUNDS);
             calls.push(now);
-            let share = Share { age: started.map(|started| now - started), ..share(7) };
-            if millis >= 30_000 && window.take(now, BOUNDS, share) {
+            let share =
+                InstanceShare { process_age: started.map(|started| now - started), ..share(7) };
+            if millis >= 30_000 && window.try_take_retry(now, BOUNDS, share) {
                 repeats.push(now);
             }
         }
@@ -159,9 +162,9 @@
 
     for millis in (0..60_000).step_by(10) {
         let now = Time::from_millis(millis);
-        window.count(now, BOUNDS);
+        window.record_call(now, BOUNDS);
         calls.push(now);
-        if window.take(now, BOUNDS, share(1)) {
+        if window.try_take_retry(now, BOUNDS, share(1)) {
             repeats.push(Time::from_millis(millis.div_ceil(1_000) * 1_000));
         }
     }
@@ -172,9 +175,9 @@
 #[test]
 fn instance_that_has_not_seen_the_others_has_no_share_of_the_allowance() {
     let mut window = RetryWindow::default();
-    let unseen = Share { has_seen_all: false, ..share(1) };
+    let unseen = InstanceShare { has_complete_view: false, ..share(1) };
 
-    assert!(!window.take(Time::ZERO, BOUNDS, unseen));
+    assert!(!window.try_take_retry(Time::ZERO, BOUNDS, unseen));
 }
 
 /// Half of the allowance is handed out: 54 / 2 / 7.
@@ -182,7 +185,7 @@
 fn service_without_calls_still_has_its_share_of_the_allowance() {
     let mut window = RetryWindow::default();
 
-    let taken = (0..20).filter(|_| window.take(Time::ZERO, BOUNDS, share(7))).count();
+    let taken = (0..20).filter(|_| window.try_take_retry(Time::ZERO, BOUNDS, share(7))).count();
 
     assert_eq!(taken, 3);
 }
@@ -194,7 +197,7 @@
     let mut reversed = peers.clone();
     reversed.reverse();
 
-    assert_eq!(sender(&upstream, &peers), sender(&upstream, &reversed));
+    assert_eq!(designated_sender(&upstream, &peers), designated_sender(&upstream, &reversed));
 }
 
 /// Two instances that disagree about who is alive stay below 1.5 times the rate and 3 more.
@@ -202,14 +205,14 @@
 fn two_senders_stay_below_the_limit_of_a_cold_upstream() {
     let (rate, limit) = (2.7, 2.7 * 1.5 + 3.0);
     let upstream = "engine-1".parse().unwrap();
-    let mut senders = vec![ColdSends::default(); 2];
+    let mut senders = vec![ColdSendPacer::default(); 2];
     let mut sent: Vec<u64> = Vec::new();
 
     for millis in 0..5_000 {
         let now = Time::from_millis(millis);
         for cold in &mut senders {
             if cold.may_send(now, &upstream, rate) {
-                cold.sent(now, &upstream, rate);
+                cold.record_send(now, &upstream, rate);
                 sent.push(millis);
             }
         }
@@ -226,24 +229,24 @@
 #[test]
 fn upstream_of_a_restored_zone_counts_as_cold_until_it_is_heard_anew() {
     let mut upstreams = Upstreams::default();
-    let mut suspicions = Suspicions::default();
+    let mut suspicions = ColdDetector::default();
     let id = "engine-1".parse().unwrap();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
 
-    suspicions.restored(Time::from_millis(500), &"kochi-a".parse().unwrap());
+    suspicions.zone_restored(Time::from_millis(500), &"kochi-a".parse().unwrap());
     let now = Time::from_millis(900);
     let before = suspicions.is_cold(
         now,
         upstreams.get(&id).unwrap(),
         Observations::default(),
-        Process::default(),
+        ProcessTimes::default(),
     );
     upstreams.announce(now, upstream("engine-1", 2), Duration::ZERO);
     let after = suspicions.is_cold(
         now,
         upstreams.get(&id).unwrap(),
         Observations::default(),
-        Process::default(),
+        ProcessTimes::default(),
     );
 
     assert_eq!((before, after), (true, false));
@@ -276,32 +279,32 @@
 #[test]
 fn announcement_from_before_a_zone_was_restored_does_not_make_an_upstream_warm() {
     let mut upstreams = Upstreams::default();
-    let mut suspicions = Suspicions::default();
-    suspicions.restored(Time::from_millis(500), &"kochi-a".parse().unwrap());
+    let mut suspicions = ColdDetector::default();
+    suspicions.zone_restored(Time::from_millis(500), &"kochi-a".parse().unwrap());
 
     let now = Time::from_millis(900);
     upstreams.announce(now, upstream("engine-1", 1), Duration::from_millis(250));
 
     let known = upstreams.get(&"engine-1".parse().unwrap()).unwrap();
-    assert!(suspicions.is_cold(now, known, Observations::default(), Process::default()));
+    assert!(suspicions.is_cold(now, known, Observations::default(), ProcessTimes::default()));
 }
 
 #[test]
 fn unreachable_upstream_counts_as_cold_until_it_is_heard_anew() {
     let mut upstreams = Upstreams::default();
-    let mut healths = Healths::default();
+    let mut healths = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
 
-    healths.ended(Time::from_millis(500), &id, CallEnd::Unreachable);
+    healths.record(Time::from_millis(500), &id, CallOutcome::Unreachable);
 
     let known = upstreams.get(&id).unwrap();
     let now = Time::from_millis(1_500);
-    assert!(Suspicions::default().is_cold(
+    assert!(ColdDetector::default().is_cold(
         now,
         known,
         healths.observations(&id),
-        Process::default()
+        ProcessTimes::default()
     ));
 }
 
@@ -309,19 +312,24 @@
 #[test]
 fn upstream_that_is_no_longer_heard_counts_as_cold_unless_it_goes_on_answering() {
     let mut upstreams = Upstreams::default();
-    let mut healths = Healths::default();
+    let mut healths = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
     let known = upstreams.get(&id).unwrap();
     let now = Time::from_millis(5_000);
-    let is_cold = |healths: &Healths| {
-        Suspicions::default().is_cold(now, known, healths.observations(&id), Process::default())
+    let is_cold = |healths: &HealthTracker| {
+        ColdDetector::default().is_cold(
+            now,
+            known,
+            healths.observations(&id),
+            ProcessTimes::default(),
+        )
     };
 
     let unseen = is_cold(&healths);
-    healths.ended(Time::from_millis(3_000), &id, CallEnd::Answered);
+    healths.record(Time::from_millis(3_000), &id, CallOutcome::Answered);
     let answering = is_cold(&healths);
-    healths.ended(Time::from_millis(4_000), &id, CallEnd::Broken);
+    healths.record(Time::from_millis(4_000), &id, CallOutcome::Broken);
     let broken = is_cold(&healths);
 
     assert_eq!((unseen, answering, broken), (true, false, true));
@@ -336,17 +344,17 @@
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
     let known = upstreams.get(&id).unwrap();
     let started = Time::from_millis(1_000);
-    let is_cold = |millis, healths: &Healths, started| {
-        let (now, process) = (Time::from_millis(millis), Process { started, resumed: None });
-        Suspicions::default().is_cold(now, known, healths.observations(&id), process)
+    let is_cold = |millis, healths: &HealthTracker, started| {
+        let (now, process) = (Time::from_millis(millis), ProcessTimes { started, resumed: None });
+        ColdDetector::default().is_cold(now, known, healths.observations(&id), process)
     };
-    let mut serving = Healths::default();
-    serving.ended(Time::from_millis(2_700), &id, CallEnd::Answered);
+    let mut serving = HealthTracker::default();
+    serving.record(Time::from_millis(2_700), &id, CallOutcome::Answered);
 
-    let regular = is_cold(2_200, &Healths::default(), started);
-    let missed = is_cold(2_792, &Healths::default(), started);
+    let regular = is_cold(2_200, &HealthTracker::default(), started);
+    let missed = is_cold(2_792, &HealthTracker::default(), started);
     let answering = is_cold(2_792, &serving, started);
-    let to_an_older_instance = is_cold(2_792, &Healths::default(), Time::ZERO);
+    let to_an_older_instance = is_cold(2_792, &HealthTracker::default(), Time::ZERO);
 
     assert_eq!((regular, missed), (false, true));
     assert_eq!((answering, to_an_older_instance), (false, false));
@@ -356,28 +364,28 @@
 #[test]
 fn answer_of_an_upstream_that_counts_as_cold_does_not_make_it_warm() {
     let mut upstreams = Upstreams::default();
-    let mut healths = Healths::default();
+    let mut healths = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
 
-    healths.ended(Time::from_millis(5_000), &id, CallEnd::AnsweredCold);
+    healths.record(Time::from_millis(5_000), &id, CallOutcome::AnsweredCold);
 
     let now = Time::from_millis(5_100);
     let known = upstreams.get(&id).unwrap();
-    assert!(Suspicions::default().is_cold(
+    assert!(ColdDetector::default().is_cold(
         now,
         known,
         healths.observations(&id),
-        Process::default()
+        ProcessTimes::default()
     ));
 }
 
 #[test]
 fn upstream_that_refuses_rests_and_returns() {
-    let mut healths = Healths::default();
+    let mut healths = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
 
-    healths.ended(Time::ZERO, &id, CallEnd::Refused);
+    healths.record(Time::ZERO, &id, CallOutcome::Refused);
 
     assert!(healths.is_avoided(Time::from_millis(100), &id));
     assert!(!healths.is_avoided(Time::from_millis(200), &id));
@@ -387,48 +395,48 @@
 /// was refused in turn.
 #[test]
 fn upstream_that_goes_on_refusing_rests_longer() {
-    let mut healths = Healths::default();
+    let mut healths = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
 
-    healths.ended(Time::ZERO, &id, CallEnd::Refused);
-    healths.ended(Time::from_millis(200), &id, CallEnd::Refused);
+    healths.record(Time::ZERO, &id, CallOutcome::Refused);
+    healths.record(Time::from_millis(200), &id, CallOutcome::Refused);
 
     assert!(healths.is_avoided(Time::from_millis(450), &id));
 }
 
 #[test]
 fn answer_ends_the_rest_of_an_upstream() {
-    let mut healths = Healths::default();
+    let mut healths = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
-    healths.ended(Time::ZERO, &id, CallEnd::Unreachable);
+    healths.record(Time::ZERO, &id, CallOutcome::Unreachable);
 
-    healths.ended(Time::from_millis(10), &id, CallEnd::Answered);
+    healths.record(Time::from_millis(10), &id, CallOutcome::Answered);
 
     assert!(!healths.is_avoided(Time::from_millis(20), &id));
 }
 
 #[test]
 fn upstream_that_fails_a_part_of_its_calls_is_not_avoided() {
-    let mut healths = Healths::default();
+    let mut healths = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
 
     for _ in 0..20 {
-        healths.ended(Time::ZERO, &id, CallEnd::Failed);
+        healths.record(Time::ZERO, &id, CallOutcome::Failed);
     }
 
     assert!(!healths.is_avoided(Time::ZERO, &id));
-    assert!(healths.failures(&id) > 0.6);
+    assert!(healths.failure_rate(&id) > 0.6);
 }
 
 #[test]
 fn repeat_that_reached_nobody_is_not_paid_for_again() {
     let mut spending = Spending::default();
-    spending.arrived();
+    spending.record_arrival();
 
     spending.pay();
     // The connection did not open.
     let is_covered = spending.is_covered();
-    spending.arrived();
+    spending.record_arrival();
 
     assert!(is_covered);
     assert!(!spending.is_covered());
--- a/crates/medlarlug-core/tests/testsuite/gateway/allotment.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/permits.rs
@@ -4,8 +4,8 @@
 
 use medlarlug_core::{
     gateway::{
-        allotment::{Allotter, PERMIT_LIFETIME, Pace, Permits, Want},
-        named_limits::NamedLimit,
+        permits::{PERMIT_LIFETIME, PermitAllocator, PermitRate, PermitRequest, Permits},
+        upstream_limits::UpstreamLimit,
         upstreams::Birth,
     },
     ids::{InstanceId, UpstreamId},
@@ -26,12 +26,12 @@
     format!("entry-{number}").parse().unwrap()
 }
 
-fn limit(rate: f64) -> NamedLimit {
+fn limit(rate: f64) -> UpstreamLimit {
     rate.to_string().parse().unwrap()
 }
 
-fn want(number: usize, calls: u32) -> Want {
-    Want { from: instance(number), upstream: engine(), birth: Birth(1), calls }
+fn want(number: usize, calls: u32) -> PermitRequest {
+    PermitRequest { from: instance(number), upstream: engine(), birth: Birth(1), calls }
 }
 
 /// Requests that the platform allows in a window.
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Division {
     /// From one allotter.
-    Allotter,
+    PermitAllocator,
     /// Each from itself, at an equal part.
     Alone,
     /// Each from itself, at the whole pace.
@@ -69,7 +69,7 @@
     phases: &[f64],
 ) -> Vec<Time> {
     let instances = history[0].len();
-    let mut allotters = vec![Allotter::default(); instances];
+    let mut allotters = vec![PermitAllocator::default(); instances];
     let mut permits = vec![Permits::default(); instances];
     let mut under_way: Vec<(usize, usize, u32)> = Vec::new();
     let mut arrived = Vec::new();
@@ -77,11 +77,13 @@
         let now = Time::ZERO + STEP * step as u32;
         for (number, (calls, _)) in acts.iter().enumerate().filter(|it| it.1.0 > 0) {
             let (allotter, pace, saved) = match division {
-                Division::Allotter => (0, Pace::whole(limit(rate)), 0.0),
-                Division::Alone => (number, Pace::alone(limit(rate), instances), phases[number]),
-                Division::EachByItself => (number, Pace::whole(limit(rate)), 0.0),
+                Division::PermitAllocator => (0, PermitRate::for_allocator(limit(rate)), 0.0),
+                Division::Alone => {
+                    (number, PermitRate::for_isolated(limit(rate), instances), phases[number])
+                }
+                Division::EachByItself => (number, PermitRate::for_allocator(limit(rate)), 0.0),
             };
-            allotters[allotter].ask(now, want(number, *calls), pace, saved);
+            allotters[allotter].request(now, want(number, *calls), pace, saved);
         }
         for allotter in &mut allotters {
             for grant in allotter.grant(now) {
@@ -91,7 +93,7 @@
         }
         under_way.retain(|(due, number, granted)| {
             if *due <= step {
-                permits[*number].hold(now, &engine(), Birth(1), *granted);
+                permits[*number].add_granted(now, &engine(), Birth(1), *granted);
             }
             *due > step
         });
@@ -118,7 +120,7 @@
         rate in 0.1..60.0_f64,
         late in 0..15_usize,
     ) {
-        let most = most_in_a_window(&arrivals(Division::Allotter, rate, &history, late, &[]));
+        let most = most_in_a_window(&arrivals(Division::PermitAllocator, rate, &history, late, &[]));
 
         prop_assert!(most as f64 <= allowed(rate), "{most} at {rate}");
     }
@@ -155,7 +157,7 @@
     let mut history = vec![vec![(0, false); 24]; 500];
     history.iter_mut().for_each(|acts| acts[7] = (1, true));
 
-    let arrived = arrivals(Division::Allotter, 5.0, &history, 1, &[]);
+    let arrived = arrivals(Division::PermitAllocator, 5.0, &history, 1, &[]);
 
     // 10 s at four fifths of 5 a second, less the first one's turn.
     assert!(arrived.len() >= 38, "{}", arrived.len());
@@ -163,13 +165,13 @@
 
 #[test]
 fn instances_get_permits_in_turn() {
-    let mut allotter = Allotter::default();
+    let mut allotter = PermitAllocator::default();
     let mut granted = [0_u32; 3];
 
     for step in 0..1_000 {
         let now = Time::ZERO + STEP * step;
         for (number, calls) in [(0, 100), (1, 1), (2, 1)] {
-            allotter.ask(now, want(number, calls), Pace::whole(limit(3.0)), 0.0);
+            allotter.request(now, want(number, calls), PermitRate::for_allocator(limit(3.0)), 0.0);
         }
         for grant in allotter.grant(now) {
             let number = (0..3).find(|it| instance(*it) == grant.to).unwrap();
@@ -183,7 +185,7 @@
 #[test]
 fn permit_that_is_not_used_is_void() {
     let mut permits = Permits::default();
-    permits.hold(Time::ZERO, &engine(), Birth(1), 1);
+    permits.add_granted(Time::ZERO, &engine(), Birth(1), 1);
     let late = Time::ZERO + PERMIT_LIFETIME;
 
     assert!(permits.has(Time::from_millis(499), &engine(), Birth(1)));
@@ -193,7 +195,7 @@
 #[test]
 fn permit_is_for_one_request_to_one_incarnation() {
     let mut permits = Permits::default();
-    permits.hold(Time::ZERO, &engine(), Birth(2), 1);
+    permits.add_granted(Time::ZERO, &engine(), Birth(2), 1);
 
     assert!(!permits.take(Time::ZERO, &engine(), Birth(1)));
     assert!(permits.take(Time::ZERO, &engine(), Birth(2)));
--- a/crates/medlarlug-core/tests/testsuite/gateway/placing.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/placement.rs
@@ -4,8 +4,8 @@
 
 use medlarlug_core::{
     gateway::{
-        peer_loads::{LoadReport, Source, UpstreamKey},
-        placing::{Candidate, Choice, Demand, Loads, PromptPart},
+        peer_loads::{LoadReport, ReportSource, UpstreamKey},
+        placement::{Candidate, Choice, Demand, Loads, PromptPart},
     },
     ids::UpstreamId,
     time::Time,
@@ -23,7 +23,13 @@
 fn engines(ids: &[UpstreamId]) -> Vec<Candidate<'_>> {
     let engine = |id| {
         let distance = Duration::ZERO;
-        Candidate { id, slots: 128, memory: 250_000, failures: 0.0, distance }
+        Candidate {
+            id,
+            slots: 128,
+            memory_tokens: 250_000,
+            failure_rate: 0.0,
+            round_trip: distance,
+        }
     };
     ids.iter().map(engine).collect()
 }
@@ -35,7 +41,7 @@
         PromptPart { id: 100 + number, tokens: 3_800 },
         PromptPart { id: 1_000_000 + call, tokens: 2_900 },
     ];
-    Demand { parts, prompt: 9_200, output: 50, rank: 1 }
+    Demand { parts, prompt_tokens: 9_200, max_output_tokens: 50, priority: 1 }
 }
 
 /// A report of 0 urgent tokens.
@@ -43,8 +49,8 @@
     LoadReport { upstream: UpstreamKey::of(upstream), running, unread, urgent: 0, waiting: 0 }
 }
 
-fn from_peer(id: &str) -> Source {
-    Source::Peer(id.parse().unwrap())
+fn from_peer(id: &str) -> ReportSource {
+    ReportSource::Peer(id.parse().unwrap())
 }
 
 #[test]
@@ -56,9 +62,9 @@
     for call in 0..10 {
         let now = Time::from_millis(call * 500);
         let choice = loads.choose(now, &session(7, call), &engines(&ids), 3).unwrap();
-        loads.sent(now, &choice, &session(7, call), 250_000);
-        loads.answered(now, &choice, choice.wait);
-        loads.ended(now, &choice, true);
+        loads.record_sent(now, &choice, &session(7, call), 250_000);
+        loads.record_first_token(now, &choice, choice.wait);
+        loads.record_end(now, &choice, true);
         used.push(choice.id);
     }
 
@@ -87,7 +93,7 @@
     let home = loads.choose(Time::ZERO, &session(7, 0), &engines(&ids), 1).unwrap();
 
     let busy = load(&home.id, 8, 60_000);
-    loads.hear(Time::ZERO, from_peer("entry-2"), 1, vec![busy]);
+    loads.apply_report(Time::ZERO, from_peer("entry-2"), 1, vec![busy]);
     let moved = loads.choose(Time::ZERO, &session(7, 1), &engines(&ids), 2).unwrap();
 
     assert_ne!(moved.id, home.id);
@@ -99,7 +105,7 @@
     let mut loads = Loads::default();
     let home = loads.choose(Time::ZERO, &session(7, 0), &engines(&ids), 1).unwrap();
     let busy = load(&home.id, 8, 60_000);
-    loads.hear(Time::ZERO, from_peer("entry-2"), 1, vec![busy]);
+    loads.apply_report(Time::ZERO, from_peer("entry-2"), 1, vec![busy]);
 
     let later = loads.choose(Time::from_millis(1_300), &session(7, 1), &engines(&ids), 2);
 
@@ -112,9 +118,9 @@
     let ids = ids(1);
     let mut loads = Loads::default();
     let busy = load(&ids[0], 8, 60_000);
-    loads.hear(Time::ZERO, from_peer("entry-2"), 1, vec![busy]);
+    loads.apply_report(Time::ZERO, from_peer("entry-2"), 1, vec![busy]);
     let wait = |rank| {
-        let demand = Demand { prompt: 800, rank, ..Demand::default() };
+        let demand = Demand { prompt_tokens: 800, priority: rank, ..Demand::default() };
         loads.choose(Time::ZERO, &demand, &engines(&ids), 2).unwrap().wait
     };
 
@@ -131,10 +137,10 @@
     let home = loads.choose(Time::ZERO, &session(7, 0), &engines(&ids), 2).unwrap();
     let queue = LoadReport { waiting: 60_000, ..load(&home.id, 1, 3_000) };
 
-    loads.hear(Time::ZERO, from_peer("entry-2"), 1, vec![queue]);
+    loads.apply_report(Time::ZERO, from_peer("entry-2"), 1, vec![queue]);
     let moved = loads.choose(Time::ZERO, &session(7, 1), &engines(&ids), 2).unwrap();
     // Whoever waits there itself goes as soon as the engine is free.
-    let is_free = loads.is_free(Time::ZERO, &home, 2);
+    let is_free = loads.can_admit(Time::ZERO, &home, 2);
 
     assert_ne!(moved.id, home.id);
     assert!(is_free);
@@ -145,13 +151,13 @@
 fn nearer_engine_is_preferred_while_it_is_not_busier() {
     let ids = ids(2);
     let mut candidates = engines(&ids);
-    candidates[0].distance = Duration::from_millis(16);
-    let query = Demand { prompt: 800, output: 300, ..Demand::default() };
+    candidates[0].round_trip = Duration::from_millis(16);
+    let query = Demand { prompt_tokens: 800, max_output_tokens: 300, ..Demand::default() };
     let mut loads = Loads::default();
 
     let idle = loads.choose(Time::ZERO, &query, &candidates, 2).unwrap();
     let busy = load(&ids[1], 60, 0);
-    loads.hear(Time::ZERO, from_peer("entry-2"), 1, vec![busy]);
+    loads.apply_report(Time::ZERO, from_peer("entry-2"), 1, vec![busy]);
     let beside_a_busy_one = loads.choose(Time::ZERO, &query, &candidates, 2).unwrap();
 
     assert_eq!((idle.id, beside_a_busy_one.id), (ids[1].clone(), ids[0].clone()));
@@ -161,8 +167,8 @@
 fn engine_that_fails_half_of_its_calls_is_used_last() {
     let ids = ids(2);
     let mut candidates = engines(&ids);
-    let demand = Demand { prompt: 800, ..Demand::default() };
-    candidates[0].failures = 0.5;
+    let demand = Demand { prompt_tokens: 800, ..Demand::default() };
+    candidates[0].failure_rate = 0.5;
 
     let choice = Loads::default().choose(Time::ZERO, &demand, &candidates, 1).unwrap();
 
@@ -242,15 +248,15 @@
             open.retain(|(done, choice)| {
                 let is_done = *done <= now;
                 if is_done {
-                    loads.answered(time, choice, choice.wait);
-                    loads.ended(time, choice, true);
+                    loads.record_first_token(time, choice, choice.wait);
+                    loads.record_end(time, choice, true);
                 }
                 !is_done
             });
             let choice = loads.choose(time, demand, &engines(&ids), 1).unwrap();
-            loads.sent(time, &choice, demand, 250_000);
+            loads.record_sent(time, &choice, demand, 250_000);
             let at = ids.iter().position(|id| *id == choice.id).unwrap();
-            let done = emulated[at].free.max(now) + f64::from(choice.unread) / READ_RATE;
+            let done = emulated[at].free.max(now) + f64::from(choice.prefill_tokens) / READ_RATE;
             open.push((done, choice));
             at
         });
@@ -273,17 +279,17 @@
 fn long_prompt_waits_for_its_turn_and_a_short_one_does_not() {
     let ids = ids(1);
     let mut loads = Loads::default();
-    let short = Demand { prompt: 800, output: 300, ..Demand::default() };
+    let short = Demand { prompt_tokens: 800, max_output_tokens: 300, ..Demand::default() };
     let first = loads.choose(Time::ZERO, &session(1, 1), &engines(&ids), 1).unwrap();
     let second = loads.choose(Time::ZERO, &session(2, 2), &engines(&ids), 1).unwrap();
     let query = loads.choose(Time::ZERO, &short, &engines(&ids), 1).unwrap();
 
-    let before = loads.is_free(Time::ZERO, &first, 1);
-    loads.sent(Time::ZERO, &first, &session(1, 1), 250_000);
-    let during = loads.is_free(Time::ZERO, &second, 1);
-    let beside = loads.is_free(Time::ZERO, &query, 1);
-    loads.answered(Time::from_millis(200), &first, Duration::from_millis(200));
-    let after = loads.is_free(Time::from_millis(200), &second, 1);
+    let before = loads.can_admit(Time::ZERO, &first, 1);
+    loads.record_sent(Time::ZERO, &first, &session(1, 1), 250_000);
+    let during = loads.can_admit(Time::ZERO, &second, 1);
+    let beside = loads.can_admit(Time::ZERO, &query, 1);
+    loads.record_first_token(Time::from_millis(200), &first, Duration::from_millis(200));
+    let after = loads.can_admit(Time::from_millis(200), &second, 1);
 
     assert_eq!((before, during, beside, after), (true, false, true, true));
 }
@@ -295,9 +301,9 @@
     let busy = load(&ids[0], 1, 6_000);
     let choice = loads.choose(Time::ZERO, &session(1, 1), &engines(&ids), 2).unwrap();
 
-    loads.hear(Time::ZERO, from_peer("entry-2"), 1, vec![busy]);
+    loads.apply_report(Time::ZERO, from_peer("entry-2"), 1, vec![busy]);
 
-    assert!(!loads.is_free(Time::ZERO, &choice, 2));
+    assert!(!loads.can_admit(Time::ZERO, &choice, 2));
 }
 
 /// Seen on the grown sites: 24 instances report twice a second, so several of them sent long prompts
@@ -307,16 +313,16 @@
     let ids = ids(1);
     let (mut loads, mut peer) = (Loads::default(), Loads::default());
     let peer_id = from_peer("entry-2");
-    loads.hear(Time::ZERO, from_peer("entry-2"), 1, Vec::new());
+    loads.apply_report(Time::ZERO, from_peer("entry-2"), 1, Vec::new());
     let choice = loads.choose(Time::ZERO, &session(1, 1), &engines(&ids), 2).unwrap();
 
-    peer.sent(Time::ZERO, &choice, &session(2, 2), 250_000);
-    let before = loads.is_free(Time::ZERO, &choice, 2);
-    loads.hear_change(&peer_id, peer.report_of(&ids[0]));
-    let during = loads.is_free(Time::ZERO, &choice, 2);
-    peer.answered(Time::from_millis(200), &choice, Duration::from_millis(200));
-    loads.hear_change(&peer_id, peer.report_of(&ids[0]));
-    let after = loads.is_free(Time::from_millis(200), &choice, 2);
+    peer.record_sent(Time::ZERO, &choice, &session(2, 2), 250_000);
+    let before = loads.can_admit(Time::ZERO, &choice, 2);
+    loads.apply_change(&peer_id, peer.report_of(&ids[0]));
+    let during = loads.can_admit(Time::ZERO, &choice, 2);
+    peer.record_first_token(Time::from_millis(200), &choice, Duration::from_millis(200));
+    loads.apply_change(&peer_id, peer.report_of(&ids[0]));
+    let after = loads.can_admit(Time::from_millis(200), &choice, 2);
 
     assert_eq!((before, during, after), (true, false, true));
 }
@@ -330,9 +336,9 @@
     let choice = loads.choose(Time::ZERO, &session(1, 1), &engines(&ids), 2).unwrap();
     let change = load(&ids[0], 1, 60_000);
 
-    loads.hear_change(&from_peer("entry-2"), change);
+    loads.apply_change(&from_peer("entry-2"), change);
 
-    assert!(loads.is_free(Time::ZERO, &choice, 2));
+    assert!(loads.can_admit(Time::ZERO, &choice, 2));
 }
 
 /// Share of calls in time when several instances place them, which report their load twice a second
@@ -340,7 +346,8 @@
 fn share_among_instances(seed: u64, tells_at_once: bool) -> f64 {
     const INSTANCES: usize = 12;
     let ids = ids(5);
-    let names: Vec<Source> = (0..INSTANCES).map(|at| from_peer(&format!("entry-{at}"))).collect();
+    let names: Vec<ReportSource> =
+        (0..INSTANCES).map(|at| from_peer(&format!("entry-{at}"))).collect();
     let mut all: Vec<Loads> = vec![Loads::default(); INSTANCES];
     let mut open: Vec<(f64, usize, Choice)> = Vec::new();
     let (mut reported, mut turn) = (0.0, 0);
@@ -350,15 +357,15 @@
             let report = all[from].report_of(engine);
             for (at, loads) in all.iter_mut().enumerate().filter(|_| tells_at_once) {
                 if at != from {
-                    loads.hear_change(&names[from], report);
+                    loads.apply_change(&names[from], report);
                 }
             }
         };
         let (done, still): (Vec<_>, Vec<_>) = open.drain(..).partition(|it| it.0 <= now);
         open = still;
         for (_, by, choice) in done {
-            all[by].answered(time, &choice, choice.wait);
-            all[by].ended(time, &choice, true);
+            all[by].record_first_token(time, &choice, choice.wait);
+            all[by].record_end(time, &choice, true);
             tell(&mut all, by, &choice.id);
         }
         if now - reported > 500.0 {
@@ -366,16 +373,16 @@
             for from in 0..INSTANCES {
                 let report = all[from].report();
                 for (_, loads) in all.iter_mut().enumerate().filter(|it| it.0 != from) {
-                    loads.hear(time, names[from].clone(), 1, report.clone());
+                    loads.apply_report(time, names[from].clone(), 1, report.clone());
                 }
             }
         }
         turn = (turn + 1) % INSTANCES;
         let choice = all[turn].choose(time, demand, &engines(&ids), INSTANCES).unwrap();
-        all[turn].sent(time, &choice, demand, 250_000);
+        all[turn].record_sent(time, &choice, demand, 250_000);
         tell(&mut all, turn, &choice.id);
         let at = ids.iter().position(|id| *id == choice.id).unwrap();
-        let done = emulated[at].free.max(now) + f64::from(choice.unread) / READ_RATE;
+        let done = emulated[at].free.max(now) + f64::from(choice.prefill_tokens) / READ_RATE;
         open.push((done, turn, choice));
         at
     })
@@ -407,7 +414,8 @@
     const INSTANCES: usize = 66;
     const TRAFFIC: Traffic = Traffic { engines: 70, sessions: 900, calls: 6_000, gap: 1.6 };
     let ids = ids(TRAFFIC.engines);
-    let names: Vec<Source> = (0..INSTANCES).map(|at| from_peer(&format!("entry-{at}"))).collect();
+    let names: Vec<ReportSource> =
+        (0..INSTANCES).map(|at| from_peer(&format!("entry-{at}"))).collect();
     let zone = |at: usize| at % 2;
     let mut all: Vec<Loads> = vec![Loads::default(); INSTANCES];
     // The collectors are instances 0 and 1.
@@ -421,13 +429,13 @@
                 Telling::All => 0..INSTANCES,
                 Telling::Collectors => zone(from)..zone(from) + 1,
             };
-            to.filter(|to| *to != from).for_each(|to| all[to].hear_change(&names[from], report));
+            to.filter(|to| *to != from).for_each(|to| all[to].apply_change(&names[from], report));
         };
         let (done, still): (Vec<_>, Vec<_>) = open.drain(..).partition(|it| it.0 <= now);
         open = still;
         for (_, by, choice) in done {
-            all[by].answered(time, &choice, choice.wait);
-            all[by].ended(time, &choice, true);
+            all[by].record_first_token(time, &choice, choice.wait);
+            all[by].record_end(time, &choice, true);
             tell(&mut all, by, &choice.id);
         }
         let interval = if telling == Telling::All { 1_360.0 } else { 20.0 };
@@ -439,28 +447,28 @@
             {
                 let hears = telling == Telling::All || to == zone(from);
                 if from != to && hears {
-                    all[to].hear(time, names[from].clone(), 1, reports[from].clone());
+                    all[to].apply_report(time, names[from].clone(), 1, reports[from].clone());
                 }
             }
             if telling == Telling::Collectors {
-                let sums = [all[0].zone_sum(), all[1].zone_sum()];
+                let sums = [all[0].zone_aggregate(), all[1].zone_aggregate()];
                 for (at, (instances, loads)) in sums.into_iter().enumerate() {
-                    let source = Source::Zone(format!("zone-{at}").parse().unwrap());
-                    all[1 - at].hear(time, source, instances, loads);
+                    let source = ReportSource::Zone(format!("zone-{at}").parse().unwrap());
+                    all[1 - at].apply_report(time, source, instances, loads);
                 }
                 for to in 2..INSTANCES {
                     let (instances, loads) =
-                        all[zone(to)].sum_for(&format!("entry-{to}").parse().unwrap());
-                    all[to].hear(time, Source::Collector, instances, loads);
+                        all[zone(to)].aggregate_for(&format!("entry-{to}").parse().unwrap());
+                    all[to].apply_report(time, ReportSource::Collector, instances, loads);
                 }
             }
         }
         let by = random.random_range(0..INSTANCES);
         let choice = all[by].choose(time, demand, &engines(&ids), INSTANCES).unwrap();
-        all[by].sent(time, &choice, demand, 250_000);
+        all[by].record_sent(time, &choice, demand, 250_000);
         tell(&mut all, by, &choice.id);
         let at = ids.iter().position(|id| *id == choice.id).unwrap();
-        let done = emulated[at].free.max(now) + f64::from(choice.unread) / READ_RATE;
+        let done = emulated[at].free.max(now) + f64::from(choice.prefill_tokens) / READ_RATE;
         open.push((done, by, choice));
         at
     })
--- a/crates/medlarlug-core/tests/testsuite/gateway/turns.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/prefill_queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use medlarlug_core::{
-    gateway::turns::{Turn, TurnWaits, turn},
+    gateway::prefill_queue::{PrefillDecision, QueueWaits, decide},
     time::Time,
 };
 
@@ -11,30 +11,30 @@
 
 #[test]
 fn call_of_an_overloaded_engine_is_refused_within_its_objective() {
-    let turns: Vec<Turn> = (0..=10)
-        .map(|tenth| turn(false, OBJECTIVE.mul_f64(f64::from(tenth) / 10.0), OBJECTIVE, 1))
+    let turns: Vec<PrefillDecision> = (0..=10)
+        .map(|tenth| decide(false, OBJECTIVE.mul_f64(f64::from(tenth) / 10.0), OBJECTIVE, 1))
         .collect();
 
-    assert_eq!(turns[0], Turn::Wait);
-    assert_eq!(turns[10], Turn::Refuse);
+    assert_eq!(turns[0], PrefillDecision::Wait);
+    assert_eq!(turns[10], PrefillDecision::Refuse);
 }
 
 #[test]
 fn urgent_call_goes_when_it_has_waited_long_enough() {
-    assert_eq!(turn(false, OBJECTIVE, OBJECTIVE, 0), Turn::Go);
+    assert_eq!(decide(false, OBJECTIVE, OBJECTIVE, 0), PrefillDecision::Send);
 }
 
 #[test]
 fn free_engine_takes_a_call_however_long_it_has_waited() {
-    assert_eq!(turn(true, OBJECTIVE * 3, OBJECTIVE, 1), Turn::Go);
+    assert_eq!(decide(true, OBJECTIVE * 3, OBJECTIVE, 1), PrefillDecision::Send);
 }
 
 #[test]
 fn expected_wait_follows_the_calls_and_is_forgotten() {
-    let mut waits = TurnWaits::default();
+    let mut waits = QueueWaits::default();
 
     for tenth in 0..20 {
-        waits.count(Time::from_millis(tenth * 100), Duration::from_millis(400));
+        waits.record(Time::from_millis(tenth * 100), Duration::from_millis(400));
     }
     let busy = waits.expected(Time::from_millis(1_900));
     let later = waits.expected(Time::from_millis(6_900));
@@ -48,8 +48,8 @@
 /// prompt only.
 #[test]
 fn streams_end_in_time_beside_more_long_prompts_than_can_be_read() {
-    let with_turns = slowest_stream(|waited| turn(false, waited, OBJECTIVE, 1));
-    let without = slowest_stream(|_| Turn::Go);
+    let with_turns = slowest_stream(|waited| decide(false, waited, OBJECTIVE, 1));
+    let without = slowest_stream(|_| PrefillDecision::Send);
 
     assert!(with_turns < Duration::from_secs(15), "{with_turns:?}");
     assert!(without > Duration::from_secs(15), "{without:?}");
@@ -57,7 +57,7 @@
 
 /// Time that a stream of 300 tokens takes at an engine that gets ten prompts of 9,000 tokens a
 /// second for a minute, when `decide` tells what becomes of a prompt that finds the engine busy.
-fn slowest_stream(decide: impl Fn(Duration) -> Turn) -> Duration {
+fn slowest_stream(decide: impl Fn(Duration) -> PrefillDecision) -> Duration {
     const STEP: Duration = Duration::from_millis(5);
     const PART: u32 = 4_096;
     const PART_STEP: Duration = Duration::from_millis(100);
@@ -72,8 +72,9 @@
             arrivals += 1;
         }
         let decided = |came: &Duration| decide(now.saturating_sub(*came));
-        queued += 9_000 * waiting.iter().filter(|came| decided(came) == Turn::Go).count() as u32;
-        waiting.retain(|came| decided(came) == Turn::Wait);
+        queued += 9_000
+            * waiting.iter().filter(|came| decided(came) == PrefillDecision::Send).count() as u32;
+        waiting.retain(|came| decided(came) == PrefillDecision::Wait);
         if queued == 0 && !waiting.is_empty() && now >= free_since + HANDOVER {
             waiting.remove(0);
             queued = 9_000;
--- a/crates/medlarlug-core/tests/testsuite/gateway/away.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/remote_region.rs
@@ -3,37 +3,37 @@
 use std::time::Duration;
 
 use medlarlug_core::gateway::{
-    away::{Region, cost},
-    placing::{Demand, PromptPart},
+    placement::{Demand, PromptPart},
+    remote_region::{RemoteService, predicted_cost},
 };
 
 const TOLD: Duration = Duration::from_millis(50);
 
-fn region(unread: u64) -> Region {
-    Region { told: TOLD, unread, upstreams: 4 }
+fn region(unread: u64) -> RemoteService {
+    RemoteService { reported_wait: TOLD, pending_tokens: unread, upstreams: 4 }
 }
 
 /// A prompt with parts of everyone and of its session.
 fn session() -> Demand {
     let part = |id, tokens| PromptPart { id, tokens };
     let parts = vec![part(1, 2_500), part(2, 3_800), part(3, 2_900)];
-    Demand { parts, prompt: 9_200, output: 50, rank: 1 }
+    Demand { parts, prompt_tokens: 9_200, max_output_tokens: 50, priority: 1 }
 }
 
 #[test]
 fn cost_elsewhere_grows_with_what_was_handed_over() {
     let demand = Demand::default();
 
-    let grown = cost(region(40_000), &demand);
+    let grown = predicted_cost(region(40_000), &demand);
 
-    assert!(grown > cost(region(0), &demand) + Duration::from_millis(200));
+    assert!(grown > predicted_cost(region(0), &demand) + Duration::from_millis(200));
 }
 
 #[test]
 fn short_call_costs_what_the_region_tells() {
-    let query = Demand { prompt: 800, ..Demand::default() };
+    let query = Demand { prompt_tokens: 800, ..Demand::default() };
 
-    assert_eq!(cost(region(0), &query), TOLD);
+    assert_eq!(predicted_cost(region(0), &query), TOLD);
 }
 
 /// Seen on the bench: regions told the wait of a short prompt, so every long one looked cheaper
@@ -42,7 +42,7 @@
 fn long_prompt_costs_what_has_to_be_read_for_it_elsewhere() {
     let own_part = Duration::from_millis(2_900 / 50);
 
-    assert!(cost(region(0), &session()) > TOLD + own_part);
+    assert!(predicted_cost(region(0), &session()) > TOLD + own_part);
 }
 
 /// At home its session's part is held, so it goes elsewhere only when home is well behind.
@@ -50,12 +50,12 @@
 fn session_stays_at_home_while_home_answers_soon() {
     let at_home = Duration::from_millis(250);
 
-    assert!(cost(region(0), &session()) > at_home);
+    assert!(predicted_cost(region(0), &session()) > at_home);
 }
 
 #[test]
 fn session_leaves_when_home_is_far_behind() {
     let at_home = Duration::from_millis(1_200);
 
-    assert!(cost(region(0), &session()) < at_home);
+    assert!(predicted_cost(region(0), &session()) < at_home);
 }
--- a/crates/medlarlug-core/tests/testsuite/gateway/silence.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/stream_timeout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use medlarlug_core::gateway::silence::{Source, limit};
+use medlarlug_core::gateway::stream_timeout::{StreamSource, idle_timeout};
 
 const PAUSE: Duration = Duration::from_millis(600);
 
@@ -10,8 +10,8 @@
 /// first one cut it while the second one had just gone on at another engine.
 #[test]
 fn instance_of_the_caller_waits_until_the_other_one_has_gone_on_elsewhere() {
-    let engine_side = limit(Source::Upstream, PAUSE, true).unwrap();
-    let caller_side = limit(Source::Instance, PAUSE, true).unwrap();
+    let engine_side = idle_timeout(StreamSource::Upstream, PAUSE, true).unwrap();
+    let caller_side = idle_timeout(StreamSource::Instance, PAUSE, true).unwrap();
 
     // Reading a prompt again takes up to a second, the way between regions 130 ms.
     assert!(caller_side >= engine_side + Duration::from_millis(1_130));
@@ -19,11 +19,14 @@
 
 #[test]
 fn stream_without_an_attempt_left_is_left_to_its_source() {
-    assert_eq!(limit(Source::Upstream, PAUSE, false), None);
-    assert_eq!(limit(Source::Instance, PAUSE, false), None);
+    assert_eq!(idle_timeout(StreamSource::Upstream, PAUSE, false), None);
+    assert_eq!(idle_timeout(StreamSource::Instance, PAUSE, false), None);
 }
 
 #[test]
 fn pause_of_a_route_without_one_is_that_of_a_busy_engine() {
-    assert!(limit(Source::Upstream, Duration::ZERO, true).unwrap() >= Duration::from_millis(900));
+    assert!(
+        idle_timeout(StreamSource::Upstream, Duration::ZERO, true).unwrap()
+            >= Duration::from_millis(900)
+    );
 }
--- a/crates/medlarlug-core/tests/testsuite/gateway/table.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/table.rs
@@ -41,21 +41,21 @@
 fn two_routes_at_one_place_are_refused() {
     let routes = vec![route("/mend/"), route("/mend/")];
 
-    assert_matches!(table(1, routes), Err(TableError::SamePlace { .. }));
+    assert_matches!(table(1, routes), Err(TableError::DuplicateRoute { .. }));
 }
 
 #[test]
 fn weights_that_add_up_to_zero_are_refused() {
     let idle = Route { targets: vec![target("scribe", 0)], ..route("/mend/") };
 
-    assert_matches!(table(1, vec![idle]), Err(TableError::NoWeight { .. }));
+    assert_matches!(table(1, vec![idle]), Err(TableError::ZeroWeight { .. }));
 }
 
 #[test]
 fn timeout_of_zero_is_refused() {
     let hasty = Route { timeout: std::time::Duration::ZERO, ..route("/mend/") };
 
-    assert_matches!(table(1, vec![hasty]), Err(TableError::NoTimeout { .. }));
+    assert_matches!(table(1, vec![hasty]), Err(TableError::ZeroTimeout { .. }));
 }
 
 #[test]
--- a/crates/medlarlug-core/tests/testsuite/gateway/named_limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/upstream_limits.rs
@@ -2,7 +2,7 @@
 
 use medlarlug_core::{
     gateway::{
-        named_limits::{NamedLimit, NamedLimits, Said},
+        upstream_limits::{LimitHeader, UpstreamLimit, UpstreamLimits},
         upstreams::Birth,
     },
     ids::UpstreamId,
@@ -13,7 +13,7 @@
     "engine-1".parse().unwrap()
 }
 
-fn limit(text: &str) -> NamedLimit {
+fn limit(text: &str) -> UpstreamLimit {
     text.parse().unwrap()
 }
 
@@ -22,9 +22,9 @@
 }
 
 /// An upstream that named a limit at 100 ms, to a request that went out at 50 ms.
-fn limited(text: &str) -> NamedLimits {
-    let mut limits = NamedLimits::default();
-    limits.answered(at(100), at(50), &engine(), Birth(1), Said::Limit(limit(text)));
+fn limited(text: &str) -> UpstreamLimits {
+    let mut limits = UpstreamLimits::default();
+    limits.record_answer(at(100), at(50), &engine(), Birth(1), LimitHeader::Limit(limit(text)));
     limits
 }
 
@@ -32,7 +32,7 @@
 fn answer_without_a_limit_to_an_older_request_ends_none() {
     let mut limits = limited("1.7");
 
-    let is_news = limits.answered(at(200), at(90), &engine(), Birth(1), Said::None);
+    let is_news = limits.record_answer(at(200), at(90), &engine(), Birth(1), LimitHeader::Absent);
 
     assert!(!is_news);
     assert_eq!(limits.of(&engine(), Birth(1)), Some(limit("1.7")));
@@ -42,7 +42,7 @@
 fn answer_without_a_limit_to_a_later_request_ends_it() {
     let mut limits = limited("1.7");
 
-    let is_news = limits.answered(at(200), at(110), &engine(), Birth(1), Said::None);
+    let is_news = limits.record_answer(at(200), at(110), &engine(), Birth(1), LimitHeader::Absent);
 
     assert!(is_news);
     assert_eq!(limits.of(&engine(), Birth(1)), None);
@@ -52,9 +52,9 @@
 fn answer_to_an_older_request_lowers_a_limit_and_does_not_raise_it() {
     let mut limits = limited("2");
 
-    limits.answered(at(200), at(90), &engine(), Birth(1), Said::Limit(limit("9")));
+    limits.record_answer(at(200), at(90), &engine(), Birth(1), LimitHeader::Limit(limit("9")));
     let after_higher = limits.of(&engine(), Birth(1));
-    limits.answered(at(210), at(90), &engine(), Birth(1), Said::Limit(limit("1")));
+    limits.record_answer(at(210), at(90), &engine(), Birth(1), LimitHeader::Limit(limit("1")));
 
     assert_eq!(after_higher, Some(limit("2")));
     assert_eq!(limits.of(&engine(), Birth(1)), Some(limit("1")));
@@ -65,8 +65,8 @@
     let mut limits = limited("2");
 
     assert_eq!(limits.of(&engine(), Birth(2)), None);
-    limits.answered(at(300), at(200), &engine(), Birth(2), Said::Limit(limit("5")));
-    limits.answered(at(400), at(310), &engine(), Birth(1), Said::None);
+    limits.record_answer(at(300), at(200), &engine(), Birth(2), LimitHeader::Limit(limit("5")));
+    limits.record_answer(at(400), at(310), &engine(), Birth(1), LimitHeader::Absent);
 
     assert_eq!(limits.of(&engine(), Birth(2)), Some(limit("5")));
 }
@@ -74,19 +74,19 @@
 #[test]
 fn limit_that_cannot_be_read_keeps_the_one_before_or_the_lowest() {
     let mut limits = limited("2");
-    let mut unknown = NamedLimits::default();
+    let mut unknown = UpstreamLimits::default();
 
-    limits.answered(at(300), at(200), &engine(), Birth(1), Said::Unreadable);
-    unknown.answered(at(300), at(200), &engine(), Birth(1), Said::Unreadable);
+    limits.record_answer(at(300), at(200), &engine(), Birth(1), LimitHeader::Invalid);
+    unknown.record_answer(at(300), at(200), &engine(), Birth(1), LimitHeader::Invalid);
 
     assert_eq!(limits.of(&engine(), Birth(1)), Some(limit("2")));
-    assert_eq!(unknown.of(&engine(), Birth(1)), Some(NamedLimit::LOWEST));
+    assert_eq!(unknown.of(&engine(), Birth(1)), Some(UpstreamLimit::LOWEST));
 }
 
 #[test]
 fn what_is_no_rate_is_no_limit() {
     for text in ["", "few", "-1", "NaN", "1,5", "2/s"] {
-        assert!(text.parse::<NamedLimit>().is_err(), "{text}");
+        assert!(text.parse::<UpstreamLimit>().is_err(), "{text}");
     }
 }
 
@@ -94,9 +94,20 @@
 fn instances_are_told_of_changes_only() {
     let mut limits = limited("10");
 
-    let is_same =
-        limits.answered(at(300), at(200), &engine(), Birth(1), Said::Limit(limit("10.2")));
-    let is_other = limits.answered(at(500), at(400), &engine(), Birth(1), Said::Limit(limit("12")));
+    let is_same = limits.record_answer(
+        at(300),
+        at(200),
+        &engine(),
+        Birth(1),
+        LimitHeader::Limit(limit("10.2")),
+    );
+    let is_other = limits.record_answer(
+        at(500),
+        at(400),
+        &engine(),
+        Birth(1),
+        LimitHeader::Limit(limit("12")),
+    );
 
     assert!(!is_same && is_other);
 }
--- a/crates/medlarlug-gateway/src/entry/attempt.rs
+++ b/crates/medlarlug-gateway/src/entry/attempt.rs
@@ -11,10 +11,10 @@
 };
 use medlarlug_core::{
     gateway::{
-        availability::Rest,
-        handover::{Attempts, Report},
-        health::CallEnd,
-        placing::Choice,
+        availability::Backoff,
+        handover::{Attempts, HandoverReport},
+        health::CallOutcome,
+        placement::Choice,
         table::RouteKind,
         upstreams::Birth,
     },
@@ -145,7 +145,7 @@
             let now = self.entry.now();
             match &self.place {
                 Place::Upstream(choice) => {
-                    self.entry.loads.borrow_mut().answered(now, choice, now - self.began);
+                    self.entry.loads.borrow_mut().record_first_token(now, choice, now - self.began);
                     tell_at_once(&self.entry, choice);
                 }
                 Place::Away(region, tokens) => {
@@ -164,7 +164,7 @@
         }
         match &self.place {
             Place::Upstream(choice) => {
-                self.entry.loads.borrow_mut().ended(now, choice, self.is_read);
+                self.entry.loads.borrow_mut().record_end(now, choice, self.is_read);
                 if !self.is_read {
                     tell_at_once(&self.entry, choice);
                 }
@@ -273,11 +273,13 @@
     match (&outcome, hop) {
         (Outcome::NotRun(NotRun::Unreachable | NotRun::Withdrawn), _) => {}
         (_, Hop::Peer { .. }) => match report {
-            Some(report) if !matches!(outcome, Outcome::Unknown(_)) => attempts.reported(report),
-            _ => attempts.unreported(),
+            Some(report) if !matches!(outcome, Outcome::Unknown(_)) => {
+                attempts.record_report(report)
+            }
+            _ => attempts.record_missing_report(),
         },
-        (Outcome::NotRun(_), Hop::Upstream { .. }) => attempts.refused(),
-        (_, Hop::Upstream { .. }) => attempts.ran(),
+        (Outcome::NotRun(_), Hop::Upstream { .. }) => attempts.record_refusal(),
+        (_, Hop::Upstream { .. }) => attempts.record_run(),
     }
     outcome
 }
@@ -287,7 +289,7 @@
     entry: &Rc<Entry>,
     attempted: &Attempted<'_>,
     hop: &Hop,
-    report: &mut Option<Report>,
+    report: &mut Option<HandoverReport>,
 ) -> Outcome {
     let now = entry.now();
     let left = attempted.end - now;
@@ -349,23 +351,23 @@
                 slot.answered();
                 slot.request_end = RequestEnd::Answered;
                 let end = match parts.status.is_server_error() {
-                    true => CallEnd::Failed,
-                    false => CallEnd::Answered,
+                    true => CallOutcome::Failed,
+                    false => CallOutcome::Answered,
                 };
                 ended(entry, hop, end);
                 entry.client.give_back_among(connection, hop.idle());
                 Outcome::Answer(Response::from_parts(parts, bytes))
             }
             Err(Unread::Cut) => {
-                ended(entry, hop, CallEnd::Broken);
+                ended(entry, hop, CallOutcome::Broken);
                 Outcome::Unknown(Unknown::Lost)
             }
             Err(Unread::TooLong) => {
-                ended(entry, hop, CallEnd::Failed);
+                ended(entry, hop, CallOutcome::Failed);
                 Outcome::Unknown(Unknown::Foreign)
             }
             Err(Unread::Late) => {
-                ended(entry, hop, CallEnd::Failed);
+                ended(entry, hop, CallOutcome::Failed);
                 Outcome::Unknown(Unknown::Silent)
             }
         };
@@ -385,13 +387,13 @@
     match timeout(left, stream.next()).await {
         Ok(Piece::Events(events)) => {
             stream.ready = Some(events);
-            ended(entry, hop, CallEnd::Answered);
+            ended(entry, hop, CallOutcome::Answered);
             Outcome::Stream(Box::new(stream))
         }
         // An empty stream is whole.
         Ok(Piece::End) => Outcome::Stream(Box::new(stream)),
         Ok(Piece::Broken) => {
-            ended(entry, hop, CallEnd::Broken);
+            ended(entry, hop, CallOutcome::Broken);
             Outcome::Unknown(Unknown::Lost)
         }
         Err(_) => {
@@ -402,7 +404,7 @@
 }
 
 fn tell_at_once(entry: &Entry, choice: &Choice) {
-    if choice.is_told() {
+    if choice.needs_immediate_report() {
         entry.exchange().note(&choice.id);
     }
 }
@@ -412,10 +414,10 @@
     let demand = &attempted.call.demand;
     let place = match hop {
         Hop::Upstream { choice, birth, memory, cold_rate, .. } => {
-            entry.loads.borrow_mut().sent(now, choice, demand, *memory);
+            entry.loads.borrow_mut().record_sent(now, choice, demand, *memory);
             tell_at_once(entry, choice);
             if let Some(rate) = cold_rate {
-                entry.cold.borrow_mut().sent(now, &choice.id, *rate);
+                entry.cold.borrow_mut().record_send(now, &choice.id, *rate);
                 let instances = entry.region_entries().len();
                 let up_ms = entry.uptime().as_millis() as u64;
                 metrics::counter!(names::COLD_SENDS).increment(1);
@@ -428,7 +430,7 @@
             Place::Upstream(choice.clone())
         }
         Hop::Peer { region, .. } => {
-            let tokens = u64::from(demand.prompt);
+            let tokens = u64::from(demand.prompt_tokens);
             entry.change_away(region, |unread| unread + tokens);
             Place::Away(region.clone(), tokens)
         }
@@ -489,7 +491,7 @@
         let now = self.now();
         let headers = answer.headers();
         let is_leaving = headers.get(&self.names.leaving).is_some_and(|value| value == "1");
-        if is_leaving && self.availabilities.borrow_mut().leaves(now, id, birth) {
+        if is_leaving && self.availabilities.borrow_mut().record_leaving(now, id, birth) {
             metrics::counter!(names::LEAVING).increment(1);
             tracing::info!(request = %call.id, upstream = %id, birth = birth.0, "upstream leaves, by its answer");
             self.client.forget(address);
@@ -499,10 +501,11 @@
             return;
         }
         let Some(value) = headers.get(header::RETRY_AFTER) else { return };
-        match value.to_str().unwrap_or_default().parse::<Rest>() {
+        match value.to_str().unwrap_or_default().parse::<Backoff>() {
             Ok(rest) => {
                 let spread = rand::rng().random();
-                let news = self.availabilities.borrow_mut().rests(now, id, birth, rest, spread);
+                let news =
+                    self.availabilities.borrow_mut().record_backoff(now, id, birth, rest, spread);
                 if let Some(left) = news {
                     let for_ms = left.as_millis() as u64;
                     metrics::counter!(names::RESTS).increment(1);
@@ -522,7 +525,7 @@
     attempted: &Attempted,
     hop: &Hop,
     answer: &Response<Incoming>,
-    report: Option<Report>,
+    report: Option<HandoverReport>,
 ) -> Option<Outcome> {
     let names = &entry.names;
     let headers = answer.headers();
@@ -534,17 +537,17 @@
         return Some(Outcome::NotRun(NotRun::Refused { after: retry_after(headers) }));
     }
     if headers.contains_key(&names.not_run) {
-        ended(entry, hop, CallEnd::Refused);
+        ended(entry, hop, CallOutcome::Refused);
         return Some(Outcome::NotRun(NotRun::Refused { after: retry_after(headers) }));
     }
     if answer.status() == StatusCode::MISDIRECTED_REQUEST {
-        ended(entry, hop, CallEnd::Unreachable);
+        ended(entry, hop, CallOutcome::Unreachable);
         return Some(Outcome::NotRun(NotRun::Misdirected));
     }
     let is_signed = headers.contains_key(&names.signature);
     let is_encoded = headers.contains_key(header::CONTENT_ENCODING);
     if answer.status().is_success() && (!is_signed || is_encoded) {
-        ended(entry, hop, CallEnd::Failed);
+        ended(entry, hop, CallOutcome::Failed);
         return Some(Outcome::Unknown(Unknown::Foreign));
     }
     None
@@ -566,16 +569,16 @@
             {
                 entry.refused_connection(&choice.id);
             }
-            ended(entry, hop, CallEnd::Unreachable);
+            ended(entry, hop, CallOutcome::Unreachable);
             Outcome::NotRun(NotRun::Unreachable)
         }
         CallError::Withdrawn { .. } => Outcome::NotRun(NotRun::Withdrawn),
         CallError::Lost { .. } => {
-            ended(entry, hop, CallEnd::Broken);
+            ended(entry, hop, CallOutcome::Broken);
             Outcome::Unknown(Unknown::Lost)
         }
         CallError::Silent { address, .. } => {
-            ended(entry, hop, CallEnd::Failed);
+            ended(entry, hop, CallOutcome::Failed);
             entry.client.forget(*address);
             Outcome::Unknown(Unknown::Silent)
         }
@@ -583,16 +586,16 @@
 }
 
 /// Takes in what a call shows of the health of its upstream.
-pub(super) fn ended(entry: &Rc<Entry>, hop: &Hop, end: CallEnd) {
+pub(super) fn ended(entry: &Rc<Entry>, hop: &Hop, end: CallOutcome) {
     let Hop::Upstream { choice, address, cold_rate, .. } = hop else { return };
     let end = match end {
-        CallEnd::Answered if cold_rate.is_some() => CallEnd::AnsweredCold,
+        CallOutcome::Answered if cold_rate.is_some() => CallOutcome::AnsweredCold,
         end => end,
     };
-    if end == CallEnd::Broken {
+    if end == CallOutcome::Broken {
         entry.examine(&choice.id, *address);
     }
-    let avoided = entry.healths.borrow_mut().ended(entry.now(), &choice.id, end);
+    let avoided = entry.healths.borrow_mut().record(entry.now(), &choice.id, end);
     if let Some(pause) = avoided {
         tracing::warn!(upstream = %choice.id, avoid_ms = pause.as_millis() as u64, ?end, "upstream avoided");
     }
--- a/crates/medlarlug-gateway/src/entry/call.rs
+++ b/crates/medlarlug-gateway/src/entry/call.rs
@@ -6,7 +6,7 @@
 use hyper::{HeaderMap, Method, header, http::request};
 use medlarlug_core::{
     fingerprint::Fingerprint,
-    gateway::placing::{Demand, PromptPart},
+    gateway::placement::{Demand, PromptPart},
 };
 use smol_str::SmolStr;
 
@@ -136,5 +136,5 @@
     let mut counts = counts.split(',').map(|count| count.trim().parse().unwrap_or(0));
     let prompt = counts.next().unwrap_or(0);
     let output = counts.next().unwrap_or(0);
-    Demand { parts: parts.collect(), prompt, output, rank: 0 }
+    Demand { parts: parts.collect(), prompt_tokens: prompt, max_output_tokens: output, priority: 0 }
 }
