--- a/crates/medlarlug-gateway/src/entry/choice.rs
+++ b/crates/medlarlug-gateway/src/entry/choice.rs
@@ -5,13 +5,13 @@
 use medlarlug_core::{
     gateway::{
         availability::Availability,
-        away,
-        cold::{self, FRESH_FOR, Process},
+        cold::{self, ANNOUNCEMENT_LIFETIME, ProcessTimes},
         contacts::Contact,
-        placing::{Candidate, Choice, Demand},
-        silence::Source,
+        placement::{Candidate, Choice, Demand},
+        remote_region,
+        stream_timeout::StreamSource,
         table::{Route, RouteTable, ServiceName},
-        upstreams::{Birth, Known, UpstreamState},
+        upstreams::{Birth, KnownUpstream, UpstreamState},
     },
     ids::{InstanceId, RegionId, UpstreamId},
     time::Time,
@@ -63,10 +63,10 @@
     }
 
     /// What answers there.
-    pub(super) fn source(&self) -> Source {
+    pub(super) fn source(&self) -> StreamSource {
         match self {
-            Hop::Upstream { .. } => Source::Upstream,
-            Hop::Peer { .. } => Source::Instance,
+            Hop::Upstream { .. } => StreamSource::Upstream,
+            Hop::Peer { .. } => StreamSource::Instance,
         }
     }
 
@@ -129,7 +129,7 @@
         let accepted = spec.map_or(0, |spec| spec.connections) as usize;
         // Half of what it accepts, divided among the instances, is left for calls that take a new one.
         let idle = (accepted / 2 / self.exchange.instances()).max(1);
-        let (address, age) = (known.upstream.address, now - known.heard);
+        let (address, age) = (known.upstream.address, now - known.announced_at);
         let birth = known.upstream.birth;
         Some(Hop::Upstream { choice, birth, address, memory, cold_rate, idle, age })
     }
@@ -149,23 +149,23 @@
         // Needed for cold upstreams only.
         let entries = OnceCell::new();
         let upstreams = self.upstreams.borrow();
-        let usable: Vec<&Known> = upstreams
+        let usable: Vec<&KnownUpstream> = upstreams
             .of(service)
             .filter(|known| !tried.contains(&known.upstream.id))
             .filter(|known| self.is_usable(now, known, spec.cold_rate, &entries))
             .collect();
         let healths = self.healths.borrow();
         let own_zone = self.settings.borrow().card.zone.clone();
-        let is_fresh = |known: &Known| now - known.heard <= FRESH_FOR;
+        let is_fresh = |known: &KnownUpstream| now - known.announced_at <= ANNOUNCEMENT_LIFETIME;
         let has_fresh = usable.iter().any(|known| is_fresh(known));
         let candidates = usable.iter().filter(|known| is_fresh(known) == has_fresh);
         let candidates: Vec<Candidate> = candidates
             .map(|known| Candidate {
                 id: &known.upstream.id,
                 slots: known.upstream.slots,
-                memory,
-                failures: healths.failures(&known.upstream.id),
-                distance: match known.upstream.zone == own_zone {
+                memory_tokens: memory,
+                failure_rate: healths.failure_rate(&known.upstream.id),
+                round_trip: match known.upstream.zone == own_zone {
                     true => Duration::ZERO,
                     false => ZONE_TRIP,
                 },
@@ -174,16 +174,16 @@
         self.loads.borrow().choose(now, demand, &candidates, self.exchange.instances())
     }
 
-    fn is_cold(&self, now: Time, known: &Known) -> bool {
+    fn is_cold(&self, now: Time, known: &KnownUpstream) -> bool {
         let observations = self.healths.borrow().observations(&known.upstream.id);
-        let resumed = self.view.borrow().resumed(now);
-        let process = Process { started: self.started, resumed };
+        let resumed = self.view.borrow().last_resumed(now);
+        let process = ProcessTimes { started: self.started, resumed };
         self.suspicions.borrow().is_cold(now, known, observations, process)
     }
 
     /// Whether an upstream wants requests, by its answers.
-    fn availability(&self, now: Time, known: &Known) -> Availability {
-        let Known { upstream, .. } = known;
+    fn availability(&self, now: Time, known: &KnownUpstream) -> Availability {
+        let KnownUpstream { upstream, .. } = known;
         self.availabilities.borrow().of(now, &upstream.id, upstream.birth)
     }
 
@@ -199,8 +199,8 @@
                 && settings.region_of(&known.upstream.zone) == own
         });
         let rests = here.filter_map(|known| match self.availability(now, known) {
-            Availability::Resting { left } => Some(left),
-            Availability::Open | Availability::Leaving => None,
+            Availability::BackingOff { remaining: left } => Some(left),
+            Availability::Available | Availability::Leaving => None,
         });
         rests.min()
     }
@@ -210,7 +210,7 @@
     fn is_usable(
         &self,
         now: Time,
-        known: &Known,
+        known: &KnownUpstream,
         cold_rate: f64,
         entries: &OnceCell<Vec<InstanceId>>,
     ) -> bool {
@@ -221,7 +221,7 @@
     pub(super) fn is_open(
         &self,
         now: Time,
-        known: &Known,
+        known: &KnownUpstream,
         cold_rate: f64,
         entries: &OnceCell<Vec<InstanceId>>,
     ) -> bool {
@@ -235,19 +235,19 @@
         let settings = self.settings.borrow();
         let entries = entries.get_or_init(|| self.region_entries());
         let is_sender = self.view.borrow().is_settled(now)
-            && cold::sender(&upstream.id, entries) == Some(&settings.card.id);
+            && cold::designated_sender(&upstream.id, entries) == Some(&settings.card.id);
         is_sender && self.cold.borrow().may_send(now, &upstream.id, cold_rate)
     }
 
     /// Whether an upstream of the region takes new requests, by its announcements, its answers and the
     /// evacuated zones.
-    fn takes(&self, now: Time, known: &Known) -> bool {
+    fn takes(&self, now: Time, known: &KnownUpstream) -> bool {
         let upstream = &known.upstream;
         let settings = self.settings.borrow();
         upstream.state == UpstreamState::Ready
             && settings.region_of(&upstream.zone) == Some(&settings.card.region)
             && self.head.borrow().evacuated.binary_search(&upstream.zone).is_err()
-            && self.availability(now, known) == Availability::Open
+            && self.availability(now, known) == Availability::Available
     }
 
     /// Whether an incarnation that a request was decided for takes it still.
@@ -270,9 +270,9 @@
         let contacts = self.contacts.borrow();
         let is_fit = |contact: &&Contact| {
             contact.status.ready
-                && contact.card.region != own
-                && route.may_be_served_in(&contact.card.region)
-                && !tried.contains(&contact.card.id)
+                && contact.info.region != own
+                && route.may_be_served_in(&contact.info.region)
+                && !tried.contains(&contact.info.id)
         };
         let fit = contacts.live_entries(now).filter(is_fit);
         let waits = self.waits.borrow();
@@ -281,18 +281,25 @@
             let told = Duration::from_millis(waits[at.ok()?].wait_ms.into());
             let unread = self.away_unread(region);
             let upstreams = self.upstreams_in(region, service);
-            Some(away::cost(away::Region { told, unread, upstreams }, demand))
+            Some(remote_region::predicted_cost(
+                remote_region::RemoteService {
+                    reported_wait: told,
+                    pending_tokens: unread,
+                    upstreams,
+                },
+                demand,
+            ))
         };
         let fit: Vec<&Contact> = fit.collect();
-        let mut regions: Vec<&RegionId> = fit.iter().map(|it| &it.card.region).collect();
+        let mut regions: Vec<&RegionId> = fit.iter().map(|it| &it.info.region).collect();
         regions.sort();
         regions.dedup();
         let costs = regions.into_iter().filter_map(|region| Some((cost(region)?, region)));
         let (wait, region) = costs.min()?;
         // Any instance of that region will do; one alone would be flooded.
-        let there: Vec<&&Contact> = fit.iter().filter(|it| it.card.region == *region).collect();
+        let there: Vec<&&Contact> = fit.iter().filter(|it| it.info.region == *region).collect();
         let contact = there[rand::rng().random_range(0..there.len())];
-        let card = &contact.card;
+        let card = &contact.info;
         Some(Hop::Peer {
             id: card.id.clone(),
             region: card.region.clone(),
--- a/crates/medlarlug-gateway/src/entry/crashes.rs
+++ b/crates/medlarlug-gateway/src/entry/crashes.rs
@@ -147,7 +147,7 @@
             plan.route.may_be_served_in(region) && self.upstreams_in(region, &plan.service) > 0
         };
         let contacts = self.contacts.borrow();
-        let live = contacts.live_entries(now).map(|contact| &contact.card);
+        let live = contacts.live_entries(now).map(|contact| &contact.info);
         let others = live.filter(|card| card.id != own.id && can_try(&card.region));
         let mut instances: Vec<InstanceId> = others.map(|card| card.id.clone()).collect();
         if can_try(&own.region) {
@@ -228,7 +228,7 @@
     /// An upstream announces itself: an older one with its id or address has crashed, unless it
     /// said that it was leaving.
     pub(super) fn replaced_by(&self, upstream: &Upstream) {
-        let replaced = self.upstreams.borrow().crashed_before(upstream);
+        let replaced = self.upstreams.borrow().crashed_predecessors(upstream);
         for (id, birth) in replaced {
             let key = key(&id, birth);
             if self.crashes.borrow().has_unanswered(&key) {
@@ -249,7 +249,7 @@
         for (key, when) in lost {
             // It is cold when it comes back.
             if self.newest(&key.upstream).as_ref() == Some(&key) {
-                self.healths.borrow_mut().crashed(when, &key.upstream);
+                self.healths.borrow_mut().record_crash(when, &key.upstream);
             }
             if self.crashes.borrow().has_unanswered(&key) {
                 self.lose(key, "another instance reports it");
@@ -345,7 +345,7 @@
     let idle = entry.client.idle(address);
     if running == 0 && idle == 0 {
         tracing::warn!(upstream = %key.upstream, "no connection outlasted a broken one, the upstream may have crashed");
-        entry.healths.borrow_mut().crashed(began, &key.upstream);
+        entry.healths.borrow_mut().record_crash(began, &key.upstream);
         if http_client::is_refused(address, PROBE_LIMIT).await {
             entry.lose(key.clone(), "it refuses connections");
         }
--- a/crates/medlarlug-gateway/src/entry/forwarded.rs
+++ b/crates/medlarlug-gateway/src/entry/forwarded.rs
@@ -2,18 +2,18 @@
 
 use hyper::{HeaderMap, header::HeaderValue};
 use medlarlug::transport::body::Answer;
-use medlarlug_core::gateway::handover::{Handover, Report};
+use medlarlug_core::gateway::handover::{Handover, HandoverReport};
 use serde::{Serialize, de::DeserializeOwned};
 
 /// Header of a call that was handed over: a [`Handover`] in JSON.
 pub(super) const HEADER: &str = "medlarlug-forwarded";
-/// Header of an answer to such a call: a [`Report`] in JSON.
+/// Header of an answer to such a call: a [`HandoverReport`] in JSON.
 const REPORT: &str = "medlarlug-report";
 
 /// The answer to a call, with what this instance did to get it.
 pub(super) struct Reported {
     pub(super) answer: Answer,
-    pub(super) report: Report,
+    pub(super) report: HandoverReport,
 }
 
 impl Reported {
@@ -36,7 +36,7 @@
 }
 
 /// What another instance reports with an answer; `None` if there is no readable report.
-pub(super) fn report(headers: &HeaderMap) -> Option<Report> {
+pub(super) fn report(headers: &HeaderMap) -> Option<HandoverReport> {
     let report = headers.get(REPORT).and_then(decode);
     if report.is_none() {
         tracing::warn!(
--- a/crates/medlarlug-gateway/src/entry/limited.rs
+++ b/crates/medlarlug-gateway/src/entry/limited.rs
@@ -1,7 +1,7 @@
 //! Upstreams that name a limit on the requests of all entry instances together.
 //!
 //! What an instance hears of a limit goes to all instances of the region, and each request to such an
-//! upstream uses a permit; see [`medlarlug_core::gateway::allotment`]. Questions, permits and news travel
+//! upstream uses a permit; see [`medlarlug_core::gateway::permits`]. Questions, permits and news travel
 //! as datagrams: a lost one is asked again, or made up for by the next answer.
 
 use std::{
@@ -14,10 +14,10 @@
 use hyper::{HeaderMap, header::HeaderName};
 use medlarlug_core::{
     gateway::{
-        allotment::{Allotter, Grant, Pace, Permits, Want},
         cold,
-        named_limits::{LimitError, NamedLimit, NamedLimits, Said},
-        upstreams::{Birth, Known},
+        permits::{PermitAllocator, PermitGrant, PermitRate, PermitRequest, Permits},
+        upstream_limits::{LimitError, LimitHeader, UpstreamLimit, UpstreamLimits},
+        upstreams::{Birth, KnownUpstream},
     },
     ids::{InstanceId, UpstreamId},
     time::Time,
@@ -43,9 +43,9 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum LimitMessage {
     /// An upstream has named a limit, or names none any more.
-    Limit { upstream: UpstreamId, birth: Birth, limit: Option<NamedLimit> },
+    Limit { upstream: UpstreamId, birth: Birth, limit: Option<UpstreamLimit> },
     /// An instance has calls for an upstream with a limit.
-    Ask { from: InstanceId, upstream: UpstreamId, birth: Birth, limit: NamedLimit, calls: u32 },
+    Ask { from: InstanceId, upstream: UpstreamId, birth: Birth, limit: UpstreamLimit, calls: u32 },
     /// The answer of the allotter.
     Grant { upstream: UpstreamId, birth: Birth, permits: u32 },
 }
@@ -55,15 +55,15 @@
 pub(super) struct LimitedUpstream {
     id: UpstreamId,
     birth: Birth,
-    limit: NamedLimit,
+    limit: UpstreamLimit,
 }
 
 /// What an instance knows of such limits.
 #[derive(Default)]
 pub(super) struct Limited {
-    limits: RefCell<NamedLimits>,
+    limits: RefCell<UpstreamLimits>,
     permits: RefCell<Permits>,
-    allotter: RefCell<Allotter>,
+    allotter: RefCell<PermitAllocator>,
     /// News that are to be sent.
     news: RefCell<Vec<LimitMessage>>,
     noted: Notify,
@@ -105,14 +105,14 @@
 }
 
 /// What the head of an answer says about a limit.
-fn read(headers: &HeaderMap, name: &HeaderName) -> Said {
-    let Some(value) = headers.get(name) else { return Said::None };
-    let limit: Result<NamedLimit, LimitError> = value.to_str().unwrap_or_default().parse();
+fn read(headers: &HeaderMap, name: &HeaderName) -> LimitHeader {
+    let Some(value) = headers.get(name) else { return LimitHeader::Absent };
+    let limit: Result<UpstreamLimit, LimitError> = value.to_str().unwrap_or_default().parse();
     match limit {
-        Ok(limit) => Said::Limit(limit),
+        Ok(limit) => LimitHeader::Limit(limit),
         Err(error) => {
             tracing::warn!(?value, %error, "limit can't be read, the upstream keeps the one before or the lowest");
-            Said::Unreadable
+            LimitHeader::Invalid
         }
     }
 }
@@ -130,11 +130,11 @@
     ) {
         let said = read(headers, &self.names.limit);
         // What ends a limit has to come from the upstream itself.
-        if said == Said::None && !headers.contains_key(&self.names.signature) {
+        if said == LimitHeader::Absent && !headers.contains_key(&self.names.signature) {
             return;
         }
         let mut limits = self.limited.limits.borrow_mut();
-        if !limits.answered(self.now(), sent, id, birth, said) {
+        if !limits.record_answer(self.now(), sent, id, birth, said) {
             return;
         }
         let limit = limits.of(id, birth);
@@ -153,14 +153,14 @@
     }
 
     /// Whether the limit of an upstream, if it has one, leaves room for a request now.
-    pub(super) fn is_permitted(&self, now: Time, known: &Known) -> bool {
+    pub(super) fn is_permitted(&self, now: Time, known: &KnownUpstream) -> bool {
         let (id, birth) = (&known.upstream.id, known.upstream.birth);
         self.limited.limits.borrow().of(id, birth).is_none()
             || self.limited.permits.borrow().has(now, id, birth)
     }
 
     /// Uses a permit for a request that goes out to an upstream with a limit. Returns the limit.
-    pub(super) fn use_permit(&self, id: &UpstreamId, birth: Birth) -> Option<NamedLimit> {
+    pub(super) fn use_permit(&self, id: &UpstreamId, birth: Birth) -> Option<UpstreamLimit> {
         let limit = self.limited.limits.borrow().of(id, birth)?;
         self.limited.permits.borrow_mut().take(self.now(), id, birth);
         Some(limit)
@@ -173,7 +173,7 @@
         let mut is_asked = false;
         for LimitedUpstream { id, birth, .. } in limited {
             if !permits.has(now, id, *birth) {
-                permits.want(id, *birth, is_first);
+                permits.record_demand(id, *birth, is_first);
                 is_asked = true;
             }
         }
@@ -185,7 +185,8 @@
 
     /// Time between two permits that this instance can expect for upstreams with a limit.
     pub(super) fn permit_interval(&self, limited: &[LimitedUpstream]) -> Option<Duration> {
-        let pace: f64 = limited.iter().map(|it| Pace::whole(it.limit).per_second()).sum();
+        let pace: f64 =
+            limited.iter().map(|it| PermitRate::for_allocator(it.limit).per_second()).sum();
         let instances = self.exchange.instances() as f64;
         (!limited.is_empty()).then(|| Duration::from_secs_f64(instances / pace))
     }
@@ -222,7 +223,7 @@
         match message {
             LimitMessage::Limit { upstream, birth, limit } => {
                 tracing::info!(%upstream, birth = birth.0, limit = limit.map(tracing::field::display), %from, "told of the limit of an upstream");
-                self.limited.limits.borrow_mut().told(now, &upstream, birth, limit);
+                self.limited.limits.borrow_mut().apply_update(now, &upstream, birth, limit);
             }
             LimitMessage::Ask { from, upstream, birth, limit, calls } => {
                 if !self.allots(now, &upstream) {
@@ -231,12 +232,17 @@
                 }
                 let own = self.limited.limits.borrow().of(&upstream, birth);
                 let limit = own.map_or(limit, |own| if own < limit { own } else { limit });
-                let want = Want { from, upstream, birth, calls };
-                self.limited.allotter.borrow_mut().ask(now, want, Pace::whole(limit), 0.0);
+                let want = PermitRequest { from, upstream, birth, calls };
+                self.limited.allotter.borrow_mut().request(
+                    now,
+                    want,
+                    PermitRate::for_allocator(limit),
+                    0.0,
+                );
                 self.limited.noted.notify_one();
             }
             LimitMessage::Grant { upstream, birth, permits } => {
-                self.limited.permits.borrow_mut().hold(now, &upstream, birth, permits);
+                self.limited.permits.borrow_mut().add_granted(now, &upstream, birth, permits);
             }
         }
     }
@@ -244,12 +250,13 @@
     /// Whether this instance gives out the permits for an upstream.
     fn allots(&self, now: Time, upstream: &UpstreamId) -> bool {
         let entries = self.region_entries();
-        self.view.borrow().is_settled(now) && cold::sender(upstream, &entries) == Some(&self.id())
+        self.view.borrow().is_settled(now)
+            && cold::designated_sender(upstream, &entries) == Some(&self.id())
     }
 
     /// Asks for the permits that calls want: the allotter, or itself.
     fn ask_for_permits(&self, now: Time) -> (Vec<(InstanceId, LimitMessage)>, bool) {
-        let (wants, has_more) = self.limited.permits.borrow_mut().questions(now, &self.id());
+        let (wants, has_more) = self.limited.permits.borrow_mut().due_requests(now, &self.id());
         if wants.is_empty() {
             return (Vec::new(), has_more);
         }
@@ -260,21 +267,22 @@
             let Some(limit) = self.limited.limits.borrow().of(&want.upstream, want.birth) else {
                 continue;
             };
-            let allotter = cold::sender(&want.upstream, &entries).filter(|_| is_settled);
+            let allotter = cold::designated_sender(&want.upstream, &entries).filter(|_| is_settled);
             match allotter {
                 Some(other) if *other != want.from => {
-                    let Want { from, upstream, birth, calls } = want;
+                    let PermitRequest { from, upstream, birth, calls } = want;
                     let ask = LimitMessage::Ask { from, upstream, birth, limit, calls };
                     questions.push((other.clone(), ask));
                 }
                 Some(_) => {
-                    let pace = Pace::whole(limit);
-                    self.limited.allotter.borrow_mut().ask(now, want, pace, 0.0);
+                    let pace = PermitRate::for_allocator(limit);
+                    self.limited.allotter.borrow_mut().request(now, want, pace, 0.0);
                 }
                 None => {
-                    let pace = Pace::alone(limit, self.contacts.borrow().most_entries());
+                    let pace =
+                        PermitRate::for_isolated(limit, self.contacts.borrow().peak_entries());
                     let saved = rand::rng().random();
-                    self.limited.allotter.borrow_mut().ask(now, want, pace, saved);
+                    self.limited.allotter.borrow_mut().request(now, want, pace, saved);
                 }
             }
         }
@@ -287,16 +295,16 @@
         let (mut messages, has_more) = self.ask_for_permits(now);
         let own = self.id();
         for grant in self.limited.allotter.borrow_mut().grant(now) {
-            let Grant { to, upstream, birth, permits } = grant;
+            let PermitGrant { to, upstream, birth, permits } = grant;
             tracing::debug!(%upstream, instance = %to, permits, "permits granted");
             if to == own {
-                self.limited.permits.borrow_mut().hold(now, &upstream, birth, permits);
+                self.limited.permits.borrow_mut().add_granted(now, &upstream, birth, permits);
             } else {
                 messages.push((to, LimitMessage::Grant { upstream, birth, permits }));
             }
         }
         let news = std::mem::take(&mut *self.limited.news.borrow_mut());
-        let has_more = has_more || self.limited.allotter.borrow().is_asked();
+        let has_more = has_more || self.limited.allotter.borrow().has_waiters();
         if messages.is_empty() && news.is_empty() {
             return (Vec::new(), has_more);
         }
--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -40,19 +40,19 @@
 };
 use medlarlug_core::{
     gateway::{
-        availability::Availabilities,
-        away::USUAL_PROMPT,
-        budget::RetryWindow,
-        cold::{ColdSends, Suspicions},
-        contacts::{Card, Contacts, Part, RegionWait, Spare, Status},
-        exchange::Member,
-        health::Healths,
-        peer_loads::{LoadReport, Source},
-        placing::{Demand, Loads},
+        availability::AvailabilityTracker,
+        cold::{ColdDetector, ColdSendPacer},
+        contacts::{Contacts, InstanceInfo, InstanceKind, RegionWait, ServiceWait, Status},
+        health::HealthTracker,
+        keeper_view::{KEEPER_SOURCES, KeeperView},
+        load_exchange::Member,
+        peer_loads::{LoadReport, ReportSource},
+        placement::{Demand, Loads},
+        prefill_queue::QueueWaits,
+        remote_region::REFERENCE_PROMPT_TOKENS,
+        retry_budget::RetryWindow,
         table::{RouteTable, ServiceName, TableVersion},
-        turns::TurnWaits,
         upstreams::{Birth, Effect, UpstreamState, Upstreams},
-        view::{SOURCES, View},
     },
     ids::{InstanceId, RegionId, UpstreamId, ZoneId},
     time::Time,
@@ -117,20 +117,20 @@
     upstreams: RefCell<Upstreams>,
     contacts: RefCell<Contacts>,
     /// Which keepers this instance hears.
-    view: RefCell<View>,
+    view: RefCell<KeeperView>,
     loads: RefCell<Loads>,
     exchange: Exchange,
-    turn_waits: RefCell<TurnWaits>,
-    healths: RefCell<Healths>,
-    availabilities: RefCell<Availabilities>,
+    turn_waits: RefCell<QueueWaits>,
+    healths: RefCell<HealthTracker>,
+    availabilities: RefCell<AvailabilityTracker>,
     limited: Limited,
-    cold: RefCell<ColdSends>,
+    cold: RefCell<ColdSendPacer>,
     crashes: RefCell<Crashes>,
-    suspicions: RefCell<Suspicions>,
+    suspicions: RefCell<ColdDetector>,
     /// Predicted waits of other regions, sorted.
     waits: RefCell<Vec<RegionWait>>,
     /// What this instance could take over, and when that was predicted.
-    spare: RefCell<(Option<Time>, Vec<Spare>)>,
+    spare: RefCell<(Option<Time>, Vec<ServiceWait>)>,
     /// Prompt tokens handed over to each region and not answered yet, sorted by region.
     away: RefCell<Vec<(RegionId, u64)>>,
     /// Calls and repeats of each service, sorted by service.
@@ -277,7 +277,7 @@
         let settings = self.settings.borrow();
         let own = &settings.card;
         let contacts = self.contacts.borrow();
-        let live = contacts.live_entries(self.now()).map(|contact| &contact.card);
+        let live = contacts.live_entries(self.now()).map(|contact| &contact.info);
         let mut ids: Vec<InstanceId> =
             live.filter(|card| card.region == own.region).map(|card| card.id.clone()).collect();
         ids.push(own.id.clone());
@@ -290,9 +290,9 @@
     pub(crate) fn region_members(&self) -> (Member, Vec<(Member, SocketAddr)>) {
         let settings = self.settings.borrow();
         let own = &settings.card;
-        let member = |card: &Card| Member { id: card.id.clone(), zone: card.zone.clone() };
+        let member = |card: &InstanceInfo| Member { id: card.id.clone(), zone: card.zone.clone() };
         let contacts = self.contacts.borrow();
-        let live = contacts.live_entries(self.now()).map(|contact| &contact.card);
+        let live = contacts.live_entries(self.now()).map(|contact| &contact.info);
         let others = live.filter(|card| card.region == own.region && card.id != own.id);
         let mut all: Vec<(Member, SocketAddr)> =
             others.map(|card| (member(card), card.internal)).collect();
@@ -323,29 +323,29 @@
 
     /// What all instances of the region but one have under way, and how many they are.
     pub(crate) fn sum_for(&self, to: &InstanceId) -> (usize, Vec<LoadReport>) {
-        self.loads.borrow().sum_for(to)
+        self.loads.borrow().aggregate_for(to)
     }
 
     /// The own zone, what its instances have under way, and how many they are.
     pub(crate) fn zone_sum(&self) -> (ZoneId, usize, Vec<LoadReport>) {
-        let (instances, loads) = self.loads.borrow().zone_sum();
+        let (instances, loads) = self.loads.borrow().zone_aggregate();
         (self.settings.borrow().card.zone.clone(), instances, loads)
     }
 
     /// Drops reports of peers that count no more.
     pub(crate) fn forget_silent(&self) {
-        self.loads.borrow_mut().forget_silent(self.now());
+        self.loads.borrow_mut().drop_expired_reports(self.now());
     }
 
     /// Takes in what other instances have under way at some upstreams.
-    pub(crate) fn hear_changes(&self, from: &Source, changes: Vec<LoadReport>) {
+    pub(crate) fn hear_changes(&self, from: &ReportSource, changes: Vec<LoadReport>) {
         let mut loads = self.loads.borrow_mut();
-        changes.into_iter().for_each(|change| loads.hear_change(from, change));
+        changes.into_iter().for_each(|change| loads.apply_change(from, change));
     }
 
     /// Takes in what other instances have under way.
-    pub(crate) fn hear_loads(&self, from: Source, instances: usize, loads: Vec<LoadReport>) {
-        self.loads.borrow_mut().hear(self.now(), from, instances, loads);
+    pub(crate) fn hear_loads(&self, from: ReportSource, instances: usize, loads: Vec<LoadReport>) {
+        self.loads.borrow_mut().apply_report(self.now(), from, instances, loads);
     }
 
     fn on_news(&self, from: SocketAddr, news: News) {
@@ -357,10 +357,10 @@
             let before = self.upstreams.borrow().get(&id).map(|it| it.upstream.birth);
             self.replaced_by(&upstream);
             let effect = match state {
-                UpstreamState::Gone => self.upstreams.borrow_mut().leave_unknown(now, upstream),
+                UpstreamState::Gone => self.upstreams.borrow_mut().mark_unknown_gone(now, upstream),
                 _ => self.upstreams.borrow_mut().announce(now, upstream, age),
             };
-            self.upstreams.borrow_mut().told_by(from, &id, Birth(birth));
+            self.upstreams.borrow_mut().record_keeper(from, &id, Birth(birth));
             if effect != Effect::Changed {
                 continue;
             }
@@ -368,12 +368,12 @@
             let is_new = before.is_some_and(|before| before.0 < birth);
             if is_new {
                 self.healths.borrow_mut().forget(&id);
-                self.loads.borrow_mut().forget(&id);
+                self.loads.borrow_mut().reset(&id);
             }
         }
         self.take_contacts(now, news.contacts, news.pulses);
         if let Some(pulse) = &news.pulse {
-            self.upstreams.borrow_mut().take_pulse(now, from, pulse);
+            self.upstreams.borrow_mut().apply_heartbeat(now, from, pulse);
         }
         if !news.waits.is_empty() {
             *self.waits.borrow_mut() = news.waits;
@@ -390,14 +390,14 @@
     fn take_contacts(
         &self,
         now: Time,
-        changed: Vec<(Card, bool, u32)>,
+        changed: Vec<(InstanceInfo, bool, u32)>,
         pulses: Vec<(InstanceId, u32)>,
     ) {
         let mut contacts = self.contacts.borrow_mut();
         for (card, ready, age) in changed {
             let age = Duration::from_millis(age.into());
             let status = Status { ready, spare: Vec::new() };
-            contacts.hear(now, card, Some(status), age);
+            contacts.update(now, card, Some(status), age);
         }
         for (id, age) in pulses {
             contacts.renew(now, &id, Duration::from_millis(age.into()));
@@ -406,7 +406,7 @@
 
     /// Takes in which keepers there are now, for the view.
     fn look(&self) {
-        let stalled = self.view.borrow_mut().look(self.now(), &self.keepers());
+        let stalled = self.view.borrow_mut().update(self.now(), &self.keepers());
         if let Some(time) = stalled {
             let stalled_ms = time.as_millis() as u64;
             tracing::warn!(
@@ -422,8 +422,8 @@
         let own = self.card();
         let contacts = self.contacts.borrow();
         let distance = |address: &SocketAddr| {
-            let known = contacts.all().iter().find(|it| it.card.internal == *address);
-            known.map_or(3, |it| match &it.card {
+            let known = contacts.all().iter().find(|it| it.info.internal == *address);
+            known.map_or(3, |it| match &it.info {
                 card if card.zone == own.zone => 0,
                 card if card.region == own.region => 1,
                 _ => 2,
@@ -431,7 +431,7 @@
         };
         let mut open = self.links.open_to();
         open.sort_by_key(|address| (distance(address), *address));
-        open.truncate(SOURCES);
+        open.truncate(KEEPER_SOURCES);
         open
     }
 
@@ -444,10 +444,10 @@
             tracing::info!(round = head.round, evacuated = ?head.evacuated, was_away, ?restored, %from, "evacuated zones changed");
             let mut suspicions = self.suspicions.borrow_mut();
             match seen {
-                Some(zones) => zones.iter().for_each(|zone| suspicions.restored(now, zone)),
+                Some(zones) => zones.iter().for_each(|zone| suspicions.zone_restored(now, zone)),
                 None => restored.iter().for_each(|(zone, age)| {
                     let age = Duration::from_millis((*age).into());
-                    suspicions.restored(now.saturating_sub(age), zone);
+                    suspicions.zone_restored(now.saturating_sub(age), zone);
                 }),
             }
             own.round = head.round;
@@ -497,7 +497,7 @@
     }
 
     /// Waits that calls of usual size would have here, by service, as of the last ping or so.
-    fn spare(&self) -> Vec<Spare> {
+    fn spare(&self) -> Vec<ServiceWait> {
         let now = self.now();
         let mut spare = self.spare.borrow_mut();
         if spare.0.is_none_or(|when| now - when > SPARE_LIFETIME) {
@@ -506,15 +506,15 @@
         spare.1.clone()
     }
 
-    fn predict_spare(&self) -> Vec<Spare> {
+    fn predict_spare(&self) -> Vec<ServiceWait> {
         let Some(table) = self.table.borrow().clone() else { return Vec::new() };
         let spare = table.services().iter().map(|service| {
-            let prompt = service.engine.map_or(0, |_| USUAL_PROMPT);
-            let demand = Demand { prompt, rank: 1, ..Demand::default() };
+            let prompt = service.engine.map_or(0, |_| REFERENCE_PROMPT_TOKENS);
+            let demand = Demand { prompt_tokens: prompt, priority: 1, ..Demand::default() };
             let choice = self.choose_local(&table, &service.name, &demand, &[]);
             let wait = choice.map(|choice| self.cost(&choice).as_millis());
             let wait_ms = wait.map(|wait| u32::try_from(wait).unwrap_or(u32::MAX));
-            Spare { service: service.name.clone(), wait_ms }
+            ServiceWait { service: service.name.clone(), wait_ms }
         });
         spare.collect()
     }
@@ -530,7 +530,7 @@
 }
 
 impl Owner for Entry {
-    fn card(&self) -> Card {
+    fn card(&self) -> InstanceInfo {
         self.settings.borrow().card.clone()
     }
 
@@ -544,16 +544,16 @@
 
     fn keepers(&self) -> Vec<SocketAddr> {
         let contacts = self.contacts.borrow();
-        let heard = contacts.all().iter().filter(|it| it.card.part == Part::Keeper);
+        let heard = contacts.all().iter().filter(|it| it.info.part == InstanceKind::Keeper);
         let mut all = self.settings.borrow().contacts.clone();
-        all.extend(heard.map(|it| it.card.internal));
+        all.extend(heard.map(|it| it.info.internal));
         all.sort();
         all.dedup();
         all
     }
 
     fn opened(&self, address: SocketAddr) {
-        self.upstreams.borrow_mut().forget_teller(address);
+        self.upstreams.borrow_mut().forget_keeper(address);
         let facts = self.facts_to_keep();
         if !facts.is_empty() {
             self.links.send(address, &Message::Facts(facts));
@@ -563,7 +563,7 @@
     fn receive(&self, from: SocketAddr, message: Message) {
         let now = self.now();
         self.contacts.borrow_mut().renew_at(now, from);
-        self.view.borrow_mut().hear(now, from);
+        self.view.borrow_mut().record_keeper(now, from);
         self.look();
         match message {
             Message::News(news) => self.on_news(from, news),
--- a/crates/medlarlug-gateway/src/entry/plan.rs
+++ b/crates/medlarlug-gateway/src/entry/plan.rs
@@ -4,13 +4,13 @@
 
 use medlarlug_core::{
     gateway::{
-        budget::Spending,
+        attempt_timeout,
         handover::{Attempts, Handover},
-        patience,
-        placing::Choice,
-        silence::{self, Source},
+        placement::Choice,
+        prefill_queue::{self, PrefillDecision},
+        retry_budget::Spending,
+        stream_timeout::{self, StreamSource},
         table::{Route, RouteTable, ServiceName},
-        turns::{self, Turn},
     },
     time::Time,
 };
@@ -71,7 +71,7 @@
 
 impl Waiting {
     fn begin(entry: &Rc<Entry>, choice: &Choice) -> Waiting {
-        entry.loads.borrow_mut().waits(choice);
+        entry.loads.borrow_mut().enqueue(choice);
         entry.exchange.note(&choice.id);
         Waiting { entry: entry.clone(), choice: choice.clone() }
     }
@@ -79,7 +79,7 @@
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        self.entry.loads.borrow_mut().waits_no_longer(&self.choice);
+        self.entry.loads.borrow_mut().dequeue(&self.choice);
         self.entry.exchange.note(&self.choice.id);
     }
 }
@@ -110,11 +110,11 @@
         // The call does not stand in its own way.
         let own = self.waiting.as_ref().map(|it| &it.choice);
         if let Some(choice) = own {
-            entry.loads.borrow_mut().waits_no_longer(choice);
+            entry.loads.borrow_mut().dequeue(choice);
         }
         let hop = entry.choose(self, &call.demand);
         if let Some(choice) = own {
-            entry.loads.borrow_mut().waits(choice);
+            entry.loads.borrow_mut().enqueue(choice);
         }
         hop
     }
@@ -137,10 +137,10 @@
     }
 
     /// Whether the call goes to a hop now; only first attempts at engines wait for their turn.
-    pub(super) fn turn(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> Turn {
+    pub(super) fn turn(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> PrefillDecision {
         let turn = self.next_turn(entry, hop);
         self.waiting = match hop {
-            Some(Hop::Upstream { choice, .. }) if turn == Turn::Wait => {
+            Some(Hop::Upstream { choice, .. }) if turn == PrefillDecision::Wait => {
                 let same = self.waiting.take().filter(|it| it.choice.id == choice.id);
                 same.or_else(|| Some(Waiting::begin(entry, choice)))
             }
@@ -149,17 +149,18 @@
         turn
     }
 
-    fn next_turn(&self, entry: &Entry, hop: Option<&Hop>) -> Turn {
-        let Some(Hop::Upstream { choice, .. }) = hop else { return Turn::Go };
+    fn next_turn(&self, entry: &Entry, hop: Option<&Hop>) -> PrefillDecision {
+        let Some(Hop::Upstream { choice, .. }) = hop else { return PrefillDecision::Send };
         if self.attempts.arrivals() > 0 || !choice.is_long() {
-            return Turn::Go;
+            return PrefillDecision::Send;
         }
         let now = entry.now();
         let waited = now - self.began;
-        let is_free = entry.loads.borrow().is_free(now, choice, entry.exchange.instances());
-        let turn = turns::turn(is_free, waited, self.route.objective, self.route.priority);
-        if turn != Turn::Wait {
-            entry.turn_waits.borrow_mut().count(now, waited);
+        let is_free = entry.loads.borrow().can_admit(now, choice, entry.exchange.instances());
+        let turn =
+            prefill_queue::decide(is_free, waited, self.route.objective, self.route.priority);
+        if turn != PrefillDecision::Wait {
+            entry.turn_waits.borrow_mut().record(now, waited);
         }
         turn
     }
@@ -168,7 +169,7 @@
     /// longer tell.
     pub(super) fn count_broken(&mut self, hop: &Hop) {
         if matches!(hop, Hop::Peer { .. }) {
-            self.attempts.unreported();
+            self.attempts.record_missing_report();
         }
     }
 
@@ -176,8 +177,12 @@
     pub(super) fn silence_limit(&self, hop: &Hop) -> Option<Duration> {
         let source = hop.source();
         // Nothing is left after another instance, see `count_broken`.
-        let is_left = source == Source::Upstream && self.attempts.may_send();
-        silence::limit(source, self.route.pause, self.route.kind.is_repeatable() && is_left)
+        let is_left = source == StreamSource::Upstream && self.attempts.may_send();
+        stream_timeout::idle_timeout(
+            source,
+            self.route.pause,
+            self.route.kind.is_repeatable() && is_left,
+        )
     }
 
     /// Whether the call goes to model engines.
@@ -205,7 +210,7 @@
             Hop::Upstream { choice, age, .. } => {
                 self.tried.upstreams.push(choice.id.clone());
                 let (wait, age) = (choice.wait.as_millis(), age.as_millis());
-                let unread = choice.unread;
+                let unread = choice.prefill_tokens;
                 self.path.push(format!("{}(wait={wait}ms,unread={unread},age={age}ms)", choice.id));
             }
             Hop::Peer { id, .. } => {
@@ -216,17 +221,17 @@
             }
         }
         let left = self.end - entry.now();
-        let patience = patience::limit(patience::Attempt {
+        let patience = attempt_timeout::first_token_timeout(attempt_timeout::Attempt {
             source: hop.source(),
-            wait: hop.wait(),
+            predicted_wait: hop.wait(),
             objective: self.route.objective,
-            left,
-            is_last: !self.route.kind.is_repeatable() || self.attempts.left() <= 1,
+            time_left: left,
+            is_last: !self.route.kind.is_repeatable() || self.attempts.runs_left() <= 1,
         });
         let forwarded = match hop {
             Hop::Peer { .. } => forwarded::encode(&Handover {
                 version: self.table.version(),
-                route: Route { attempts: self.attempts.left().max(1), ..self.route.clone() },
+                route: Route { attempts: self.attempts.runs_left().max(1), ..self.route.clone() },
                 service: self.service.clone(),
                 arrivals: self.attempts.arrivals_left(),
             }),
@@ -250,7 +255,7 @@
         }
         if self.attempts.arrivals() > before {
             // What followed the first arrival at another instance was paid for there.
-            self.spending.arrived();
+            self.spending.record_arrival();
         }
         match (&outcome, hop) {
             (Outcome::NotRun(NotRun::Unreachable | NotRun::Misdirected), _) => {
--- a/crates/medlarlug-gateway/src/entry/relay.rs
+++ b/crates/medlarlug-gateway/src/entry/relay.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use medlarlug::{protocol::events, transport::body::Part};
-use medlarlug_core::gateway::health::CallEnd;
+use medlarlug_core::gateway::health::CallOutcome;
 use tokio::{
     sync::mpsc::Sender,
     time::{sleep, timeout},
@@ -56,7 +56,7 @@
             Step::Late => return plan.end(&entry, &call, Ended::TimedOut),
             Step::Broken => {}
         }
-        attempt::ended(&entry, stream.hop(), CallEnd::Broken);
+        attempt::ended(&entry, stream.hop(), CallOutcome::Broken);
         plan.count_broken(stream.hop());
         // Closes the connection before another upstream goes on.
         drop(stream);
--- a/crates/medlarlug-gateway/src/entry/serve.rs
+++ b/crates/medlarlug-gateway/src/entry/serve.rs
@@ -7,11 +7,11 @@
 use medlarlug::transport::body::{self, Answer, BodyError};
 use medlarlug_core::{
     gateway::{
-        budget::{Balance, Share, Spending},
-        handover::{Attempts, Handover, Report},
-        refusing::{self, Outlook, Verdict},
+        handover::{Attempts, Handover, HandoverReport},
+        load_shedding::{self, CallForecast, Verdict},
+        prefill_queue::PrefillDecision,
+        retry_budget::{Balance, InstanceShare, Spending},
         table::ServiceName,
-        turns::Turn,
     },
     time::Time,
 };
@@ -91,12 +91,12 @@
         let now = self.now();
         let share = self.share();
         let (is_taken, balance) = self.with_window(service, |window| {
-            (window.take(now, bounds, share), window.balance(bounds, share))
+            (window.try_take_retry(now, bounds, share), window.balance(bounds, share))
         });
         let name = if is_taken { names::REPEATS } else { names::REPEATS_DENIED };
         metrics::counter!(name).increment(1);
-        let Balance { calls, repeats, left } = balance;
-        let (share, instances) = (share.of(bounds), share.instances);
+        let Balance { calls, retries: repeats, remaining: left } = balance;
+        let (share, instances) = (share.allowance(bounds), share.instances);
         let up_ms = self.uptime().as_millis() as u64;
         tracing::info!(request = %call.id, %service, is_taken, calls, repeats, left, share, instances, up_ms, "repeat asked for");
         is_taken
@@ -108,32 +108,32 @@
         let spread = rand::rng().random();
         let interval = self.permit_interval(&self.limited_upstreams(plan));
         match (self.rest_left(&plan.service), interval) {
-            (_, Some(interval)) => Some(refusing::after(interval, left, spread)),
-            (Some(rest), None) => Some(refusing::after_rest(rest, spread)),
+            (_, Some(interval)) => Some(load_shedding::retry_after(interval, left, spread)),
+            (Some(rest), None) => Some(load_shedding::retry_after_backoff(rest, spread)),
             (None, None) => None,
         }
     }
 
     /// This instance's part of what services bear beyond the ratio of repeats.
-    fn share(&self) -> Share {
+    fn share(&self) -> InstanceShare {
         let is_first = self.settings.borrow().first_start;
-        Share {
-            instances: self.contacts.borrow().most_entries(),
-            age: (!is_first).then(|| self.uptime()),
-            has_seen_all: self.view.borrow().was_complete(),
+        InstanceShare {
+            instances: self.contacts.borrow().peak_entries(),
+            process_age: (!is_first).then(|| self.uptime()),
+            has_complete_view: self.view.borrow().was_complete(),
         }
     }
 
     fn count_call(&self, service: &ServiceName) {
         let bounds = self.settings.borrow().retries;
         let now = self.now();
-        self.with_window(service, |window| window.count(now, bounds));
+        self.with_window(service, |window| window.record_call(now, bounds));
     }
 
     fn with_window<T>(
         &self,
         service: &ServiceName,
-        act: impl FnOnce(&mut medlarlug_core::gateway::budget::RetryWindow) -> T,
+        act: impl FnOnce(&mut medlarlug_core::gateway::retry_budget::RetryWindow) -> T,
     ) -> T {
         let mut windows = self.windows.borrow_mut();
         let at = match windows.binary_search_by(|it| it.0.cmp(service)) {
@@ -165,7 +165,7 @@
         None => {
             tracing::warn!("a call from another instance without a readable route, refused");
             let call = Call::read(request.into_parts().0, &entry.names);
-            refusal(&entry, &call, NO_TABLE_AFTER, Report::REFUSED)
+            refusal(&entry, &call, NO_TABLE_AFTER, HandoverReport::REFUSED)
         }
     };
     reported.for_instance()
@@ -185,14 +185,14 @@
         Ok(plan) => plan,
         Err(reported) => return *reported,
     };
-    call.demand.rank = plan.route.priority;
+    call.demand.priority = plan.route.priority;
     let limit = plan.table.limits().body_bytes;
     match timeout(plan.end - entry.now(), body::read(incoming, limit)).await {
         Ok(Ok(bytes)) => call.take_body(bytes),
         Err(_) => {
             plan.end(entry, &call, Ended::TimedOut);
             let answer = plain(StatusCode::REQUEST_TIMEOUT, "the body took too long; not run");
-            return Reported { answer, report: Report::REFUSED };
+            return Reported { answer, report: HandoverReport::REFUSED };
         }
         Ok(Err(BodyError::TooLong { .. })) => {
             plan.end(entry, &call, Ended::Rejected);
@@ -241,7 +241,7 @@
     let table = entry.table.borrow().clone();
     let Some(table) = table else {
         tracing::info!(request = %call.id, outcome = "refused", "no table yet");
-        return Err(Box::new(refusal(entry, call, NO_TABLE_AFTER, Report::REFUSED)));
+        return Err(Box::new(refusal(entry, call, NO_TABLE_AFTER, HandoverReport::REFUSED)));
     };
     let is_forwarded = forwarded.is_some();
     let most_arrivals = forwarded.as_ref().map_or(MAX_ARRIVALS, |it| it.arrivals);
@@ -314,17 +314,24 @@
         }
         let wait = hop.as_ref().map(Hop::wait);
         let objective = plan.is_on_engines().then_some(plan.route.objective);
-        let mut verdict = refusing::judge(Outlook { wait, left, objective }, rand::rng().random());
+        let mut verdict = load_shedding::decide(
+            CallForecast { predicted_wait: wait, time_left: left, objective },
+            rand::rng().random(),
+        );
         if verdict == Verdict::Serve {
             match plan.turn(entry, hop.as_ref()) {
-                Turn::Go => {}
-                Turn::Wait => {
+                PrefillDecision::Send => {}
+                PrefillDecision::Wait => {
                     sleep(TURN_PAUSE.mul_f64(rand::rng().random_range(0.5..1.5))).await;
                     continue;
                 }
-                Turn::Refuse => {
-                    let after = refusing::after(plan.route.objective, left, rand::rng().random());
-                    verdict = Verdict::Refuse { after };
+                PrefillDecision::Refuse => {
+                    let after = load_shedding::retry_after(
+                        plan.route.objective,
+                        left,
+                        rand::rng().random(),
+                    );
+                    verdict = Verdict::Refuse { retry_after: after };
                 }
             }
         }
@@ -348,11 +355,13 @@
                     return Last::Refuse { after };
                 }
                 let own = match verdict {
-                    Verdict::Refuse { after } => match hop {
+                    Verdict::Refuse { retry_after: after } => match hop {
                         None => entry.time_back(plan, left).unwrap_or(after),
                         Some(_) => after,
                     },
-                    Verdict::Serve => refusing::after(Duration::ZERO, left, rand::rng().random()),
+                    Verdict::Serve => {
+                        load_shedding::retry_after(Duration::ZERO, left, rand::rng().random())
+                    }
                 };
                 tracing::info!(
                     request = %call.id,
@@ -433,7 +442,7 @@
 }
 
 /// Refuses a call as not run.
-fn refusal(entry: &Entry, call: &Call, after: Duration, report: Report) -> Reported {
+fn refusal(entry: &Entry, call: &Call, after: Duration, report: HandoverReport) -> Reported {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "not run; come back later");
     let seconds = format!("{:.3}", after.as_secs_f64());
     body::insert(answer.headers_mut(), header::RETRY_AFTER.as_str(), &seconds);
@@ -443,7 +452,7 @@
 
 /// Rejects a call that fits no route or breaks a limit.
 fn rejected(status: StatusCode, text: &'static str) -> Reported {
-    Reported { answer: plain(status, text), report: Report::REJECTED }
+    Reported { answer: plain(status, text), report: HandoverReport::REJECTED }
 }
 
 fn echo_id(entry: &Entry, call: &Call, answer: &mut Answer) {
--- a/crates/medlarlug-gateway/src/follower.rs
+++ b/crates/medlarlug-gateway/src/follower.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
-use medlarlug_core::gateway::contacts::{Card, Status};
+use medlarlug_core::gateway::contacts::{InstanceInfo, Status};
 use tokio::{task, time::MissedTickBehavior};
 
 use crate::link::{self, LinkError, LinkSender, Message, PING_INTERVAL};
@@ -13,7 +13,7 @@
 /// What a process does with its links to keepers.
 pub(crate) trait Owner: 'static {
     /// How the process introduces itself.
-    fn card(&self) -> Card;
+    fn card(&self) -> InstanceInfo;
     /// What it tells of its state in pings.
     fn status(&self) -> Status;
     /// Whether it wants renewals from the keeper at `address`, not only changes.
--- a/crates/medlarlug-gateway/src/keeper/loops.rs
+++ b/crates/medlarlug-gateway/src/keeper/loops.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use medlarlug_core::gateway::{
-    contacts::{self, Card},
+    contacts::{self, InstanceInfo},
     upstreams,
 };
 use tokio::{
@@ -40,15 +40,16 @@
 }
 
 async fn serve_link(keeper: Rc<Keeper>, stream: TcpStream) {
-    let (card, sender, mut receiver): (Card, _, LinkReceiver) = match link::accept(stream).await {
-        Ok(accepted) => accepted,
-        Err(error) => {
-            tracing::debug!(error = %chain(&error), "a link didn't begin");
-            return;
-        }
-    };
+    let (card, sender, mut receiver): (InstanceInfo, _, LinkReceiver) =
+        match link::accept(stream).await {
+            Ok(accepted) => accepted,
+            Err(error) => {
+                tracing::debug!(error = %chain(&error), "a link didn't begin");
+                return;
+            }
+        };
     let now = keeper.now();
-    let is_new = keeper.contacts.borrow_mut().hear(now, card.clone(), None, Duration::ZERO);
+    let is_new = keeper.contacts.borrow_mut().update(now, card.clone(), None, Duration::ZERO);
     tracing::info!(instance = %card.id, part = ?card.part, is_new, "link accepted");
     let link = keeper.subscribers.borrow_mut().add(card.id.clone(), card.part, sender);
     keeper.links.follow(&keeper);
@@ -68,7 +69,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let stalled = keeper.stall.borrow_mut().turn(keeper.now());
+        let stalled = keeper.stall.borrow_mut().tick(keeper.now());
         if let Some(time) = stalled {
             let stalled_ms = time.as_millis() as u64;
             tracing::warn!(
--- a/crates/medlarlug-gateway/src/keeper/mod.rs
+++ b/crates/medlarlug-gateway/src/keeper/mod.rs
@@ -31,9 +31,9 @@
 };
 use medlarlug_core::{
     gateway::{
-        cold::Suspicions,
-        contacts::{Card, Contacts, Part, Status},
-        stall::Stall,
+        cold::ColdDetector,
+        contacts::{Contacts, InstanceInfo, InstanceKind, Status},
+        stall::StallDetector,
         table::RouteTable,
         upstreams::{Effect, Renewal, UpstreamState, Upstreams},
     },
@@ -101,7 +101,7 @@
     last_call: Cell<u64>,
     head: RefCell<Head>,
     /// When evacuations of zones were withdrawn.
-    suspicions: RefCell<Suspicions>,
+    suspicions: RefCell<ColdDetector>,
     /// What entry instances have learned of contents that crash upstreams.
     facts: RefCell<FactLog>,
     /// What of that is on the disk, or on its way there.
@@ -110,7 +110,7 @@
     membership: RefCell<Option<Membership>>,
     table: RefCell<Option<Rc<RouteTable>>>,
     /// Stalls of this process, during which announcements queue.
-    stall: RefCell<Stall>,
+    stall: RefCell<StallDetector>,
     /// The oldest batch that the disk has not confirmed: its number and when it was handed over.
     unsynced: RefCell<Vec<(u64, Time)>>,
     /// The state machine failed; the process has to end.
@@ -154,7 +154,7 @@
             kept: RefCell::default(),
             membership: RefCell::default(),
             table: RefCell::default(),
-            stall: RefCell::new(Stall::new(STALL_LIMIT)),
+            stall: RefCell::new(StallDetector::new(STALL_LIMIT)),
             unsynced: RefCell::default(),
             failure: RefCell::default(),
         });
@@ -327,7 +327,7 @@
             settings.zones.iter().map(|it| it.0.clone()).collect()
         });
         let now = self.now();
-        restored.iter().for_each(|zone| self.suspicions.borrow_mut().restored(now, zone));
+        restored.iter().for_each(|zone| self.suspicions.borrow_mut().zone_restored(now, zone));
         *self.head.borrow_mut() = head;
     }
 
@@ -351,17 +351,17 @@
     fn on_news(&self, from: SocketAddr, news: News) {
         let now = self.now();
         // News that queued during a stall are older than they say.
-        let late = self.stall.borrow().age(now);
+        let late = self.stall.borrow().max_message_age(now);
         let mut is_changed = false;
         {
             let mut upstreams = self.upstreams.borrow_mut();
             for (upstream, age) in news.upstreams {
                 let age = Duration::from_millis(age.into()) + late;
-                let upstream = upstream.read_late(late);
+                let upstream = upstream.extend_cold(late);
                 let is_gone = upstream.state == UpstreamState::Gone;
                 let id = upstream.id.clone();
                 let effect = match is_gone {
-                    true => upstreams.leave_unknown(now, upstream),
+                    true => upstreams.mark_unknown_gone(now, upstream),
                     false => upstreams.announce(now, upstream, age),
                 };
                 if effect == Effect::Changed {
@@ -375,10 +375,10 @@
                 upstreams.renew(now, &Renewal { age_ms, ..renewal });
             }
             let mut contacts = self.contacts.borrow_mut();
-            let keepers = news.contacts.into_iter().filter(|it| it.0.part == Part::Keeper);
+            let keepers = news.contacts.into_iter().filter(|it| it.0.part == InstanceKind::Keeper);
             for (card, _, age) in keepers {
                 let age = Duration::from_millis(age.into());
-                contacts.hear(now, card, None, age);
+                contacts.update(now, card, None, age);
             }
         }
         is_changed |= self.learn_facts(&news.facts);
@@ -410,7 +410,7 @@
     }
 
     /// A message that came over a link that the peer opened.
-    fn on_subscriber(&self, link: u64, card: &Card, message: Message) {
+    fn on_subscriber(&self, link: u64, card: &InstanceInfo, message: Message) {
         let now = self.now();
         match message {
             Message::Ping { status, is_primary } => {
@@ -420,7 +420,7 @@
                 if was_ready != status.ready {
                     tracing::info!(instance = %card.id, ready = status.ready, "readiness changed");
                 }
-                contacts.hear(now, card.clone(), Some(status), Duration::ZERO);
+                contacts.update(now, card.clone(), Some(status), Duration::ZERO);
                 self.subscribers.borrow().send(&card.id, &Message::Pong);
             }
             Message::Seen(number) => self.subscribers.borrow_mut().seen(link, number),
@@ -440,7 +440,7 @@
                 self.run(|group, now, out| group.receive(now, from, message, out));
             }
             Message::Leaving { upstream, birth } => {
-                let effect = self.upstreams.borrow_mut().leaves(&upstream, birth);
+                let effect = self.upstreams.borrow_mut().mark_draining(&upstream, birth);
                 if effect == Effect::Changed {
                     let birth = birth.0;
                     tracing::info!(%upstream, birth, instance = %card.id, "upstream leaves, by its answer");
@@ -475,7 +475,7 @@
 const HANDOVER_PAUSE: Duration = Duration::from_millis(100);
 
 impl Owner for Keeper {
-    fn card(&self) -> Card {
+    fn card(&self) -> InstanceInfo {
         self.settings.borrow().card.clone()
     }
 
@@ -494,10 +494,10 @@
         let members = group.replica().membership().map(|it| it.members()).unwrap_or_default();
         let members = members.iter().filter_map(|member| address_of(&member.key.id, port));
         let contacts = self.contacts.borrow();
-        let heard = contacts.all().iter().filter(|it| it.card.part == Part::Keeper);
+        let heard = contacts.all().iter().filter(|it| it.info.part == InstanceKind::Keeper);
         let mut all: Vec<SocketAddr> = settings.contacts.clone();
         all.extend(members);
-        all.extend(heard.map(|it| it.card.internal));
+        all.extend(heard.map(|it| it.info.internal));
         all.sort();
         all.dedup();
         all
--- a/crates/medlarlug-gateway/src/keeper/requests.rs
+++ b/crates/medlarlug-gateway/src/keeper/requests.rs
@@ -8,7 +8,7 @@
 };
 use medlarlug_core::{
     gateway::{
-        contacts::directory,
+        contacts::entry_addresses,
         publication::{Command, Publication},
         table::{RouteTable, TableVersion},
         upstreams::{Effect, Upstream, UpstreamState},
@@ -54,8 +54,8 @@
         let id = upstream.id.clone();
         let (birth, sequence, state) = (upstream.birth.0, upstream.sequence, upstream.state);
         let now = self.now();
-        let age = self.stall.borrow().age(now);
-        let effect = self.upstreams.borrow_mut().announce_here(now, upstream, age);
+        let age = self.stall.borrow().max_message_age(now);
+        let effect = self.upstreams.borrow_mut().announce_local(now, upstream, age);
         self.count(effect);
         if effect == Effect::Changed {
             let age_ms = age.as_millis() as u64;
@@ -70,7 +70,7 @@
     /// Takes in that an upstream has left. Returns once every linked entry instance knows.
     pub async fn leave(&self, id: &UpstreamId, unknown: Upstream) {
         let now = self.now();
-        let effect = self.upstreams.borrow_mut().leave_unknown(now, unknown);
+        let effect = self.upstreams.borrow_mut().mark_unknown_gone(now, unknown);
         self.count(effect);
         if effect == Effect::Changed {
             tracing::info!(upstream = %id, "upstream left");
@@ -137,7 +137,7 @@
             (Some(table), Some(host)) => table.homes_of(host),
             _ => Vec::new(),
         };
-        directory(&self.contacts.borrow(), self.now(), zone, region, &homes)
+        entry_addresses(&self.contacts.borrow(), self.now(), zone, region, &homes)
     }
 
     /// Reads a table, as the settings say.
--- a/crates/medlarlug-gateway/src/link.rs
+++ b/crates/medlarlug-gateway/src/link.rs
@@ -11,9 +11,9 @@
 use medlarlug_core::{
     gateway::{
         cold::Evacuations,
-        contacts::{Card, RegionWait, Status},
+        contacts::{InstanceInfo, RegionWait, Status},
         table::TableVersion,
-        upstreams::{Birth, Pulse, Renewal, Upstream},
+        upstreams::{Birth, Heartbeat, Renewal, Upstream},
     },
     ids::{InstanceId, UpstreamId, ZoneId},
     replication,
@@ -54,7 +54,7 @@
     /// To keepers: upstreams that renewed themselves at the sender.
     pub renewals: Vec<Renewal>,
     /// To entry instances: that all upstreams were heard, but for some.
-    pub pulse: Option<Pulse>,
+    pub pulse: Option<Heartbeat>,
     /// The replicated state.
     pub head: Option<Head>,
     /// With the replicated state: the zones that were evacuated before, and how long ago that was
@@ -62,7 +62,7 @@
     pub restored: Vec<(ZoneId, u32)>,
     /// Instances that are new or have changed, whether each is ready, and for how long it was
     /// silent, in milliseconds.
-    pub contacts: Vec<(Card, bool, u32)>,
+    pub contacts: Vec<(InstanceInfo, bool, u32)>,
     /// All live instances, and for how long each was silent, in milliseconds.
     pub pulses: Vec<(InstanceId, u32)>,
     /// Predicted waits by region and service.
@@ -93,7 +93,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// The first message on a link, from the side that opened it.
-    Hello(Card),
+    Hello(InstanceInfo),
     /// Asks for a sign of life and tells the sender's state.
     Ping {
         /// The sender's state.
@@ -237,7 +237,7 @@
 /// The connection doesn't open in time.
 pub async fn open(
     address: SocketAddr,
-    card: Card,
+    card: InstanceInfo,
 ) -> Result<(LinkSender, LinkReceiver), LinkError> {
     let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
@@ -254,7 +254,9 @@
 /// # Errors
 ///
 /// The peer doesn't introduce itself in time.
-pub async fn accept(stream: TcpStream) -> Result<(Card, LinkSender, LinkReceiver), LinkError> {
+pub async fn accept(
+    stream: TcpStream,
+) -> Result<(InstanceInfo, LinkSender, LinkReceiver), LinkError> {
     let (sender, mut receiver) = split(stream);
     match receiver.receive().await? {
         Message::Hello(card) => Ok((card, sender, receiver)),
--- a/crates/medlarlug-gateway/src/loads.rs
+++ b/crates/medlarlug-gateway/src/loads.rs
@@ -16,8 +16,8 @@
 
 use medlarlug_core::{
     gateway::{
-        exchange::{Member, Plan, Role, SILENCE},
-        peer_loads::{LoadReport, Source, UpstreamKey, find},
+        load_exchange::{COLLECTOR_TIMEOUT, ExchangePlan, Member, Role},
+        peer_loads::{LoadReport, ReportSource, UpstreamKey, load_of},
     },
     ids::{InstanceId, UpstreamId, ZoneId},
     time::Time,
@@ -128,13 +128,13 @@
     /// Plans anew by who is alive now.
     fn plan(&self, own: &Member, region: &[(Member, SocketAddr)]) {
         let members: Vec<Member> = region.iter().map(|it| it.0.clone()).collect();
-        let plan = Plan::of(own, &members);
+        let plan = ExchangePlan::of(own, &members);
         let addressed = |ids: &[InstanceId]| -> Vec<Peer> {
             let known = ids.iter().filter_map(|id| region.iter().find(|it| it.0.id == *id));
             known.map(|(member, address)| (member.id.clone(), *address)).collect()
         };
         *self.report_to.borrow_mut() = addressed(&plan.report_to);
-        *self.sum_to.borrow_mut() = addressed(&plan.sum_to);
+        *self.sum_to.borrow_mut() = addressed(&plan.aggregate_to);
         self.instances.set(members.len());
         if self.role.replace(Some(plan.role)) != Some(plan.role) {
             let instances = members.len();
@@ -144,7 +144,7 @@
 
     /// Whether the collector at `place` is asked for sums.
     fn asks(&self, now: Time, place: usize) -> bool {
-        let is_silent = self.summed.get().is_none_or(|heard| now - heard > SILENCE);
+        let is_silent = self.summed.get().is_none_or(|heard| now - heard > COLLECTOR_TIMEOUT);
         self.role.get() == Some(Role::Reporter) && (place == 0 || is_silent)
     }
 
@@ -267,7 +267,7 @@
 ) -> Datagram {
     let is_whole = changed.is_none();
     let loads = match changed {
-        Some(changed) => changed.iter().map(|it| find(&loads, *it)).collect(),
+        Some(changed) => changed.iter().map(|it| load_of(&loads, *it)).collect(),
         None => loads,
     };
     Datagram::Sum { zone, is_whole, instances, loads: fit(loads) }
@@ -331,25 +331,25 @@
             if asks {
                 exchange.has_asked(now, (from.clone(), address));
             }
-            (Source::Peer(from), is_whole, 1, loads)
+            (ReportSource::Peer(from), is_whole, 1, loads)
         }
         (Datagram::Sum { zone: None, is_whole, instances, loads }, Some(Role::Reporter)) => {
             let is_first = exchange.report_to.borrow().first().is_some_and(|it| it.1 == address);
             if is_first {
                 exchange.summed.set(Some(now));
             }
-            (Source::Collector, is_whole, instances, loads)
+            (ReportSource::Collector, is_whole, instances, loads)
         }
         (
             Datagram::Sum { zone: Some(zone), is_whole, instances, loads },
             Some(Role::Collector { .. }),
-        ) => (Source::Zone(zone), is_whole, instances, loads),
+        ) => (ReportSource::Zone(zone), is_whole, instances, loads),
         _ => return,
     };
     if is_whole {
         entry.hear_loads(source, instances, loads);
     } else {
-        let is_own = matches!(source, Source::Peer(_));
+        let is_own = matches!(source, ReportSource::Peer(_));
         loads.iter().for_each(|load| exchange.pass_on(load.upstream, is_own));
         entry.hear_changes(&source, loads);
     }
--- a/crates/medlarlug-gateway/src/settings.rs
+++ b/crates/medlarlug-gateway/src/settings.rs
@@ -8,8 +8,8 @@
 
 use medlarlug_core::{
     gateway::{
-        budget::RetryBounds,
-        contacts::{Card, Part},
+        contacts::{InstanceInfo, InstanceKind},
+        retry_budget::RetryBounds,
         table::{RouteTable, TableVersion},
     },
     ids::{IdError, InstanceId, RegionId, ZoneId},
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
     /// The process's own id, zone and addresses.
-    pub card: Card,
+    pub card: InstanceInfo,
     /// Region of each zone, sorted by zone.
     pub zones: Vec<(ZoneId, RegionId)>,
     /// Internal addresses of some keepers.
@@ -65,7 +65,7 @@
 
     /// Whether the process is a keeper.
     pub fn is_keeper(&self) -> bool {
-        self.card.part == Part::Keeper
+        self.card.part == InstanceKind::Keeper
     }
 }
 
--- a/crates/medlarlug-gateway/src/subscribers.rs
+++ b/crates/medlarlug-gateway/src/subscribers.rs
@@ -9,9 +9,9 @@
 
 use medlarlug_core::{
     gateway::{
-        cold::Suspicions,
-        contacts::{Contacts, Part, RegionWait},
-        upstreams::{Known, Pulse, Renewal, Upstreams},
+        cold::ColdDetector,
+        contacts::{Contacts, InstanceKind, RegionWait},
+        upstreams::{Heartbeat, KnownUpstream, Renewal, Upstreams},
     },
     ids::InstanceId,
     suspects::FactLog,
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 struct Subscriber {
     id: InstanceId,
-    part: Part,
+    part: InstanceKind,
     /// Differs for each link, also of one process.
     link: u64,
     sender: LinkSender,
@@ -63,7 +63,7 @@
     pub(crate) upstreams: &'a Upstreams,
     pub(crate) contacts: &'a Contacts,
     pub(crate) head: &'a Head,
-    pub(crate) suspicions: &'a Suspicions,
+    pub(crate) suspicions: &'a ColdDetector,
     pub(crate) facts: &'a FactLog,
 }
 
@@ -71,7 +71,7 @@
 struct Round<'a> {
     now: Time,
     knowledge: Knowledge<'a>,
-    pulse: OnceCell<Pulse>,
+    pulse: OnceCell<Heartbeat>,
     pulses: OnceCell<Vec<(InstanceId, u32)>>,
     waits: OnceCell<Vec<RegionWait>>,
 }
@@ -82,14 +82,14 @@
         Round { now, knowledge, pulse, pulses, waits }
     }
 
-    fn pulse(&self) -> &Pulse {
-        self.pulse.get_or_init(|| self.knowledge.upstreams.pulse(self.now))
+    fn pulse(&self) -> &Heartbeat {
+        self.pulse.get_or_init(|| self.knowledge.upstreams.heartbeat(self.now))
     }
 
     fn pulses(&self) -> &Vec<(InstanceId, u32)> {
         self.pulses.get_or_init(|| {
             let live = self.knowledge.contacts.live(self.now);
-            live.map(|it| (it.card.id.clone(), millis(self.now - it.heard))).collect()
+            live.map(|it| (it.info.id.clone(), millis(self.now - it.last_seen))).collect()
         })
     }
 
@@ -107,12 +107,12 @@
 
 impl Subscribers {
     /// Adds a link and returns its number.
-    pub(crate) fn add(&mut self, id: InstanceId, part: Part, sender: LinkSender) -> u64 {
+    pub(crate) fn add(&mut self, id: InstanceId, part: InstanceKind, sender: LinkSender) -> u64 {
         self.last += 1;
         let link = self.last;
         let sent = Sent::default();
         // Keepers always want renewals.
-        let is_primary = part == Part::Keeper;
+        let is_primary = part == InstanceKind::Keeper;
         self.links.push(Subscriber {
             id,
             part,
@@ -143,7 +143,7 @@
     pub(crate) fn set_primary(&mut self, link: u64, is_primary: bool) {
         if let Ok(at) = self.place(link) {
             let it = &mut self.links[at];
-            it.is_primary = is_primary || it.part == Part::Keeper;
+            it.is_primary = is_primary || it.part == InstanceKind::Keeper;
         }
     }
 
@@ -169,7 +169,7 @@
 
     /// The news that entry instances have been sent and not taken in yet: pairs of link and number.
     pub(crate) fn unseen_by_entries(&self) -> Vec<(u64, u64)> {
-        let is_waiting = |it: &&Subscriber| it.part == Part::Entry && it.seen < it.number;
+        let is_waiting = |it: &&Subscriber| it.part == InstanceKind::Entry && it.seen < it.number;
         self.links.iter().filter(is_waiting).map(|it| (it.link, it.number)).collect()
     }
 
@@ -187,24 +187,25 @@
         let now = round.now;
         let Knowledge { upstreams, contacts, head, suspicions, facts } = round.knowledge;
         let mut news = News::default();
-        let is_keeper = self.part == Part::Keeper;
+        let is_keeper = self.part == InstanceKind::Keeper;
         // Another keeper hears the rest from whoever has heard it first.
-        let is_told = |known: &&Known| !is_keeper || known.is_local;
+        let is_told = |known: &&KnownUpstream| !is_keeper || known.is_local;
         if upstreams.change() > self.sent.upstreams {
-            let changed = upstreams.since(self.sent.upstreams).filter(is_told);
-            let told = changed.map(|it| (it.upstream.clone(), millis(now - it.heard)));
+            let changed = upstreams.changed_since(self.sent.upstreams).filter(is_told);
+            let told = changed.map(|it| (it.upstream.clone(), millis(now - it.announced_at)));
             news.upstreams = told.collect();
             self.sent.upstreams = upstreams.change();
         }
         if contacts.change() > self.sent.contacts {
-            let changed = contacts.since(self.sent.contacts);
-            let told = changed.map(|it| (it.card.clone(), it.status.ready, millis(now - it.heard)));
+            let changed = contacts.changed_since(self.sent.contacts);
+            let told =
+                changed.map(|it| (it.info.clone(), it.status.ready, millis(now - it.last_seen)));
             news.contacts = told.collect();
             self.sent.contacts = contacts.change();
         }
         if self.sent.head.as_ref() != Some(head) {
             news.head = Some(head.clone());
-            let restored = suspicions.all_restored().iter();
+            let restored = suspicions.restored_zones().iter();
             news.restored = restored.map(|it| (it.0.clone(), millis(now - it.1))).collect();
             self.sent.head = Some(head.clone());
         }
@@ -243,12 +244,12 @@
     }
 }
 
-fn renewal(now: Time, known: &Known) -> Renewal {
+fn renewal(now: Time, known: &KnownUpstream) -> Renewal {
     Renewal {
         id: known.upstream.id.clone(),
         birth: known.upstream.birth,
         sequence: known.upstream.sequence,
-        age_ms: millis(now - known.heard),
+        age_ms: millis(now - known.announced_at),
     }
 }
 
