--- a/crates/medlarlug-core/benches/limits.rs
+++ b/crates/medlarlug-core/benches/limits.rs
@@ -12,7 +12,7 @@
     fingerprint::Fingerprint,
     ids::{Incarnation, InstanceId, RequestId, TeamId, UpstreamId},
     limits::{DemandReport, Effect, Event, LimitPolicy, Limits, TeamLimit},
-    suspects::{Event as SuspectEvent, Suspects},
+    suspects::{Event as SuspectEvent, SuspectTracker},
     time::Time,
 };
 use rand::{RngExt, SeedableRng};
@@ -168,7 +168,7 @@
 }
 
 fn bench_placement() {
-    let mut core = Suspects::default();
+    let mut core = SuspectTracker::default();
     for number in 0..100 {
         let sent = SuspectEvent::Sent {
             request: parse(&format!("riga.entry-1.1.{number}")),
--- a/crates/medlarlug-core/src/suspects/fact_log.rs
+++ b/crates/medlarlug-core/src/suspects/fact_log.rs
@@ -3,13 +3,13 @@
 use std::collections::VecDeque;
 
 use crate::{
-    suspects::{Fact, LossLedger},
+    suspects::{CrashLedger, Fact},
     time::Time,
 };
 
 /// Contents that the log names at most; the oldest facts go first. At 19 bytes each, a receiver that
 /// has just connected is sent 150 KB.
-pub const MAX_CONTENTS_TOLD: usize = 8_192;
+pub const MAX_LOGGED_CONTENTS: usize = 8_192;
 
 /// The facts that a process passes on to others, each of which has been told a first part of them.
 ///
@@ -17,24 +17,24 @@
 /// use medlarlug_core::{
 ///     fingerprint::Fingerprint,
 ///     ids::Incarnation,
-///     suspects::{Fact, FactLog, LossKey, LossReport},
+///     suspects::{Fact, FactLog, CrashId, CrashReport},
 ///     time::Time,
 /// };
 /// use std::time::Duration;
 ///
-/// let key = LossKey { upstream: "engine-1".parse().unwrap(), incarnation: Incarnation(1) };
-/// let flying = vec![Fingerprint::of(b"crash")];
-/// let fact = Fact::Lost(LossReport { key, age: Duration::ZERO, flying, tried: Vec::new() });
+/// let key = CrashId { upstream: "engine-1".parse().unwrap(), incarnation: Incarnation(1) };
+/// let in_flight = vec![Fingerprint::of(b"crash")];
+/// let fact = Fact::Crashed(CrashReport { key, age: Duration::ZERO, in_flight, trials: Vec::new() });
 /// let mut log = FactLog::default();
 /// let told = log.end();
-/// log.learn(Time::ZERO, &fact);
-/// log.learn(Time::ZERO, &fact);
+/// log.apply(Time::ZERO, &fact);
+/// log.apply(Time::ZERO, &fact);
 /// assert_eq!(log.since(Time::ZERO, told), [fact]);
 /// assert!(log.since(Time::ZERO, log.end()).is_empty());
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct FactLog {
-    ledger: LossLedger,
+    ledger: CrashLedger,
     /// Number of the first fact that is kept.
     first: u64,
     facts: VecDeque<(Fact, Time)>,
@@ -44,24 +44,24 @@
 
 impl FactLog {
     /// Takes a fact in; tells whether it was new.
-    pub fn learn(&mut self, now: Time, fact: &Fact) -> bool {
-        if !self.ledger.learn(now, fact) {
+    pub fn apply(&mut self, now: Time, fact: &Fact) -> bool {
+        if !self.ledger.apply(now, fact) {
             return false;
         }
-        self.contents += fact.contents();
+        self.contents += fact.content_count();
         self.facts.push_back((fact.clone(), now));
-        while self.contents > MAX_CONTENTS_TOLD
+        while self.contents > MAX_LOGGED_CONTENTS
             && let Some((dropped, _)) = self.facts.pop_front()
         {
-            self.contents -= dropped.contents();
+            self.contents -= dropped.content_count();
             self.first += 1;
         }
         true
     }
 
-    /// The losses of contents that more than one loss counts against.
-    pub fn repeated_losses(&self, now: Time) -> Vec<Fact> {
-        self.ledger.repeated_losses(now)
+    /// The crashes of contents that more than one loss counts against.
+    pub fn repeated_crashes(&self, now: Time) -> Vec<Fact> {
+        self.ledger.repeated_crashes(now)
     }
 
     /// Forgets the facts that are too old.
@@ -77,6 +77,10 @@
     /// The facts after the first `told`, as they are told now.
     pub fn since(&self, now: Time, told: u64) -> Vec<Fact> {
         let skipped = told.saturating_sub(self.first) as usize;
-        self.facts.iter().skip(skipped).map(|(fact, learned)| fact.after(now - *learned)).collect()
+        self.facts
+            .iter()
+            .skip(skipped)
+            .map(|(fact, learned)| fact.aged_by(now - *learned))
+            .collect()
     }
 }
--- a/crates/medlarlug-core/src/suspects/isolation.rs
+++ b/crates/medlarlug-core/src/suspects/isolation.rs
@@ -6,8 +6,8 @@
     fingerprint::Fingerprint,
     ids::{Incarnation, RequestId, UpstreamId},
     suspects::{
-        Effect, Event, Fact, LossKey, LossLedger, LossReport, Placement, RESERVATION_LIFETIME,
-        Standing,
+        ContentStatus, CrashId, CrashLedger, CrashReport, Effect, Event, Fact, Placement,
+        RESERVATION_LIFETIME,
     },
     time::Time,
 };
@@ -33,11 +33,11 @@
 /// use medlarlug_core::{
 ///     fingerprint::Fingerprint,
 ///     ids::Incarnation,
-///     suspects::{Event, Placement, Standing, Suspects},
+///     suspects::{Event, Placement, ContentStatus, SuspectTracker},
 ///     time::Time,
 /// };
 ///
-/// let (mut core, mut out) = (Suspects::default(), Vec::new());
+/// let (mut core, mut out) = (SuspectTracker::default(), Vec::new());
 /// let content = Fingerprint::of(b"content");
 /// let upstream: medlarlug_core::ids::UpstreamId = "engine-1".parse().unwrap();
 /// let incarnation = Incarnation(1);
@@ -48,22 +48,22 @@
 ///     incarnation,
 /// };
 /// core.handle(Time::ZERO, sent, &mut out);
-/// core.handle(Time::ZERO, Event::UpstreamLost { upstream, incarnation }, &mut out);
-/// assert_eq!(core.standing(Time::ZERO, content), Standing::Suspect);
+/// core.handle(Time::ZERO, Event::UpstreamCrashed { upstream, incarnation }, &mut out);
+/// assert_eq!(core.status(Time::ZERO, content), ContentStatus::Suspect);
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Suspects {
-    ledger: LossLedger,
+pub struct SuspectTracker {
+    ledger: CrashLedger,
     flights: Vec<Flight>,
     /// Contents that have run to their end here, and when they last did, sorted.
     sound: Vec<(Fingerprint, Time)>,
     reserved: Vec<(UpstreamId, Time)>,
 }
 
-impl Suspects {
+impl SuspectTracker {
     /// What the facts say about `fingerprint`; a quarantined one is refused at once.
-    pub fn standing(&self, now: Time, fingerprint: Fingerprint) -> Standing {
-        self.ledger.standing(now, fingerprint)
+    pub fn status(&self, now: Time, fingerprint: Fingerprint) -> ContentStatus {
+        self.ledger.status(now, fingerprint)
     }
 
     /// Whether a request with this content may run on `upstream`.
@@ -73,18 +73,18 @@
         fingerprint: Fingerprint,
         upstream: &UpstreamId,
     ) -> Placement {
-        let is_suspect = match self.standing(now, fingerprint) {
-            Standing::Quarantined { .. } => return Placement::Barred,
-            standing => standing == Standing::Suspect,
+        let is_suspect = match self.status(now, fingerprint) {
+            ContentStatus::Quarantined { .. } => return Placement::Denied,
+            standing => standing == ContentStatus::Suspect,
         };
         if is_suspect && self.flights.iter().any(|it| it.fingerprint == fingerprint) {
-            return Placement::Barred;
+            return Placement::Denied;
         }
         let is_empty = !self.flights.iter().any(|it| it.upstream == *upstream);
         match (self.has_suspect(now, upstream), is_suspect && !is_empty) {
-            (true, _) => Placement::Barred,
-            (false, true) => Placement::Shared,
-            (false, false) => Placement::Free,
+            (true, _) => Placement::Denied,
+            (false, true) => Placement::LastResort,
+            (false, false) => Placement::Allowed,
         }
     }
 
@@ -95,12 +95,12 @@
     }
 
     /// The facts, for the state dump and for an instance that has just started.
-    pub fn ledger(&self) -> &LossLedger {
+    pub fn ledger(&self) -> &CrashLedger {
         &self.ledger
     }
 
     /// Whether nothing is suspected and nothing reserved, so that every placement is free.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.reserved.is_empty() && self.ledger.is_empty()
     }
 
@@ -111,13 +111,13 @@
     }
 
     /// Whether a trial of a content is under way, or has ended without an answer and without a finding.
-    pub fn is_tried(&self, fingerprint: Fingerprint) -> bool {
+    pub fn is_on_trial(&self, fingerprint: Fingerprint) -> bool {
         self.flights.iter().any(|it| it.trial && it.fingerprint == fingerprint)
     }
 
     /// Takes in facts that arrived together.
-    pub fn learn_all(&mut self, now: Time, facts: &[Fact], out: &mut Vec<Effect>) {
-        if self.ledger.learn_all(now, facts) {
+    pub fn apply_all(&mut self, now: Time, facts: &[Fact], out: &mut Vec<Effect>) {
+        if self.ledger.apply_all(now, facts) {
             facts.iter().for_each(|fact| self.clear_sound(now, fact, out));
         }
     }
@@ -126,28 +126,28 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Sent { request, fingerprint, upstream, incarnation } => {
-                let suspect = self.standing(now, fingerprint) != Standing::Clear;
+                let suspect = self.status(now, fingerprint) != ContentStatus::Clear;
                 let trial = self.ledger.trials(fingerprint).is_some();
                 let flight = Flight { request, fingerprint, upstream, incarnation, suspect, trial };
                 self.send(flight, out);
             }
-            Event::Answered { request } => self.answer(now, &request, out),
-            Event::Ended { request } => drop(self.land(&request, out)),
-            Event::UpstreamLost { upstream, incarnation } => {
+            Event::Completed { request } => self.answer(now, &request, out),
+            Event::Inconclusive { request } => drop(self.land(&request, out)),
+            Event::UpstreamCrashed { upstream, incarnation } => {
                 self.lose(now, upstream, incarnation, out);
             }
-            Event::Learned(fact) => self.learn_all(now, std::slice::from_ref(&fact), out),
+            Event::FactReceived(fact) => self.apply_all(now, std::slice::from_ref(&fact), out),
             Event::Reserved { upstream, lifetime } => {
                 self.reserve(upstream, now + lifetime.min(RESERVATION_LIFETIME));
             }
-            Event::Freed { upstream } => self.reserved.retain(|it| it.0 != upstream),
+            Event::ReservationReleased { upstream } => self.reserved.retain(|it| it.0 != upstream),
             Event::Tick => self.expire(now),
         }
     }
 
     /// A flight also counts as a suspect if its content became one after it was sent.
     fn is_suspect(&self, now: Time, flight: &Flight) -> bool {
-        flight.suspect || self.standing(now, flight.fingerprint) != Standing::Clear
+        flight.suspect || self.status(now, flight.fingerprint) != ContentStatus::Clear
     }
 
     fn is_reserved(&self, now: Time, upstream: &UpstreamId) -> bool {
@@ -179,7 +179,7 @@
         let found = self.flights.binary_search_by(|it| it.request.cmp(request)).ok()?;
         let flight = self.flights.remove(found);
         if flight.suspect {
-            out.push(Effect::Free { upstream: flight.upstream.clone() });
+            out.push(Effect::ReleaseReservation { upstream: flight.upstream.clone() });
         }
         Some(flight)
     }
@@ -192,16 +192,16 @@
             Ok(found) => self.sound[found].1 = now,
             Err(place) => self.sound.insert(place, (flight.fingerprint, now)),
         }
-        // A content that crashes upstreams crashes each one, so a whole run clears it of all losses,
+        // A content that crashes upstreams crashes each one, so a whole run clears it of all crashes,
         // those included that happened meanwhile elsewhere.
-        let losses = self.ledger.losses_of(flight.fingerprint);
-        let age = self.ledger.age_of(now, &losses);
+        let crashes = self.ledger.crashes_of(flight.fingerprint);
+        let age = self.ledger.newest_crash_age(now, &crashes);
         let Some(age) = age else {
             return;
         };
-        let fact = Fact::Cleared { fingerprint: flight.fingerprint, losses, age };
-        self.ledger.learn(now, &fact);
-        out.push(Effect::Share(fact));
+        let fact = Fact::Cleared { fingerprint: flight.fingerprint, crashes, age };
+        self.ledger.apply(now, &fact);
+        out.push(Effect::Publish(fact));
     }
 
     fn lose(
@@ -216,36 +216,36 @@
         if lost.is_empty() {
             return;
         }
-        let mut flying: Vec<Fingerprint> = lost.iter().map(|it| it.fingerprint).collect();
-        flying.sort_unstable();
-        flying.dedup();
+        let mut in_flight: Vec<Fingerprint> = lost.iter().map(|it| it.fingerprint).collect();
+        in_flight.sort_unstable();
+        in_flight.dedup();
         let trials = lost.iter().filter(|it| it.trial);
-        let mut tried: Vec<Fingerprint> = trials.map(|it| it.fingerprint).collect();
-        tried.sort_unstable();
-        tried.dedup();
-        let key = LossKey { upstream, incarnation };
-        let report = LossReport { key, age: Duration::ZERO, flying, tried };
-        let fact = Fact::Lost(report);
-        self.ledger.learn(now, &fact);
-        out.push(Effect::Share(fact.clone()));
+        let mut trials: Vec<Fingerprint> = trials.map(|it| it.fingerprint).collect();
+        trials.sort_unstable();
+        trials.dedup();
+        let key = CrashId { upstream, incarnation };
+        let report = CrashReport { key, age: Duration::ZERO, in_flight, trials };
+        let fact = Fact::Crashed(report);
+        self.ledger.apply(now, &fact);
+        out.push(Effect::Publish(fact.clone()));
         self.clear_sound(now, &fact, out);
         for flight in lost {
             self.land(&flight.request, out);
-            out.push(Effect::Lost { request: flight.request });
+            out.push(Effect::Interrupted { request: flight.request });
         }
     }
 
     /// Clears the contents of a loss that have run to their end here lately: many callers may send
     /// the same content, which is then in flight at whatever upstream is lost.
     fn clear_sound(&mut self, now: Time, fact: &Fact, out: &mut Vec<Effect>) {
-        let Fact::Lost(report) = fact else { return };
-        for &fingerprint in &report.flying {
+        let Fact::Crashed(report) = fact else { return };
+        for &fingerprint in &report.in_flight {
             let found = self.sound.binary_search_by_key(&fingerprint, |it| it.0);
             let is_sound = found.is_ok_and(|found| now - self.sound[found].1 < SOUND_FOR);
-            let losses = vec![report.key.clone()];
-            let fact = Fact::Cleared { fingerprint, losses, age: report.age };
-            if is_sound && self.ledger.learn(now, &fact) {
-                out.push(Effect::Share(fact));
+            let crashes = vec![report.key.clone()];
+            let fact = Fact::Cleared { fingerprint, crashes, age: report.age };
+            if is_sound && self.ledger.apply(now, &fact) {
+                out.push(Effect::Publish(fact));
             }
         }
     }
--- a/crates/medlarlug-core/src/suspects/mod.rs
+++ b/crates/medlarlug-core/src/suspects/mod.rs
@@ -5,7 +5,7 @@
 //! an upstream, so that the others clear themselves by completing. The evidence is a set of
 //! [`Fact`]s: losses, each named by the upstream and its incarnation, and clearances. Facts merge
 //! by set union in any order and any number of times, so every entry instance, and the home group
-//! of every region, reaches the same quarantines from the same [`LossLedger`] code.
+//! of every region, reaches the same quarantines from the same [`CrashLedger`] code.
 //!
 //! A whole run clears a content of every loss so far, and for a minute of those that follow: a content
 //! that crashes upstreams crashes each one, and a common one is in flight at whichever is lost.
@@ -41,10 +41,10 @@
 };
 
 pub use self::{
-    fact_log::{FactLog, MAX_CONTENTS_TOLD},
-    isolation::Suspects,
-    ledger::{LossLedger, Standing},
-    trials::{Trials, tester},
+    fact_log::{FactLog, MAX_LOGGED_CONTENTS},
+    isolation::SuspectTracker,
+    ledger::{ContentStatus, CrashLedger},
+    trials::{Trials, trial_instance},
 };
 
 /// First lifetime of a quarantine.
@@ -52,11 +52,11 @@
 /// Time for which facts are kept.
 pub const FACT_LIFETIME: Duration = Duration::from_secs(24 * 3_600);
 /// Losses that a ledger keeps at most; the oldest go first.
-pub const MAX_LOSSES_KEPT: usize = 1_024;
+pub const MAX_STORED_CRASHES: usize = 1_024;
 /// Losses that quarantine if one of them had no other request in flight.
-pub const QUARANTINING_LOSSES: usize = 2;
+pub const QUARANTINE_CRASHES_ISOLATED: usize = 2;
 /// Losses that quarantine whatever else was in flight.
-pub const CERTAIN_LOSSES: usize = 3;
+pub const QUARANTINE_CRASHES_SHARED: usize = 3;
 /// Time for which an upstream is reserved for one suspect at most.
 pub const RESERVATION_LIFETIME: Duration = Duration::from_secs(60);
 
@@ -64,13 +64,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fact {
     /// An upstream was lost without an explanation.
-    Lost(LossReport),
+    #[serde(rename = "Lost")]
+    Crashed(CrashReport),
     /// A suspect ran to its end.
     Cleared {
         /// Its content.
         fingerprint: Fingerprint,
         /// Losses that no longer count against it, sorted.
-        losses: Vec<LossKey>,
+        #[serde(rename = "losses")]
+        crashes: Vec<CrashId>,
         /// Time since the newest of these losses.
         age: Duration,
     },
@@ -78,21 +80,23 @@
 
 impl Fact {
     /// The fact as it is told `time` later.
-    pub fn after(&self, time: Duration) -> Fact {
+    pub fn aged_by(&self, time: Duration) -> Fact {
         match self.clone() {
-            Fact::Lost(report) => Fact::Lost(LossReport { age: report.age + time, ..report }),
-            Fact::Cleared { fingerprint, losses, age } => {
-                Fact::Cleared { fingerprint, losses, age: age + time }
+            Fact::Crashed(report) => {
+                Fact::Crashed(CrashReport { age: report.age + time, ..report })
+            }
+            Fact::Cleared { fingerprint, crashes, age } => {
+                Fact::Cleared { fingerprint, crashes, age: age + time }
             }
         }
     }
 
     /// The fact without its age, to tell whether two say the same.
-    pub fn ageless(&self) -> Fact {
+    pub fn without_age(&self) -> Fact {
         match self.clone() {
-            Fact::Lost(report) => Fact::Lost(LossReport { age: Duration::ZERO, ..report }),
-            Fact::Cleared { fingerprint, losses, .. } => {
-                Fact::Cleared { fingerprint, losses, age: Duration::ZERO }
+            Fact::Crashed(report) => Fact::Crashed(CrashReport { age: Duration::ZERO, ..report }),
+            Fact::Cleared { fingerprint, crashes, .. } => {
+                Fact::Cleared { fingerprint, crashes, age: Duration::ZERO }
             }
         }
     }
@@ -100,15 +104,15 @@
     /// Its age.
     pub fn age(&self) -> Duration {
         match self {
-            Fact::Lost(report) => report.age,
+            Fact::Crashed(report) => report.age,
             Fact::Cleared { age, .. } => *age,
         }
     }
 
     /// Contents that the fact names.
-    pub fn contents(&self) -> usize {
+    pub fn content_count(&self) -> usize {
         match self {
-            Fact::Lost(report) => report.flying.len(),
+            Fact::Crashed(report) => report.in_flight.len(),
             Fact::Cleared { .. } => 1,
         }
     }
@@ -116,7 +120,7 @@
 
 /// Names a loss.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct LossKey {
+pub struct CrashId {
     /// The upstream.
     pub upstream: UpstreamId,
     /// The incarnation that was lost.
@@ -125,28 +129,30 @@
 
 /// One upstream's loss as one entry instance saw it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LossReport {
+pub struct CrashReport {
     /// The loss.
-    pub key: LossKey,
+    pub key: CrashId,
     /// Time since it was noticed.
     pub age: Duration,
     /// Contents that the reporting instance had in flight there, sorted.
-    pub flying: Vec<Fingerprint>,
+    #[serde(rename = "flying")]
+    pub in_flight: Vec<Fingerprint>,
     /// Those of them that were quarantined and ran as a trial, sorted.
-    pub tried: Vec<Fingerprint>,
+    #[serde(rename = "tried")]
+    pub trials: Vec<Fingerprint>,
 }
 
 /// Whether a request may run on an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Placement {
     /// It may.
-    Free,
+    Allowed,
     /// It is a suspect and would share the upstream with requests that are not; only if no other
     /// upstream is free.
-    Shared,
+    LastResort,
     /// It may not: a suspect runs there, the upstream is reserved for one, or the same suspected
     /// content is in flight already.
-    Barred,
+    Denied,
 }
 
 /// What happens to the requests in flight.
@@ -164,26 +170,26 @@
         incarnation: Incarnation,
     },
     /// A request got its whole answer.
-    Answered {
+    Completed {
         /// The request.
         request: RequestId,
     },
     /// A request ended in another way, which proves nothing.
-    Ended {
+    Inconclusive {
         /// The request.
         request: RequestId,
     },
     /// An upstream crashed: its lease ran out, or it came back under a new incarnation.
     ///
     /// A connection that fell silent, and a leaving upstream, are no loss.
-    UpstreamLost {
+    UpstreamCrashed {
         /// The upstream.
         upstream: UpstreamId,
         /// The incarnation that was lost.
         incarnation: Incarnation,
     },
     /// A fact came from a peer or from the home group.
-    Learned(Fact),
+    FactReceived(Fact),
     /// A peer of the zone reserved an upstream for a suspect.
     Reserved {
         /// The upstream.
@@ -192,7 +198,7 @@
         lifetime: Duration,
     },
     /// A peer of the zone gave its reservation up.
-    Freed {
+    ReservationReleased {
         /// The upstream.
         upstream: UpstreamId,
     },
@@ -205,9 +211,9 @@
 pub enum Effect {
     /// Send the fact to the home group and to the region's entry instances; the home group hands
     /// it on to the other regions.
-    Share(Fact),
+    Publish(Fact),
     /// The request's upstream was lost under it: decide on a retry, or give it up.
-    Lost {
+    Interrupted {
         /// The request.
         request: RequestId,
     },
@@ -219,7 +225,7 @@
         lifetime: Duration,
     },
     /// Tell the zone's entry instances that the reservation has ended.
-    Free {
+    ReleaseReservation {
         /// The upstream.
         upstream: UpstreamId,
     },
--- a/crates/medlarlug-core/src/suspects/trials.rs
+++ b/crates/medlarlug-core/src/suspects/trials.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Trials {
     /// The last loss that counts against it.
-    pub last: Time,
+    pub last_crash: Time,
     /// Trials that lost their upstream.
     pub failed: usize,
 }
@@ -49,24 +49,24 @@
     /// use medlarlug_core::{suspects::Trials, time::Time};
     /// use std::time::Duration;
     ///
-    /// let fresh = Trials { last: Time::ZERO, failed: 0 };
-    /// assert_eq!(fresh.next(0, None), Time::ZERO + Duration::from_secs(2));
-    /// let proved = Trials { last: Time::ZERO, failed: 2 };
-    /// assert_eq!(proved.next(0, None), Time::ZERO + Duration::from_secs(600));
+    /// let fresh = Trials { last_crash: Time::ZERO, failed: 0 };
+    /// assert_eq!(fresh.next_trial_at(0, None), Time::ZERO + Duration::from_secs(2));
+    /// let proved = Trials { last_crash: Time::ZERO, failed: 2 };
+    /// assert_eq!(proved.next_trial_at(0, None), Time::ZERO + Duration::from_secs(600));
     /// ```
-    pub fn next(self, attempts: u32, tried: Option<Time>) -> Time {
+    pub fn next_trial_at(self, attempts: u32, tried: Option<Time>) -> Time {
         let doublings = u32::try_from(self.failed).unwrap_or(u32::MAX).saturating_add(attempts);
         let pause = match self.failed {
             0..PROVING_TRIALS => (FIRST_PAUSE * 2u32.pow(doublings.min(5))).min(LONGEST_PAUSE),
             PROVING_TRIALS => QUARANTINE_LIFETIME,
             _ => FACT_LIFETIME,
         };
-        tried.max(Some(self.last)).unwrap_or(self.last) + pause
+        tried.max(Some(self.last_crash)).unwrap_or(self.last_crash) + pause
     }
 }
 
 /// The instance that tries a content, among those that could.
-pub fn tester(content: Fingerprint, instances: &[InstanceId]) -> Option<&InstanceId> {
+pub fn trial_instance(content: Fingerprint, instances: &[InstanceId]) -> Option<&InstanceId> {
     let content = content.to_string();
     instances.iter().max_by_key(|instance| rank(&content, instance.as_str()))
 }
--- a/crates/medlarlug-core/tests/testsuite/suspects.rs
+++ b/crates/medlarlug-core/tests/testsuite/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that crash upstreams: the bound on losses, and the clearing of the others.
+//! Requests that crash upstreams: the bound on crashes, and the clearing of the others.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
     fingerprint::Fingerprint,
     ids::{Incarnation, RequestId, UpstreamId},
     suspects::{
-        Effect, Event, Fact, LossKey, LossLedger, LossReport, Placement, QUARANTINE_LIFETIME,
-        Standing, Suspects,
+        ContentStatus, CrashId, CrashLedger, CrashReport, Effect, Event, Fact, Placement,
+        QUARANTINE_LIFETIME, SuspectTracker,
     },
     time::Time,
 };
@@ -20,47 +20,52 @@
     Fingerprint::of(&number.to_be_bytes())
 }
 
-fn key(upstream: u32) -> LossKey {
-    LossKey { upstream: id(&format!("engine-{upstream}")), incarnation: Incarnation(1) }
+fn key(upstream: u32) -> CrashId {
+    CrashId { upstream: id(&format!("engine-{upstream}")), incarnation: Incarnation(1) }
 }
 
 fn lost(upstream: u32, contents: &[u32]) -> Fact {
-    let mut flying: Vec<Fingerprint> = contents.iter().map(|it| content(*it)).collect();
-    flying.sort();
-    Fact::Lost(LossReport { key: key(upstream), age: Duration::ZERO, flying, tried: Vec::new() })
+    let mut in_flight: Vec<Fingerprint> = contents.iter().map(|it| content(*it)).collect();
+    in_flight.sort();
+    Fact::Crashed(CrashReport {
+        key: key(upstream),
+        age: Duration::ZERO,
+        in_flight,
+        trials: Vec::new(),
+    })
 }
 
 fn cleared(number: u32, upstreams: &[u32]) -> Fact {
-    let losses = upstreams.iter().map(|it| key(*it)).collect();
-    Fact::Cleared { fingerprint: content(number), losses, age: Duration::ZERO }
+    let crashes = upstreams.iter().map(|it| key(*it)).collect();
+    Fact::Cleared { fingerprint: content(number), crashes, age: Duration::ZERO }
 }
 
-fn ledger(facts: &[Fact]) -> LossLedger {
-    let mut ledger = LossLedger::default();
+fn ledger(facts: &[Fact]) -> CrashLedger {
+    let mut ledger = CrashLedger::default();
     for fact in facts {
-        ledger.learn(Time::ZERO, fact);
+        ledger.apply(Time::ZERO, fact);
     }
     ledger
 }
 
-fn is_quarantined(ledger: &LossLedger, number: u32) -> bool {
-    matches!(ledger.standing(Time::ZERO, content(number)), Standing::Quarantined { .. })
+fn is_quarantined(ledger: &CrashLedger, number: u32) -> bool {
+    matches!(ledger.status(Time::ZERO, content(number)), ContentStatus::Quarantined { .. })
 }
 
 /// Entry instances that route over shared upstreams, with callers who send what was lost again.
 struct Trial {
     random: ChaCha8Rng,
     now: Time,
-    entries: Vec<Suspects>,
+    entries: Vec<SuspectTracker>,
     /// Current incarnation of each upstream.
     upstreams: Vec<u64>,
     /// Content, request, entry and upstream of each request in flight, and whether all other
     /// requests in flight there have to end first.
-    flying: Vec<(u32, RequestId, usize, usize)>,
+    in_flight: Vec<(u32, RequestId, usize, usize)>,
     waiting: Vec<(u32, usize)>,
     mail: Vec<Event>,
     sequence: u64,
-    losses: usize,
+    crashes: usize,
     done: Vec<u32>,
     refused: Vec<u32>,
 }
@@ -70,13 +75,13 @@
         Trial {
             random: ChaCha8Rng::seed_from_u64(seed),
             now: Time::ZERO,
-            entries: vec![Suspects::default(); entries],
+            entries: vec![SuspectTracker::default(); entries],
             upstreams: vec![1; upstreams],
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             waiting: Vec::new(),
             mail: Vec::new(),
             sequence: 0,
-            losses: 0,
+            crashes: 0,
             done: Vec::new(),
             refused: Vec::new(),
         }
@@ -91,11 +96,13 @@
         self.entries[entry].handle(self.now, event, &mut out);
         for effect in out {
             match effect {
-                Effect::Share(fact) => self.mail.push(Event::Learned(fact)),
-                Effect::Reserve { .. } | Effect::Free { .. } => self.reserve(entry, effect),
-                Effect::Lost { request } => {
-                    let place = self.flying.iter().position(|it| it.1 == request).unwrap();
-                    let (content, _, entry, _) = self.flying.remove(place);
+                Effect::Publish(fact) => self.mail.push(Event::FactReceived(fact)),
+                Effect::Reserve { .. } | Effect::ReleaseReservation { .. } => {
+                    self.reserve(entry, effect)
+                }
+                Effect::Interrupted { request } => {
+                    let place = self.in_flight.iter().position(|it| it.1 == request).unwrap();
+                    let (content, _, entry, _) = self.in_flight.remove(place);
                     self.waiting.push((content, entry));
                 }
             }
@@ -107,7 +114,7 @@
         for entry in (0..self.entries.len()).filter(|&it| it != from) {
             let event = match effect.clone() {
                 Effect::Reserve { upstream, lifetime } => Event::Reserved { upstream, lifetime },
-                Effect::Free { upstream } => Event::Freed { upstream },
+                Effect::ReleaseReservation { upstream } => Event::ReservationReleased { upstream },
                 _ => unreachable!("no reservation"),
             };
             self.feed(entry, event);
@@ -127,15 +134,15 @@
     /// Sends a content if an upstream is free for it.
     fn send(&mut self, number: u32, entry: usize) -> bool {
         let core = &self.entries[entry];
-        if matches!(core.standing(self.now, content(number)), Standing::Quarantined { .. }) {
+        if matches!(core.status(self.now, content(number)), ContentStatus::Quarantined { .. }) {
             self.refused.push(number);
             return true;
         }
         let is_free = |&it: &usize| {
             let upstream = self.upstream(it);
-            let is_empty = !self.flying.iter().any(|flight| flight.3 == it);
-            let is_clear = core.standing(self.now, content(number)) == Standing::Clear;
-            core.placement(self.now, content(number), &upstream) == Placement::Free
+            let is_empty = !self.in_flight.iter().any(|flight| flight.3 == it);
+            let is_clear = core.status(self.now, content(number)) == ContentStatus::Clear;
+            core.placement(self.now, content(number), &upstream) == Placement::Allowed
                 && (is_clear || is_empty)
         };
         let free: Vec<usize> = (0..self.upstreams.len()).filter(is_free).collect();
@@ -145,7 +152,7 @@
         let place = free[self.random.random_range(0..free.len())];
         self.sequence += 1;
         let request: RequestId = id(&format!("riga.entry-{entry}.1.{}", self.sequence));
-        self.flying.push((number, request.clone(), entry, place));
+        self.in_flight.push((number, request.clone(), entry, place));
         let sent = Event::Sent {
             request,
             fingerprint: content(number),
@@ -158,25 +165,25 @@
 
     /// Ends a request in flight, or loses the upstream if the request crashes it.
     fn end(&mut self, crashing: u32) {
-        let place = self.random.random_range(0..self.flying.len());
-        let (number, request, entry, upstream) = self.flying[place].clone();
+        let place = self.random.random_range(0..self.in_flight.len());
+        let (number, request, entry, upstream) = self.in_flight[place].clone();
         if number != crashing {
-            self.flying.remove(place);
+            self.in_flight.remove(place);
             self.done.push(number);
-            self.feed(entry, Event::Answered { request });
+            self.feed(entry, Event::Completed { request });
             return;
         }
-        self.losses += 1;
+        self.crashes += 1;
         let incarnation = Incarnation(self.upstreams[upstream]);
         self.upstreams[upstream] += 1;
         for entry in 0..self.entries.len() {
             let upstream = self.upstream(upstream);
-            self.feed(entry, Event::UpstreamLost { upstream, incarnation });
+            self.feed(entry, Event::UpstreamCrashed { upstream, incarnation });
         }
     }
 
     fn run(&mut self, crashing: u32) {
-        while !self.flying.is_empty() || !self.waiting.is_empty() {
+        while !self.in_flight.is_empty() || !self.waiting.is_empty() {
             self.now = self.now + Duration::from_millis(10);
             self.exchange();
             for (number, _) in std::mem::take(&mut self.waiting) {
@@ -185,7 +192,7 @@
                     self.waiting.push((number, entry));
                 }
             }
-            if !self.flying.is_empty() {
+            if !self.in_flight.is_empty() {
                 self.end(crashing);
             }
         }
@@ -201,15 +208,15 @@
 
         trial.run(5);
 
-        assert_eq!(trial.losses, 2, "seed {seed}");
+        assert_eq!(trial.crashes, 2, "seed {seed}");
         assert_eq!(trial.refused, [5], "seed {seed}");
         trial.done.sort();
         assert_eq!(trial.done, [0, 1, 2, 3, 4, 6, 7, 8, 9, 10, 11], "seed {seed}");
         for (entry, number) in (0..3).flat_map(|entry| (0..12).map(move |it| (entry, it))) {
-            let standing = trial.entries[entry].standing(trial.now, content(number));
+            let standing = trial.entries[entry].status(trial.now, content(number));
             match number {
-                5 => assert_matches!(standing, Standing::Quarantined { .. }, "seed {seed}"),
-                _ => assert_eq!(standing, Standing::Clear, "seed {seed}, content {number}"),
+                5 => assert_matches!(standing, ContentStatus::Quarantined { .. }, "seed {seed}"),
+                _ => assert_eq!(standing, ContentStatus::Clear, "seed {seed}, content {number}"),
             }
         }
     }
@@ -226,7 +233,7 @@
 
         // All first sends can be in flight at the first loss; then each of the three instances
         // runs one at a time.
-        assert!(trial.losses <= 2.max(sends) + 2, "seed {seed}: {} for {sends}", trial.losses);
+        assert!(trial.crashes <= 2.max(sends) + 2, "seed {seed}: {} for {sends}", trial.crashes);
         assert!(!trial.refused.iter().any(|it| *it != 5), "seed {seed}");
         assert_eq!(trial.done.len(), 10, "seed {seed}");
     }
@@ -262,8 +269,8 @@
 fn known_fact_is_not_worth_handing_on() {
     let mut ledger = ledger(&[lost(1, &[1]), cleared(1, &[1])]);
 
-    assert!(!ledger.learn(Time::from_millis(5), &lost(1, &[1])));
-    assert!(!ledger.learn(Time::from_millis(5), &cleared(1, &[1])));
+    assert!(!ledger.apply(Time::from_millis(5), &lost(1, &[1])));
+    assert!(!ledger.apply(Time::from_millis(5), &cleared(1, &[1])));
 }
 
 #[test]
@@ -271,7 +278,7 @@
     let ledger = ledger(&[lost(1, &[1, 2]), lost(2, &[1, 2])]);
 
     assert!(!is_quarantined(&ledger, 1) && !is_quarantined(&ledger, 2));
-    assert_eq!(ledger.standing(Time::ZERO, content(1)), Standing::Suspect);
+    assert_eq!(ledger.status(Time::ZERO, content(1)), ContentStatus::Suspect);
 }
 
 #[test]
@@ -279,8 +286,8 @@
     let ledger = ledger(&[lost(1, &[1, 2, 3]), lost(2, &[1, 2]), lost(3, &[1])]);
 
     assert!(is_quarantined(&ledger, 1));
-    assert_eq!(ledger.standing(Time::ZERO, content(2)), Standing::Clear);
-    assert_eq!(ledger.standing(Time::ZERO, content(3)), Standing::Clear);
+    assert_eq!(ledger.status(Time::ZERO, content(2)), ContentStatus::Clear);
+    assert_eq!(ledger.status(Time::ZERO, content(3)), ContentStatus::Clear);
 }
 
 #[test]
@@ -296,17 +303,17 @@
     let mut ledger = ledger(&[lost(1, &[1]), lost(2, &[1])]);
     let end = Time::ZERO + QUARANTINE_LIFETIME;
 
-    let expired = ledger.standing(end, content(1));
-    ledger.learn(end, &lost(3, &[1]));
-    let again = ledger.standing(end, content(1));
+    let expired = ledger.status(end, content(1));
+    ledger.apply(end, &lost(3, &[1]));
+    let again = ledger.status(end, content(1));
 
-    assert_eq!(expired, Standing::Suspect);
-    assert_eq!(again, Standing::Quarantined { after: QUARANTINE_LIFETIME * 2 });
+    assert_eq!(expired, ContentStatus::Suspect);
+    assert_eq!(again, ContentStatus::Quarantined { retry_after: QUARANTINE_LIFETIME * 2 });
 }
 
 #[test]
 fn suspect_has_its_upstream_alone() {
-    let mut core = Suspects::default();
+    let mut core = SuspectTracker::default();
     let engine: UpstreamId = id("engine-9");
     let sent = |number: u32, upstream: &UpstreamId| Event::Sent {
         request: id(&format!("riga.entry-1.1.{number}")),
@@ -314,22 +321,22 @@
         upstream: upstream.clone(),
         incarnation: Incarnation(1),
     };
-    core.handle(Time::ZERO, Event::Learned(lost(1, &[1, 2])), &mut Vec::new());
+    core.handle(Time::ZERO, Event::FactReceived(lost(1, &[1, 2])), &mut Vec::new());
     let mut out = Vec::new();
 
     core.handle(Time::ZERO, sent(1, &engine), &mut out);
 
     let place = |number, engine: &UpstreamId| core.placement(Time::ZERO, content(number), engine);
     assert_matches!(&out[..], [Effect::Reserve { upstream, .. }] if *upstream == engine);
-    assert_eq!(place(2, &engine), Placement::Barred);
-    assert_eq!(place(3, &engine), Placement::Barred);
-    assert_eq!(place(2, &id("engine-8")), Placement::Free);
-    assert_eq!(place(1, &id("engine-8")), Placement::Barred);
+    assert_eq!(place(2, &engine), Placement::Denied);
+    assert_eq!(place(3, &engine), Placement::Denied);
+    assert_eq!(place(2, &id("engine-8")), Placement::Allowed);
+    assert_eq!(place(1, &id("engine-8")), Placement::Denied);
 }
 
 #[test]
 fn suspect_shares_an_upstream_only_with_contents_that_are_clear() {
-    let mut core = Suspects::default();
+    let mut core = SuspectTracker::default();
     let sent = Event::Sent {
         request: id("riga.entry-1.1.1"),
         fingerprint: content(3),
@@ -337,15 +344,16 @@
         incarnation: Incarnation(1),
     };
     core.handle(Time::ZERO, sent, &mut Vec::new());
-    core.handle(Time::ZERO, Event::Learned(lost(1, &[1, 2])), &mut Vec::new());
+    core.handle(Time::ZERO, Event::FactReceived(lost(1, &[1, 2])), &mut Vec::new());
 
-    assert_eq!(core.placement(Time::ZERO, content(1), &id("engine-9")), Placement::Shared);
-    assert_eq!(core.placement(Time::ZERO, content(4), &id("engine-9")), Placement::Free);
+    assert_eq!(core.placement(Time::ZERO, content(1), &id("engine-9")), Placement::LastResort);
+    assert_eq!(core.placement(Time::ZERO, content(4), &id("engine-9")), Placement::Allowed);
 }
 
 #[test]
 fn reserved_upstream_takes_nothing_until_it_is_freed_or_the_reservation_ends() {
-    let (mut core, engine): (Suspects, UpstreamId) = (Suspects::default(), id("engine-9"));
+    let (mut core, engine): (SuspectTracker, UpstreamId) =
+        (SuspectTracker::default(), id("engine-9"));
     let reserved =
         || Event::Reserved { upstream: id("engine-9"), lifetime: Duration::from_secs(5) };
     let mut out = Vec::new();
@@ -353,17 +361,17 @@
     core.handle(Time::ZERO, reserved(), &mut out);
     let held = core.placement(Time::from_millis(4_999), content(1), &engine);
     let expired = core.placement(Time::from_millis(5_000), content(1), &engine);
-    core.handle(Time::ZERO, Event::Freed { upstream: engine.clone() }, &mut out);
+    core.handle(Time::ZERO, Event::ReservationReleased { upstream: engine.clone() }, &mut out);
     let freed = core.placement(Time::ZERO, content(1), &engine);
 
-    assert_eq!((held, expired, freed), (Placement::Barred, Placement::Free, Placement::Free));
+    assert_eq!((held, expired, freed), (Placement::Denied, Placement::Allowed, Placement::Allowed));
 }
 
 #[test]
 fn cleared_content_is_no_suspect_and_leaves_the_loss_to_the_others() {
     let company = ledger(&[lost(1, &[1, 2]), lost(2, &[1, 3]), cleared(2, &[1])]);
 
-    assert_eq!(company.standing(Time::ZERO, content(2)), Standing::Clear);
+    assert_eq!(company.status(Time::ZERO, content(2)), ContentStatus::Clear);
     assert!(is_quarantined(&company, 1));
 }
 
@@ -371,8 +379,8 @@
 fn clearance_counts_only_for_the_losses_it_names() {
     let ledger = ledger(&[cleared(1, &[1]), lost(1, &[1]), lost(2, &[1])]);
 
-    assert_eq!(ledger.losses_of(content(1)), [key(2)]);
-    assert_eq!(ledger.standing(Time::ZERO, content(1)), Standing::Suspect);
+    assert_eq!(ledger.crashes_of(content(1)), [key(2)]);
+    assert_eq!(ledger.status(Time::ZERO, content(1)), ContentStatus::Suspect);
 }
 
 fn request(number: u64) -> RequestId {
@@ -380,7 +388,7 @@
 }
 
 fn sent(number: u64, content: Fingerprint, upstream: u32) -> Event {
-    let LossKey { upstream, incarnation } = key(upstream);
+    let CrashId { upstream, incarnation } = key(upstream);
     Event::Sent { request: request(number), fingerprint: content, upstream, incarnation }
 }
 
@@ -388,41 +396,41 @@
 /// and it was refused for twenty minutes.
 #[test]
 fn content_that_runs_elsewhere_is_not_quarantined_for_upstreams_that_crash_together() {
-    let (mut core, mut out) = (Suspects::default(), Vec::new());
+    let (mut core, mut out) = (SuspectTracker::default(), Vec::new());
     let now = Time::from_millis(1_000);
     core.handle(Time::ZERO, sent(1, content(7), 1), &mut out);
-    core.handle(Time::ZERO, Event::Answered { request: request(1) }, &mut out);
+    core.handle(Time::ZERO, Event::Completed { request: request(1) }, &mut out);
     out.clear();
 
     for upstream in 1..=3 {
-        core.handle(now, Event::Learned(lost(upstream, &[7, 8])), &mut out);
+        core.handle(now, Event::FactReceived(lost(upstream, &[7, 8])), &mut out);
     }
 
-    assert_eq!(core.standing(now, content(7)), Standing::Clear);
-    assert_matches!(core.standing(now, content(8)), Standing::Quarantined { .. });
-    let told: Vec<Effect> = (1..=3).map(|it| Effect::Share(cleared(7, &[it]))).collect();
+    assert_eq!(core.status(now, content(7)), ContentStatus::Clear);
+    assert_matches!(core.status(now, content(8)), ContentStatus::Quarantined { .. });
+    let told: Vec<Effect> = (1..=3).map(|it| Effect::Publish(cleared(7, &[it]))).collect();
     assert_eq!(out, told);
 }
 
 #[test]
 fn run_that_began_before_a_loss_clears_its_content_as_well() {
-    let (mut core, mut out) = (Suspects::default(), Vec::new());
+    let (mut core, mut out) = (SuspectTracker::default(), Vec::new());
     core.handle(Time::ZERO, sent(1, content(7), 4), &mut out);
-    core.handle(Time::ZERO, Event::Learned(lost(1, &[7])), &mut out);
+    core.handle(Time::ZERO, Event::FactReceived(lost(1, &[7])), &mut out);
 
-    core.handle(Time::ZERO, Event::Answered { request: request(1) }, &mut out);
+    core.handle(Time::ZERO, Event::Completed { request: request(1) }, &mut out);
 
-    assert_eq!(core.standing(Time::ZERO, content(7)), Standing::Clear);
+    assert_eq!(core.status(Time::ZERO, content(7)), ContentStatus::Clear);
 }
 
 #[test]
 fn whole_run_speaks_for_its_content_for_a_minute_only() {
-    let (mut core, mut out) = (Suspects::default(), Vec::new());
+    let (mut core, mut out) = (SuspectTracker::default(), Vec::new());
     let later = Time::from_millis(61_000);
     core.handle(Time::ZERO, sent(1, content(7), 4), &mut out);
-    core.handle(Time::ZERO, Event::Answered { request: request(1) }, &mut out);
+    core.handle(Time::ZERO, Event::Completed { request: request(1) }, &mut out);
 
-    core.handle(later, Event::Learned(lost(1, &[7])), &mut out);
+    core.handle(later, Event::FactReceived(lost(1, &[7])), &mut out);
 
-    assert_eq!(core.standing(later, content(7)), Standing::Suspect);
+    assert_eq!(core.status(later, content(7)), ContentStatus::Suspect);
 }
--- a/crates/medlarlug-core/tests/testsuite/trials.rs
+++ b/crates/medlarlug-core/tests/testsuite/trials.rs
@@ -5,7 +5,7 @@
 use medlarlug_core::{
     fingerprint::Fingerprint,
     ids::Incarnation,
-    suspects::{Fact, LossKey, LossLedger, LossReport, tester},
+    suspects::{CrashId, CrashLedger, CrashReport, Fact, trial_instance},
     time::Time,
 };
 use test_support::id;
@@ -20,28 +20,28 @@
 }
 
 fn lost(upstream: usize, is_trial: bool) -> Fact {
-    let key = LossKey { upstream: id(&format!("engine-{upstream}")), incarnation: Incarnation(1) };
-    let tried = if is_trial { vec![content()] } else { Vec::new() };
-    Fact::Lost(LossReport { key, age: Duration::ZERO, flying: vec![content()], tried })
+    let key = CrashId { upstream: id(&format!("engine-{upstream}")), incarnation: Incarnation(1) };
+    let trials = if is_trial { vec![content()] } else { Vec::new() };
+    Fact::Crashed(CrashReport { key, age: Duration::ZERO, in_flight: vec![content()], trials })
 }
 
 /// When a content that crashes upstreams reaches them within a day, after `first` crashes at once; each crash is
 /// noticed `lag` later.
 fn arrivals(first: usize, lag: Duration) -> Vec<Time> {
-    let mut ledger = LossLedger::default();
+    let mut ledger = CrashLedger::default();
     let mut now = Time::ZERO;
     let mut arrivals = vec![now; first];
     (0..first).for_each(|number| {
-        ledger.learn(now, &lost(number, false));
+        ledger.apply(now, &lost(number, false));
     });
     while now < Time::ZERO + Duration::from_secs(24 * 3_600) {
         now = now + Duration::from_millis(500);
         ledger.expire(now);
         let Some(trials) = ledger.trials(content()) else { continue };
-        if trials.next(0, None) <= now {
+        if trials.next_trial_at(0, None) <= now {
             arrivals.push(now);
             now = now + lag;
-            ledger.learn(now, &lost(arrivals.len(), true));
+            ledger.apply(now, &lost(arrivals.len(), true));
         }
     }
     arrivals
@@ -62,15 +62,15 @@
 
 #[test]
 fn whole_run_ends_the_quarantine_and_forgets_the_failed_trials() {
-    let mut ledger = LossLedger::default();
+    let mut ledger = CrashLedger::default();
     [lost(0, false), lost(1, false), lost(2, true)].iter().for_each(|fact| {
-        ledger.learn(Time::ZERO, fact);
+        ledger.apply(Time::ZERO, fact);
     });
     let failed = ledger.trials(content()).unwrap().failed;
 
-    let losses = ledger.losses_of(content());
-    let fact = Fact::Cleared { fingerprint: content(), losses, age: Duration::ZERO };
-    ledger.learn(Time::ZERO, &fact);
+    let crashes = ledger.crashes_of(content());
+    let fact = Fact::Cleared { fingerprint: content(), crashes, age: Duration::ZERO };
+    ledger.apply(Time::ZERO, &fact);
 
     assert_eq!(failed, 1);
     assert_eq!(ledger.trials(content()), None);
@@ -78,14 +78,15 @@
 
 #[test]
 fn attempts_that_prove_nothing_are_repeated_more_and_more_rarely() {
-    let mut ledger = LossLedger::default();
+    let mut ledger = CrashLedger::default();
     [lost(0, false), lost(1, false)].iter().for_each(|fact| {
-        ledger.learn(Time::ZERO, fact);
+        ledger.apply(Time::ZERO, fact);
     });
     let trials = ledger.trials(content()).unwrap();
 
-    let pauses: Vec<u64> =
-        (0..7).map(|attempts| (trials.next(attempts, None) - Time::ZERO).as_secs()).collect();
+    let pauses: Vec<u64> = (0..7)
+        .map(|attempts| (trials.next_trial_at(attempts, None) - Time::ZERO).as_secs())
+        .collect();
 
     assert_eq!(pauses, [2, 4, 8, 16, 32, 60, 60]);
 }
@@ -95,6 +96,6 @@
     let all = ["entry-1", "entry-2", "entry-3"].map(id);
     let other = ["entry-3", "entry-1", "entry-2"].map(id);
 
-    assert_eq!(tester(content(), &all), tester(content(), &other));
-    assert_eq!(tester(content(), &[]), None);
+    assert_eq!(trial_instance(content(), &all), trial_instance(content(), &other));
+    assert_eq!(trial_instance(content(), &[]), None);
 }
--- a/crates/medlarlug-gateway/src/entry/crashes.rs
+++ b/crates/medlarlug-gateway/src/entry/crashes.rs
@@ -19,7 +19,7 @@
     fingerprint::Fingerprint,
     gateway::upstreams::{Birth, Upstream},
     ids::{Incarnation, InstanceId, RegionId, RequestId, UpstreamId},
-    suspects::{self, Effect, Event, Fact, LossKey, Suspects},
+    suspects::{self, CrashId, Effect, Event, Fact, SuspectTracker},
     time::Time,
 };
 use tokio::{task, time::sleep};
@@ -43,13 +43,13 @@
 /// What an instance knows of contents that crash upstreams.
 #[derive(Default)]
 pub(super) struct Crashes {
-    suspects: Suspects,
+    suspects: SuspectTracker,
     /// Requests to upstreams so far.
     sequence: u64,
     /// Requests that ended without an answer, and when.
     unanswered: Vec<(Flight, Time)>,
     /// Upstreams that are being looked at.
-    examined: Vec<LossKey>,
+    examined: Vec<CrashId>,
     /// Trials of quarantined contents at this instance.
     tries: Vec<Tries>,
 }
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Flight {
     request: RequestId,
-    key: LossKey,
+    key: CrashId,
 }
 
 /// How a request to an upstream ended.
@@ -84,8 +84,8 @@
     Other,
 }
 
-fn key(upstream: &UpstreamId, birth: Birth) -> LossKey {
-    LossKey { upstream: upstream.clone(), incarnation: Incarnation(birth.0) }
+fn key(upstream: &UpstreamId, birth: Birth) -> CrashId {
+    CrashId { upstream: upstream.clone(), incarnation: Incarnation(birth.0) }
 }
 
 impl Crashes {
@@ -102,7 +102,7 @@
         &mut self.tries[at]
     }
 
-    fn has_unanswered(&self, key: &LossKey) -> bool {
+    fn has_unanswered(&self, key: &CrashId) -> bool {
         self.unanswered.iter().any(|(flight, _)| flight.key == *key)
     }
 }
@@ -125,9 +125,9 @@
         let mut crashes = self.crashes.borrow_mut();
         let tries = crashes.tries.iter().find(|it| it.content == content).cloned();
         let (attempts, tried) = tries.as_ref().map_or((0, None), |it| (it.attempts, it.tried));
-        let next = trials.next(attempts, tried);
+        let next = trials.next_trial_at(attempts, tried);
         let is_reserved = tries.is_some_and(|it| it.reserved > now);
-        let is_free = now >= next && !is_reserved && !crashes.suspects.is_tried(content);
+        let is_free = now >= next && !is_reserved && !crashes.suspects.is_on_trial(content);
         if !plan.is_trial && is_free && self.is_tester(content, plan) {
             crashes.tries_of(content).reserved = now + RESERVED_FOR;
             (plan.is_trial, plan.may_leave) = (true, false);
@@ -153,7 +153,8 @@
         if can_try(&own.region) {
             instances.push(own.id.clone());
         }
-        self.view.borrow().is_settled(now) && suspects::tester(content, &instances) == Some(&own.id)
+        self.view.borrow().is_settled(now)
+            && suspects::trial_instance(content, &instances) == Some(&own.id)
     }
 
     /// Notes that a request goes to an incarnation of an upstream.
@@ -188,8 +189,8 @@
     /// Notes how a request to an upstream ended.
     pub(super) fn request_ended(&self, flight: Flight, request_end: RequestEnd) {
         match request_end {
-            RequestEnd::Answered => self.suspect(Event::Answered { request: flight.request }),
-            RequestEnd::Other => self.suspect(Event::Ended { request: flight.request }),
+            RequestEnd::Answered => self.suspect(Event::Completed { request: flight.request }),
+            RequestEnd::Other => self.suspect(Event::Inconclusive { request: flight.request }),
             RequestEnd::Unanswered => {
                 let now = self.now();
                 let mut crashes = self.crashes.borrow_mut();
@@ -210,7 +211,7 @@
     }
 
     /// The newest incarnation of an upstream.
-    fn newest(&self, upstream: &UpstreamId) -> Option<LossKey> {
+    fn newest(&self, upstream: &UpstreamId) -> Option<CrashId> {
         let upstreams = self.upstreams.borrow();
         upstreams.get(upstream).map(|it| key(upstream, it.upstream.birth))
     }
@@ -241,11 +242,11 @@
     pub(super) fn learn_facts(&self, facts: Vec<Fact>) {
         let now = self.now();
         let lost = facts.iter().filter_map(|fact| match fact {
-            Fact::Lost(report) => Some((report.key.clone(), now.saturating_sub(report.age))),
+            Fact::Crashed(report) => Some((report.key.clone(), now.saturating_sub(report.age))),
             Fact::Cleared { .. } => None,
         });
-        let lost: Vec<(LossKey, Time)> = lost.collect();
-        self.change_suspects(|suspects, now, out| suspects.learn_all(now, &facts, out));
+        let lost: Vec<(CrashId, Time)> = lost.collect();
+        self.change_suspects(|suspects, now, out| suspects.apply_all(now, &facts, out));
         for (key, when) in lost {
             // It is cold when it comes back.
             if self.newest(&key.upstream).as_ref() == Some(&key) {
@@ -259,7 +260,7 @@
 
     /// What a keeper that may have lost its memory has to know.
     pub(super) fn facts_to_keep(&self) -> Vec<Fact> {
-        self.crashes.borrow().suspects.ledger().repeated_losses(self.now())
+        self.crashes.borrow().suspects.ledger().repeated_crashes(self.now())
     }
 
     /// Forgets what is too old.
@@ -276,17 +277,20 @@
             tries.retain(|it| suspects.ledger().trials(it.content).is_some());
         }
         for flight in old {
-            self.suspect(Event::Ended { request: flight.request });
+            self.suspect(Event::Inconclusive { request: flight.request });
         }
         self.suspect(Event::Tick);
     }
 
     /// An upstream was lost with all requests that were in flight there.
-    fn lose(&self, key: LossKey, evidence: &'static str) {
+    fn lose(&self, key: CrashId, evidence: &'static str) {
         self.crashes.borrow_mut().unanswered.retain(|(flight, _)| flight.key != key);
         metrics::counter!(names::CRASHES).increment(1);
         tracing::warn!(upstream = %key.upstream, birth = key.incarnation.0, evidence, "upstream crashed");
-        self.suspect(Event::UpstreamLost { upstream: key.upstream, incarnation: key.incarnation });
+        self.suspect(Event::UpstreamCrashed {
+            upstream: key.upstream,
+            incarnation: key.incarnation,
+        });
     }
 
     /// Feeds an event to the suspects.
@@ -296,22 +300,24 @@
 
     /// Changes the suspects, logs the contents that are quarantined since, and tells the keepers what
     /// follows.
-    fn change_suspects(&self, change: impl FnOnce(&mut Suspects, Time, &mut Vec<Effect>)) {
+    fn change_suspects(&self, change: impl FnOnce(&mut SuspectTracker, Time, &mut Vec<Effect>)) {
         let mut effects = Vec::new();
         self.watch_quarantines(|suspects, now| change(suspects, now, &mut effects));
         let facts = effects.into_iter().filter_map(|effect| match effect {
-            Effect::Share(fact) => Some(fact),
+            Effect::Publish(fact) => Some(fact),
             // Suspects share upstreams here, which run a hundred requests at once.
-            Effect::Reserve { .. } | Effect::Free { .. } | Effect::Lost { .. } => None,
+            Effect::Reserve { .. }
+            | Effect::ReleaseReservation { .. }
+            | Effect::Interrupted { .. } => None,
         });
         let facts: Vec<Fact> = facts.collect();
         if facts.is_empty() {
             return;
         }
         for fact in &facts {
-            if let Fact::Lost(report) = fact {
+            if let Fact::Crashed(report) = fact {
                 let (upstream, birth) = (&report.key.upstream, report.key.incarnation.0);
-                let contents = report.flying.len();
+                let contents = report.in_flight.len();
                 tracing::info!(%upstream, birth, contents, "contents in flight at a crashed upstream are suspects");
             }
         }
@@ -319,14 +325,14 @@
     }
 
     /// Changes the suspects and logs the contents that are quarantined since.
-    fn watch_quarantines(&self, change: impl FnOnce(&mut Suspects, Time)) {
+    fn watch_quarantines(&self, change: impl FnOnce(&mut SuspectTracker, Time)) {
         let now = self.now();
         let suspects = &mut self.crashes.borrow_mut().suspects;
         let before = suspects.ledger().quarantines(now);
         change(suspects, now);
         for (content, _) in suspects.ledger().quarantines(now) {
             if before.binary_search_by_key(&content, |it| it.0).is_err() {
-                let losses = suspects.ledger().losses_of(content);
+                let losses = suspects.ledger().crashes_of(content);
                 let upstreams = losses.iter().map(|it| it.upstream.as_str());
                 let upstreams = upstreams.collect::<Vec<_>>().join(",");
                 let failed = suspects.ledger().trials(content).map_or(0, |it| it.failed);
@@ -338,7 +344,7 @@
 
 /// Takes an upstream for crashed if none of its connections outlasts one that broke, and counts
 /// what was in flight there as suspect if it takes no new connection either.
-async fn look_for_crash(entry: Rc<Entry>, key: LossKey, address: SocketAddr) {
+async fn look_for_crash(entry: Rc<Entry>, key: CrashId, address: SocketAddr) {
     let began = entry.now();
     sleep(CRASH_TIME).await;
     let running = entry.loads.borrow().report_of(&key.upstream).running;
--- a/crates/medlarlug-gateway/src/keeper/facts.rs
+++ b/crates/medlarlug-gateway/src/keeper/facts.rs
@@ -67,7 +67,7 @@
                 down_s,
                 "contents that crash upstreams restored"
             );
-            kept.facts.iter().map(|fact| fact.after(down)).collect()
+            kept.facts.iter().map(|fact| fact.aged_by(down)).collect()
         }
         Err(error) => {
             tracing::error!(%error, "what was kept of contents that crash upstreams can't be read, other keepers have to tell it");
@@ -80,7 +80,7 @@
     /// The batch to write if `facts` differ from what was written last.
     pub(super) fn batch(&mut self, mut facts: Vec<Fact>) -> Option<Persist> {
         bound(&mut facts);
-        let ageless: Vec<Fact> = facts.iter().map(Fact::ageless).collect();
+        let ageless: Vec<Fact> = facts.iter().map(Fact::without_age).collect();
         if ageless == self.facts {
             return None;
         }
@@ -108,7 +108,7 @@
     facts.sort_by_key(Fact::age);
     let mut contents = 0;
     facts.retain(|fact| {
-        contents += fact.contents();
+        contents += fact.content_count();
         contents <= MAX_CONTENTS_KEPT
     });
 }
--- a/crates/medlarlug-gateway/src/keeper/mod.rs
+++ b/crates/medlarlug-gateway/src/keeper/mod.rs
@@ -131,7 +131,7 @@
         let group = new_group(&settings, &folder, &journal, clock.now())?;
         let mut known = FactLog::default();
         for fact in facts::restore(&journal) {
-            known.learn(clock.now(), &fact);
+            known.apply(clock.now(), &fact);
         }
         let (writer, mut reports) = Writer::start_persistent(journal)?;
         let listener = http_server::listen("peers", settings.card.internal).await?;
@@ -392,7 +392,7 @@
     fn learn_facts(&self, facts: &[Fact]) -> bool {
         let now = self.now();
         let mut known = self.facts.borrow_mut();
-        let new = facts.iter().filter(|fact| known.learn(now, fact));
+        let new = facts.iter().filter(|fact| known.apply(now, fact));
         let is_new = new.count() > 0;
         drop(known);
         if is_new {
@@ -403,7 +403,7 @@
 
     /// Writes down what has to outlive a loss of power, if it has changed.
     fn keep_facts(&self) {
-        let facts = self.facts.borrow().repeated_losses(self.now());
+        let facts = self.facts.borrow().repeated_crashes(self.now());
         if let Some(batch) = self.kept.borrow_mut().batch(facts) {
             self.writer.persist(facts::name(), batch);
         }
@@ -449,7 +449,7 @@
             }
             Message::Facts(facts) => {
                 // Clearances are many after a crash, and can wait for the next round of news.
-                let is_urgent = facts.iter().any(|fact| matches!(fact, Fact::Lost(_)));
+                let is_urgent = facts.iter().any(|fact| matches!(fact, Fact::Crashed(_)));
                 if self.learn_facts(&facts) && is_urgent {
                     self.push();
                 }
--- a/src/coordination/entry/crashes.rs
+++ b/src/coordination/entry/crashes.rs
@@ -11,7 +11,7 @@
     ids::{Incarnation, InstanceId, RequestId, UpstreamId},
     membership::{InstanceKind, Target},
     refusal::{Reason, Refusal},
-    suspects::{Effect, Event, Fact, Placement, Standing},
+    suspects::{ContentStatus, Effect, Event, Fact, Placement},
 };
 use tokio::{io::AsyncReadExt, net::TcpStream, time::timeout};
 
@@ -36,13 +36,15 @@
         self.suspects.borrow_mut().handle(self.node.now(), event, &mut effects);
         for effect in effects {
             match effect {
-                Effect::Share(fact) => self.share(&fact),
+                Effect::Publish(fact) => self.share(&fact),
                 Effect::Reserve { upstream, lifetime } => {
                     self.tell_zone(&Message::Reserve { upstream, lifetime });
                 }
-                Effect::Free { upstream } => self.tell_zone(&Message::Free { upstream }),
+                Effect::ReleaseReservation { upstream } => {
+                    self.tell_zone(&Message::Free { upstream })
+                }
                 // The request's own connection tells its task the same.
-                Effect::Lost { .. } => {}
+                Effect::Interrupted { .. } => {}
             }
         }
     }
@@ -70,9 +72,11 @@
     ///
     /// Fails with the refusal when the content is quarantined.
     pub fn check_quarantine(&self, content: Fingerprint) -> Result<(), Refusal> {
-        match self.suspects.borrow().standing(self.node.now(), content) {
-            Standing::Quarantined { after } => Err(self.refusal(Reason::Quarantined, after)),
-            Standing::Clear | Standing::Suspect => Ok(()),
+        match self.suspects.borrow().status(self.node.now(), content) {
+            ContentStatus::Quarantined { retry_after } => {
+                Err(self.refusal(Reason::Quarantined, retry_after))
+            }
+            ContentStatus::Clear | ContentStatus::Suspect => Ok(()),
         }
     }
 
@@ -82,22 +86,22 @@
     /// Suspects have at most half of the upstreams at a time, so that other requests go on.
     pub fn barred(&self, target: &Target, content: Fingerprint) -> Vec<UpstreamId> {
         let suspects = self.suspects.borrow();
-        if suspects.is_quiet() {
+        if suspects.is_unrestricted() {
             return Vec::new();
         }
         let now = self.node.now();
         let serving = self.live_upstreams(target);
         let taken = serving.iter().filter(|it| suspects.has_suspect(now, it)).count();
-        let is_suspect = suspects.standing(now, content) == Standing::Suspect;
+        let is_suspect = suspects.status(now, content) == ContentStatus::Suspect;
         if is_suspect && taken >= (serving.len() / 2).max(1) {
             return serving;
         }
         let (mut shared, mut barred, mut has_free) = (Vec::new(), Vec::new(), false);
         for id in serving {
             match suspects.placement(now, content, &id) {
-                Placement::Free => has_free = true,
-                Placement::Shared => shared.push(id),
-                Placement::Barred => barred.push(id),
+                Placement::Allowed => has_free = true,
+                Placement::LastResort => shared.push(id),
+                Placement::Denied => barred.push(id),
             }
         }
         if has_free {
@@ -135,9 +139,9 @@
             Some(incarnation) => {
                 tracing::warn!(%upstream, %incarnation, %request, "upstream crashed");
                 let upstream = upstream.clone();
-                self.suspect(Event::UpstreamLost { upstream, incarnation });
+                self.suspect(Event::UpstreamCrashed { upstream, incarnation });
             }
-            None => self.suspect(Event::Ended { request: request.clone() }),
+            None => self.suspect(Event::Inconclusive { request: request.clone() }),
         }
     }
 
--- a/src/coordination/entry/exchange.rs
+++ b/src/coordination/entry/exchange.rs
@@ -241,7 +241,7 @@
         }
         match failure {
             Failure::Lost => entry.examine_loss(id, upstream, address).await,
-            _ => entry.suspect(suspects::Event::Ended { request: id.clone() }),
+            _ => entry.suspect(suspects::Event::Inconclusive { request: id.clone() }),
         }
     }
     FailedAttempt { place, failure, reason: smol_str::format_smolstr!("{error}") }
--- a/src/coordination/entry/inference/delivery.rs
+++ b/src/coordination/entry/inference/delivery.rs
@@ -96,12 +96,12 @@
     entry.routed(event);
     let request = id.clone();
     if end == StreamEnd::Complete {
-        entry.suspect(suspects::Event::Answered { request });
+        entry.suspect(suspects::Event::Completed { request });
         if let Some(target) = own {
             entry.with_budget(target, |budget| budget.deposit());
         }
     } else {
-        entry.suspect(suspects::Event::Ended { request });
+        entry.suspect(suspects::Event::Inconclusive { request });
     }
     entry.end(id, outcome, reason);
 }
@@ -120,7 +120,7 @@
     let (head, incoming) = exchange.answer.into_parts();
     entry.step(&facts.id, Stage::FirstByte);
     let failed = |failure, reason| {
-        entry.suspect(suspects::Event::Ended { request: facts.id.clone() });
+        entry.suspect(suspects::Event::Inconclusive { request: facts.id.clone() });
         entry.routed(router::Event::Failed(ticket));
         let place = place.clone();
         Err(AttemptEnd::Failed(FailedAttempt { place, failure, reason }))
@@ -142,7 +142,7 @@
     entry.routed(router::Event::FirstToken(ticket));
     entry.routed(router::Event::Ended(ticket));
     pay_for_retries(entry, &facts.target, &place, status);
-    entry.suspect(suspects::Event::Answered { request: facts.id.clone() });
+    entry.suspect(suspects::Event::Completed { request: facts.id.clone() });
     entry.end(&facts.id, Outcome::Answered, "whole answer");
     Ok(pass_on(&facts.id, status, head.headers.get(header::CONTENT_TYPE), content))
 }
--- a/src/coordination/entry/mod.rs
+++ b/src/coordination/entry/mod.rs
@@ -54,7 +54,7 @@
     release::ItemKey,
     retry::RetryBudget,
     routing::{ConfigurationLease, Router, router},
-    suspects::{self, Suspects},
+    suspects::{self, SuspectTracker},
 };
 use serde_json::json;
 use tokio::task;
@@ -98,7 +98,7 @@
     /// Requests in flight.
     pub intake: Intake,
     /// Requests that crash upstreams.
-    pub suspects: RefCell<Suspects>,
+    pub suspects: RefCell<SuspectTracker>,
     /// The teams' limits.
     pub limits: RefCell<Limits>,
     configured: Cell<Revision>,
@@ -352,11 +352,13 @@
                 self.limit(limits::Event::Heard { report, age });
             }
             Message::AskDemand => self.limit(limits::Event::ResyncAsked(from)),
-            Message::Fact(fact) => self.suspect(suspects::Event::Learned(fact)),
+            Message::Fact(fact) => self.suspect(suspects::Event::FactReceived(fact)),
             Message::Reserve { upstream, lifetime } => {
                 self.suspect(suspects::Event::Reserved { upstream, lifetime });
             }
-            Message::Free { upstream } => self.suspect(suspects::Event::Freed { upstream }),
+            Message::Free { upstream } => {
+                self.suspect(suspects::Event::ReservationReleased { upstream })
+            }
             Message::Questions { home, questions } => {
                 task::spawn_local(outcomes::settle_all(self.clone(), home, questions));
             }
--- a/src/coordination/entry/services.rs
+++ b/src/coordination/entry/services.rs
@@ -254,12 +254,12 @@
         Ok(Ok(content)) => content,
         _ => {
             entry.routed(router::Event::Failed(ticket));
-            entry.suspect(suspects::Event::Ended { request });
+            entry.suspect(suspects::Event::Inconclusive { request });
             let reason = "the answer was cut before its end".into();
             return Err(FailedAttempt { place, failure: Failure::Lost, reason });
         }
     };
-    entry.suspect(suspects::Event::Answered { request });
+    entry.suspect(suspects::Event::Completed { request });
     if inference::says_not_started(head.status, &content) {
         entry.routed(router::Event::Failed(ticket));
         let reason = "the service did not begin it".into();
