--- a/benches/capacity/configuration.rs
+++ b/benches/capacity/configuration.rs
@@ -5,7 +5,7 @@
 use medlarlug::protocol::Message;
 use medlarlug_core::{
     configuration_group::Change,
-    follower::{Answer, Ask, Confirmation, Update},
+    follower::{Confirmation, Update, UpdateRequest, UpdateResponse},
     ids::Revision,
     release::{Configuration, Item, RawNote},
 };
@@ -71,10 +71,10 @@
 /// Frames of a question and its answer when there is nothing new.
 pub fn ask_bytes() -> (usize, usize) {
     let token = (1_764_720_000_000 << 20) + 100_000;
-    let ask = Ask { token, revision: Revision(100_000), full: false };
+    let ask = UpdateRequest { token, revision: Revision(100_000), full: false };
     let age = std::time::Duration::from_millis(300);
     let confirmation = Some(Confirmation { revision: Revision(100_000), age });
-    let answer = Answer { token, update: None, confirmation };
+    let answer = UpdateResponse { token, update: None, confirmation };
     let answer = Message::Answer(Box::new(answer));
     (wire::frame_bytes(Message::Ask(ask)), wire::frame_bytes(answer))
 }
--- a/benches/capacity/demand.rs
+++ b/benches/capacity/demand.rs
@@ -5,7 +5,7 @@
 use medlarlug::protocol::Message;
 use medlarlug_core::{
     ids::Incarnation,
-    limits::{Effect, Event, LimitPolicy, Limits, TeamLimit},
+    limits::{Effect, Event, LimitPolicy, RateLimiter, TeamLimit},
     release::item::Team,
     time::Time,
 };
@@ -34,12 +34,13 @@
     let teams: Vec<Team> = (0..scale.teams).map(|it| scale.team(it)).collect();
     let instance = |number: usize| {
         let policy = LimitPolicy::default();
-        let mut limits = Limits::new(id(&format!("entry-{number:03}")), Incarnation(1), policy);
+        let mut limits =
+            RateLimiter::new(id(&format!("entry-{number:03}")), Incarnation(1), policy);
         let configured = Event::Configured(teams.iter().map(TeamLimit::from).collect());
         limits.handle(Time::ZERO, configured, &mut Vec::new());
         limits
     };
-    let mut region: Vec<Limits> = (0..instances).map(instance).collect();
+    let mut region: Vec<RateLimiter> = (0..instances).map(instance).collect();
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let (mut bytes, mut reports) = (0.0, 0.0);
     let mut processor = 0.0;
@@ -63,7 +64,7 @@
                 reports += 1.0;
             }
             for limits in &mut region {
-                let heard = Event::Heard { report: report.clone(), age: Duration::ZERO };
+                let heard = Event::ReportReceived { report: report.clone(), age: Duration::ZERO };
                 limits.handle(now, heard, &mut Vec::new());
             }
         }
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -17,7 +17,7 @@
 mod wire;
 
 use fit::Slope;
-use medlarlug_core::follower::VOTER_TURN;
+use medlarlug_core::follower::VOTER_REQUEST_INTERVAL;
 use test_support::scale::{GOAL, Scale};
 
 use crate::membership::Traffic;
@@ -147,7 +147,7 @@
     let (ask, answer) = configuration::ask_bytes();
     let mut asked = Slope::new("questions of followers, voter of 5", "nodes", "B/s");
     for nodes in [85, 170, 340] {
-        let questions = nodes as f64 / VOTER_TURN as f64 / VOTERS as f64;
+        let questions = nodes as f64 / VOTER_REQUEST_INTERVAL as f64 / VOTERS as f64;
         asked.points.push((nodes as f64, questions * (ask + answer) as f64));
     }
     let (call, reply) = configuration::confirm_bytes();
--- a/crates/medlarlug-core/benches/limits.rs
+++ b/crates/medlarlug-core/benches/limits.rs
@@ -8,10 +8,10 @@
 };
 
 use medlarlug_core::{
-    admission::{Admission, AdmissionPolicy, Arrival, Event as AdmissionEvent},
+    admission::{AdmissionPolicy, AdmissionQueue, Arrival, Event as AdmissionEvent},
     fingerprint::Fingerprint,
     ids::{Incarnation, InstanceId, RequestId, TeamId, UpstreamId},
-    limits::{DemandReport, Effect, Event, LimitPolicy, Limits, TeamLimit},
+    limits::{DemandReport, Effect, Event, LimitPolicy, RateLimiter, TeamLimit},
     suspects::{Event as SuspectEvent, SuspectTracker},
     time::Time,
 };
@@ -28,7 +28,7 @@
 
 fn main() {
     let teams: Vec<TeamId> = (0..TEAMS).map(|it| parse(&format!("team-{it}"))).collect();
-    let mut region: Vec<Limits> = (0..INSTANCES).map(|it| instance(it, &teams)).collect();
+    let mut region: Vec<RateLimiter> = (0..INSTANCES).map(|it| instance(it, &teams)).collect();
     let reports = exchange(&mut region, &teams);
     print_reports(&reports);
     bench_admit(&mut region[0], &teams);
@@ -41,9 +41,9 @@
     text.parse().unwrap_or_else(|_| panic!("`{text}` does not parse"))
 }
 
-fn instance(number: usize, teams: &[TeamId]) -> Limits {
+fn instance(number: usize, teams: &[TeamId]) -> RateLimiter {
     let id: InstanceId = parse(&format!("entry-{number}"));
-    let mut limits = Limits::new(id, Incarnation(1), LimitPolicy::default());
+    let mut limits = RateLimiter::new(id, Incarnation(1), LimitPolicy::default());
     let limit =
         |team: &TeamId| TeamLimit { team: team.clone(), rate: parse("10/s"), burst: parse("20") };
     let configured = Event::Configured(teams.iter().map(limit).collect());
@@ -52,7 +52,7 @@
 }
 
 /// A minute of the region's load, by a team's rank; returns every report, beat by beat.
-fn exchange(region: &mut [Limits], teams: &[TeamId]) -> Vec<DemandReport> {
+fn exchange(region: &mut [RateLimiter], teams: &[TeamId]) -> Vec<DemandReport> {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let load = (REQUESTS_PER_SECOND / REGIONS / region.len() as f64).round() as u32;
     let mut reports = Vec::new();
@@ -72,7 +72,7 @@
                 continue;
             };
             for limits in region.iter_mut() {
-                let heard = Event::Heard { report: report.clone(), age: Duration::ZERO };
+                let heard = Event::ReportReceived { report: report.clone(), age: Duration::ZERO };
                 limits.handle(now, heard, &mut Vec::new());
             }
             reports.push(report);
@@ -102,7 +102,7 @@
     println!("{name}: {:.2} us", mean / 1_000.0);
 }
 
-fn bench_admit(limits: &mut Limits, teams: &[TeamId]) {
+fn bench_admit(limits: &mut RateLimiter, teams: &[TeamId]) {
     let start = Time::from_millis(BEATS * 1_000);
     time("admit by a team's limit", DECISIONS, |round| {
         let now = start + Duration::from_micros(u64::from(round));
@@ -111,7 +111,7 @@
     });
 }
 
-fn bench_heartbeat(limits: &mut Limits, reports: &[DemandReport]) {
+fn bench_heartbeat(limits: &mut RateLimiter, reports: &[DemandReport]) {
     let start = Time::from_millis(BEATS * 1_000);
     time("heartbeat", 500, |round| {
         let now = start + Duration::from_millis(u64::from(round));
@@ -121,15 +121,15 @@
     time("report heard", 2_000, |round| {
         let mut report = last[round as usize % last.len()].clone();
         report.sequence += 1 + u64::from(round) / last.len() as u64;
-        let heard = Event::Heard { report, age: Duration::ZERO };
+        let heard = Event::ReportReceived { report, age: Duration::ZERO };
         limits.handle(start, heard, &mut Vec::new());
     });
 }
 
 fn bench_queue(teams: &[TeamId]) {
-    let mut admission = Admission::new(AdmissionPolicy {
-        wait: Duration::from_secs(5),
-        service: Duration::from_millis(25),
+    let mut admission = AdmissionQueue::new(AdmissionPolicy {
+        max_wait: Duration::from_secs(5),
+        initial_service_time: Duration::from_millis(25),
         seed: 1,
     });
     let mut out = Vec::new();
@@ -140,7 +140,7 @@
         team: teams[round as usize * 7 % TEAMS].clone(),
         priority: 0,
         deadline: Time::from_millis(3_600_000),
-        estimate: Duration::from_millis(20),
+        min_time_to_first_byte: Duration::from_millis(20),
         cost: 1_000,
     };
     for round in 0..200 {
--- a/crates/medlarlug-core/benches/state_machines.rs
+++ b/crates/medlarlug-core/benches/state_machines.rs
@@ -7,7 +7,7 @@
 use medlarlug_core::{
     configuration_group::{Command as ConfigurationCommand, ConfigurationGroup},
     fingerprint::Fingerprint,
-    follower::Ask,
+    follower::UpdateRequest,
     home::{Action, Begin, Body, Command, HomeGroup, Owner, Recorded},
     ids::{Incarnation, Revision, TeamId},
     release::{Item, RawNote, ReleaseNote, item::Team},
@@ -42,8 +42,9 @@
         group.apply(ConfigurationCommand::Apply(ReleaseNote::try_from(raw).unwrap()));
     }
     let each = start.elapsed() / CHANGES as u32;
-    let ask = |revision, full| Ask { token: 1, revision: Revision(revision), full };
-    let size = |ask: Ask| postcard::to_allocvec(&group.update_for(&ask).unwrap()).unwrap().len();
+    let ask = |revision, full| UpdateRequest { token: 1, revision: Revision(revision), full };
+    let size =
+        |ask: UpdateRequest| postcard::to_allocvec(&group.update_for(&ask).unwrap()).unwrap().len();
     println!("configuration of {TEAMS} teams: {} B", size(ask(0, true)));
     println!("one change: {} B", size(ask(CHANGES, false)));
     println!("{CHANGES} changes: {} B", size(ask(1, false)));
--- a/crates/medlarlug-core/src/admission/mod.rs
+++ b/crates/medlarlug-core/src/admission/mod.rs
@@ -1,6 +1,6 @@
 //! Admission: which waiting request starts next, and which is refused before it starts.
 //!
-//! One [`Admission`] per instance and target holds the requests that wait for a free slot. A
+//! One [`AdmissionQueue`] per instance and target holds the requests that wait for a free slot. A
 //! request starts at once, waits, or is refused; once it waits, it starts or is refused by its
 //! deadline. The order is start-time fair queueing: a request's *start tag* is the larger of the
 //! queue's virtual time and its team's last finish tag, and its finish tag adds its cost, so that
@@ -21,15 +21,15 @@
     time::Time,
 };
 
-pub use self::queue::Admission;
+pub use self::queue::AdmissionQueue;
 
 /// Bounds of the queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdmissionPolicy {
     /// Longest predicted wait for a slot.
-    pub wait: Duration,
+    pub max_wait: Duration,
     /// Service time of one unit of cost, until requests have been measured.
-    pub service: Duration,
+    pub initial_service_time: Duration,
     /// Seed of the jitter on the time to come back.
     pub seed: u64,
 }
@@ -37,8 +37,8 @@
 impl Default for AdmissionPolicy {
     fn default() -> AdmissionPolicy {
         AdmissionPolicy {
-            wait: Duration::from_secs(5),
-            service: Duration::from_millis(500),
+            max_wait: Duration::from_secs(5),
+            initial_service_time: Duration::from_millis(500),
             seed: 1,
         }
     }
@@ -56,7 +56,7 @@
     /// Moment by which its answer has to begin.
     pub deadline: Time,
     /// Shortest time from start to the first byte of the answer.
-    pub estimate: Duration,
+    pub min_time_to_first_byte: Duration,
     /// Work that it brings, in units of a mean request's thousandth; 1,000 is a mean request.
     pub cost: u32,
 }
@@ -76,7 +76,7 @@
     /// Time passes.
     Tick,
     /// The caller closed its connection.
-    CallerGone {
+    CallerDisconnected {
         /// The request.
         request: RequestId,
     },
--- a/crates/medlarlug-core/src/admission/queue.rs
+++ b/crates/medlarlug-core/src/admission/queue.rs
@@ -5,7 +5,7 @@
 use crate::{
     admission::{AdmissionPolicy, Arrival, Effect, Event},
     ids::{RequestId, TeamId},
-    refusal::{Reason, Spread},
+    refusal::{Reason, RetryJitter},
     time::Time,
 };
 
@@ -40,12 +40,12 @@
 ///
 /// ```
 /// use medlarlug_core::{
-///     admission::{Admission, AdmissionPolicy, Arrival, Effect, Event},
+///     admission::{AdmissionQueue, AdmissionPolicy, Arrival, Effect, Event},
 ///     time::Time,
 /// };
 /// use std::time::Duration;
 ///
-/// let mut admission = Admission::new(AdmissionPolicy::default());
+/// let mut admission = AdmissionQueue::new(AdmissionPolicy::default());
 /// let mut out = Vec::new();
 /// admission.handle(Time::ZERO, Event::Capacity(1), &mut out);
 /// let request: medlarlug_core::ids::RequestId = "riga.entry-1.1.7".parse().unwrap();
@@ -54,14 +54,14 @@
 ///     team: "survey".parse().unwrap(),
 ///     priority: 0,
 ///     deadline: Time::from_millis(1_700),
-///     estimate: Duration::from_millis(200),
+///     min_time_to_first_byte: Duration::from_millis(200),
 ///     cost: 1_000,
 /// };
 /// admission.handle(Time::ZERO, Event::Arrived(arrival), &mut out);
 /// assert_eq!(out, [Effect::Start { request }]);
 /// ```
 #[derive(Debug, Clone)]
-pub struct Admission {
+pub struct AdmissionQueue {
     policy: AdmissionPolicy,
     capacity: u32,
     running: Vec<Running>,
@@ -71,13 +71,13 @@
     starts: u64,
     arrivals: u64,
     service: f64,
-    spread: Spread,
+    spread: RetryJitter,
 }
 
-impl Admission {
+impl AdmissionQueue {
     /// An empty queue without capacity.
-    pub fn new(policy: AdmissionPolicy) -> Admission {
-        Admission {
+    pub fn new(policy: AdmissionPolicy) -> AdmissionQueue {
+        AdmissionQueue {
             capacity: 0,
             running: Vec::new(),
             waiting: Vec::new(),
@@ -85,8 +85,8 @@
             virtual_time: 0,
             starts: 0,
             arrivals: 0,
-            service: policy.service.as_secs_f64(),
-            spread: Spread::new(policy.seed),
+            service: policy.initial_service_time.as_secs_f64(),
+            spread: RetryJitter::new(policy.seed),
             policy,
         }
     }
@@ -118,7 +118,7 @@
             Event::Arrived(arrival) => self.enqueue(arrival),
             Event::Capacity(capacity) => self.capacity = capacity,
             Event::Finished { request } => self.finish(now, &request),
-            Event::CallerGone { request } => self.forget(&request),
+            Event::CallerDisconnected { request } => self.forget(&request),
             Event::Tick => self.prune(),
         }
         self.start(now, out);
@@ -219,7 +219,8 @@
         let Some(wait) = self.predict(ahead) else {
             return false;
         };
-        wait <= self.policy.wait && now + wait + arrival.estimate <= arrival.deadline
+        wait <= self.policy.max_wait
+            && now + wait + arrival.min_time_to_first_byte <= arrival.deadline
     }
 
     /// Predicted wait for a slot behind work of cost `ahead`; `None` without capacity.
@@ -233,7 +234,7 @@
     }
 
     fn refuse(&mut self, now: Time, place: usize, out: &mut Vec<Effect>) {
-        let wait = self.drain_time().unwrap_or(self.policy.wait);
+        let wait = self.drain_time().unwrap_or(self.policy.max_wait);
         let arrival = self.remove(place);
         let reason = match is_too_late(now, &arrival) {
             true => Reason::DeadlineImpossible,
@@ -265,5 +266,5 @@
 
 /// Whether the deadline can't be met even by a start at once.
 fn is_too_late(now: Time, arrival: &Arrival) -> bool {
-    now + arrival.estimate > arrival.deadline
+    now + arrival.min_time_to_first_byte > arrival.deadline
 }
--- a/crates/medlarlug-core/src/configuration_group/state.rs
+++ b/crates/medlarlug-core/src/configuration_group/state.rs
@@ -7,7 +7,7 @@
 use crate::{
     configuration_group::command::{Accepted, Change, Command, Refusal, Reply},
     fingerprint::Fingerprint,
-    follower::{Ask, Update},
+    follower::{Update, UpdateRequest},
     home::FoundToken,
     ids::{RegionId, ReleaseNumber, Revision, TeamId},
     release::{Configuration, ItemKey, ReleaseNote},
@@ -106,7 +106,7 @@
     }
 
     /// What a follower lacks: the missing changes if they are still kept, else everything.
-    pub fn update_for(&self, ask: &Ask) -> Option<Update> {
+    pub fn update_for(&self, ask: &UpdateRequest) -> Option<Update> {
         let missing = self.current.revision.0.checked_sub(ask.revision.0)?;
         if missing == 0 {
             return None;
--- a/crates/medlarlug-core/src/drain.rs
+++ b/crates/medlarlug-core/src/drain.rs
@@ -56,7 +56,7 @@
 /// assert_eq!(draining.stop_cause(Time::from_millis(1)), None);
 /// draining.release();
 /// assert_eq!(draining.stop_cause(Time::from_millis(2)), Some(StopCause::Empty));
-/// assert_eq!(draining.finish().cut(), 0);
+/// assert_eq!(draining.finish().aborted(), 0);
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Drain<S> {
@@ -121,7 +121,7 @@
     }
 
     /// Requests that had not ended at the stop.
-    pub fn cut(&self) -> u32 {
+    pub fn aborted(&self) -> u32 {
         self.state.cut
     }
 }
--- a/crates/medlarlug-core/src/follower.rs
+++ b/crates/medlarlug-core/src/follower.rs
@@ -18,7 +18,7 @@
 //! * With a disk, a configuration is saved first and in force afterwards ([`Effect::Save`],
 //!   [`Event::Saved`]). The instance starts with the saved one.
 //! * Without a disk, it knows no revision. It takes its first configuration only with a
-//!   confirmation that is younger than its start by every clock; see [`DRIFT`]. Until a source
+//!   confirmation that is younger than its start by every clock; see [`MAX_CLOCK_DRIFT`]. Until a source
 //!   gives one, it serves nothing.
 //!
 //! Answers may outlive the process that asked, so the numbers of questions begin at another place
@@ -58,9 +58,9 @@
     },
 }
 
-/// Asks a source for what is newer than `revision`; sent as [`Effect::Ask`].
+/// Asks a source for what is newer than `revision`; sent as [`Effect::RequestUpdate`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct UpdateRequest {
     /// Names the question within the asking process.
     pub token: u64,
     /// Revision of the asking instance; 0 if it knows none.
@@ -70,7 +70,7 @@
 }
 
 /// Largest difference in speed between two clocks.
-pub const DRIFT: f64 = 0.01;
+pub const MAX_CLOCK_DRIFT: f64 = 0.01;
 
 /// What outlives the process.
 #[derive(Debug, Clone, PartialEq)]
@@ -81,9 +81,9 @@
     Disk(Option<Configuration>),
 }
 
-/// The answer of a source to an [`Ask`].
+/// The answer of a source to an [`UpdateRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct UpdateResponse {
     /// Token of the question.
     pub token: u64,
     /// What the asking instance lacks, if the source has it.
@@ -98,9 +98,9 @@
     /// The instances that may be asked.
     Sources(Sources),
     /// A keeper or peer sent an update unasked.
-    Push(Update),
+    Pushed(Update),
     /// A source answered.
-    Answered(Answer),
+    ResponseReceived(UpdateResponse),
     /// A keeper on this instance confirmed its revision with the group's majority.
     Confirmed(Confirmation),
     /// A configuration is saved and synced.
@@ -122,11 +122,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Ask a source.
-    Ask {
+    RequestUpdate {
         /// The source.
         source: InstanceId,
         /// The question.
-        ask: Ask,
+        ask: UpdateRequest,
     },
     /// Save the configuration and report it as [`Event::Saved`]; a later one replaces it.
     Save(Box<Configuration>),
@@ -138,9 +138,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
     /// Time between two questions.
-    pub interval: Duration,
+    pub poll_interval: Duration,
     /// Time between two questions while no configuration is known.
-    pub start: Duration,
+    pub startup_poll_interval: Duration,
     /// Longest age of a confirmation with which requests may cross regions.
     pub lease: Duration,
 }
@@ -148,8 +148,8 @@
 impl Default for Timing {
     fn default() -> Timing {
         Timing {
-            interval: Duration::from_secs(1),
-            start: Duration::from_millis(200),
+            poll_interval: Duration::from_secs(1),
+            startup_poll_interval: Duration::from_millis(200),
             lease: Duration::from_secs(8),
         }
     }
@@ -159,10 +159,10 @@
 const MAX_RECENT: usize = 64;
 
 /// Questions in a row of which a voter gets one, while the last confirmation is young.
-pub const VOTER_TURN: usize = 8;
+pub const VOTER_REQUEST_INTERVAL: usize = 8;
 
 /// The same while the last confirmation is old, or no configuration is known.
-const EAGER_VOTER_TURN: usize = 2;
+const STALE_VOTER_REQUEST_INTERVAL: usize = 2;
 
 /// Questions whose answers are still awaited.
 const MAX_OPEN_ASKS: usize = 16;
@@ -252,16 +252,16 @@
     }
 
     /// Answers a question out of this copy.
-    pub fn answer(&self, now: Time, ask: Ask) -> Answer {
+    pub fn answer(&self, now: Time, ask: UpdateRequest) -> UpdateResponse {
         let update = self.update_for(&ask);
         let confirmation = self
             .confirmed_age(now)
             .filter(|age| *age < self.timing.lease)
             .map(|age| Confirmation { revision: self.revision(), age });
-        Answer { token: ask.token, update, confirmation }
+        UpdateResponse { token: ask.token, update, confirmation }
     }
 
-    fn update_for(&self, ask: &Ask) -> Option<Update> {
+    fn update_for(&self, ask: &UpdateRequest) -> Option<Update> {
         let current = self.current.as_ref()?;
         let missing = current.revision.0.checked_sub(ask.revision.0).filter(|it| *it > 0)?;
         let missing = usize::try_from(missing).unwrap_or(usize::MAX);
@@ -277,11 +277,11 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Sources(sources) => self.sources = sources,
-            Event::Push(update) => self.take(update, None, out),
-            Event::Answered(answer) => self.on_answer(answer, out),
+            Event::Pushed(update) => self.take(update, None, out),
+            Event::ResponseReceived(answer) => self.on_answer(answer, out),
             Event::Confirmed(confirmation) => {
                 self.confirm(now, confirmation, out);
-                self.next_ask = self.next_ask.max(now + self.timing.interval);
+                self.next_ask = self.next_ask.max(now + self.timing.poll_interval);
             }
             Event::Saved(saved) => self.on_saved(*saved, out),
             Event::Tick => {}
@@ -297,20 +297,23 @@
         };
         self.token += 1;
         let is_starting = self.configuration().is_none();
-        let pause = if is_starting { self.timing.start } else { self.timing.interval };
+        let pause =
+            if is_starting { self.timing.startup_poll_interval } else { self.timing.poll_interval };
         self.next_ask = now + pause;
         if self.open.len() == MAX_OPEN_ASKS {
             self.open.remove(0);
         }
         self.open.push((self.token, now));
-        let ask = Ask { token: self.token, revision: self.revision(), full: self.needs_full };
-        out.push(Effect::Ask { source, ask });
+        let ask =
+            UpdateRequest { token: self.token, revision: self.revision(), full: self.needs_full };
+        out.push(Effect::RequestUpdate { source, ask });
     }
 
     fn next_source(&mut self, now: Time) -> Option<InstanceId> {
         let age = self.confirmed_age(now);
         let is_fresh = age.is_some_and(|age| age < self.timing.lease / 2);
-        let voter_turn = if is_fresh { VOTER_TURN } else { EAGER_VOTER_TURN };
+        let voter_turn =
+            if is_fresh { VOTER_REQUEST_INTERVAL } else { STALE_VOTER_REQUEST_INTERVAL };
         let is_voter_turn = self.turn.is_multiple_of(voter_turn);
         self.turn = self.turn.wrapping_add(1);
         let Sources { voters, peers } = &self.sources;
@@ -323,7 +326,7 @@
         list.get(*turn % list.len().max(1)).cloned()
     }
 
-    fn on_answer(&mut self, answer: Answer, out: &mut Vec<Effect>) {
+    fn on_answer(&mut self, answer: UpdateResponse, out: &mut Vec<Effect>) {
         let Ok(found) = self.open.binary_search_by_key(&answer.token, |(token, _)| *token) else {
             return;
         };
@@ -426,7 +429,7 @@
 /// Whether what was known `age` before `heard` was known after this process started, by the clock
 /// that measured `age` too.
 fn is_of_this_start(heard: Time, age: Duration) -> bool {
-    age.mul_f64(1.0 + DRIFT) <= heard - Time::ZERO
+    age.mul_f64(1.0 + MAX_CLOCK_DRIFT) <= heard - Time::ZERO
 }
 
 /// Where an instance begins in a list of sources, so that many that start at once ask different
--- a/crates/medlarlug-core/src/limits/divider.rs
+++ b/crates/medlarlug-core/src/limits/divider.rs
@@ -5,12 +5,12 @@
 use crate::{
     ids::{Incarnation, InstanceId, TeamId},
     limits::{
-        BASE_WEIGHT, DemandEntry, DemandLevel, DemandReport, Effect, Event, LimitPolicy,
-        REPEATED_REPORTS, START_SHARE, TeamKey, TeamLimit,
+        BASE_WEIGHT, DemandEntry, DemandLevel, DemandReport, Effect, Event, INITIAL_SHARE,
+        LimitPolicy, REPORTS_PER_CHANGE, TeamKey, TeamLimit,
         bucket::Bucket,
         peers::{Change, Peers},
     },
-    refusal::{Reason, Refusal, Spread},
+    refusal::{Reason, Refusal, RetryJitter},
     time::Time,
 };
 
@@ -18,11 +18,11 @@
 ///
 /// ```
 /// use medlarlug_core::{
-///     limits::{Event, LimitPolicy, Limits, TeamLimit},
+///     limits::{Event, LimitPolicy, RateLimiter, TeamLimit},
 ///     time::Time,
 /// };
 ///
-/// let mut limits = Limits::new("entry-1".parse().unwrap(), Default::default(), LimitPolicy::default());
+/// let mut limits = RateLimiter::new("entry-1".parse().unwrap(), Default::default(), LimitPolicy::default());
 /// let (rate, burst) = ("10/s".parse().unwrap(), "16".parse().unwrap());
 /// let team: medlarlug_core::ids::TeamId = "survey".parse().unwrap();
 /// let limit = TeamLimit { team: team.clone(), rate, burst };
@@ -33,7 +33,7 @@
 /// assert!(limits.admit(Time::ZERO, &team).is_err());
 /// ```
 #[derive(Debug, Clone)]
-pub struct Limits {
+pub struct RateLimiter {
     id: InstanceId,
     incarnation: Incarnation,
     policy: LimitPolicy,
@@ -52,16 +52,16 @@
     cursor: usize,
     full_due: bool,
     base: u64,
-    spread: Spread,
+    spread: RetryJitter,
 }
 
-impl Limits {
+impl RateLimiter {
     /// An instance that has reported nothing and heard nobody.
-    pub fn new(id: InstanceId, incarnation: Incarnation, policy: LimitPolicy) -> Limits {
-        Limits {
+    pub fn new(id: InstanceId, incarnation: Incarnation, policy: LimitPolicy) -> RateLimiter {
+        RateLimiter {
             id,
             incarnation,
-            spread: Spread::new(policy.seed),
+            spread: RetryJitter::new(policy.seed),
             policy,
             buckets: Vec::new(),
             keys: Vec::new(),
@@ -112,9 +112,9 @@
         match event {
             Event::Configured(limits) => self.configure(now, limits),
             Event::Heartbeat => self.heartbeat(now, out),
-            Event::Heard { report, age } => self.hear(now, age, &report, out),
-            Event::PeerGone(id) => self.drop_peer(now, &id),
-            Event::ResyncAsked(to) => out.push(Effect::Send { to, report: self.full_report() }),
+            Event::ReportReceived { report, age } => self.hear(now, age, &report, out),
+            Event::PeerStopped(id) => self.drop_peer(now, &id),
+            Event::ResyncRequested(to) => out.push(Effect::Send { to, report: self.full_report() }),
         }
     }
 
@@ -134,9 +134,9 @@
                     bucket
                 }
                 Err(_) => {
-                    let mut bucket = Bucket::new(now, limit, START_SHARE);
+                    let mut bucket = Bucket::new(now, limit, INITIAL_SHARE);
                     let share = self.compute_share(now, &bucket);
-                    bucket.set_share(now, share.min(START_SHARE));
+                    bucket.set_share(now, share.min(INITIAL_SHARE));
                     bucket
                 }
             };
@@ -156,8 +156,8 @@
         let joined = *self.joined.get_or_insert(now);
         let interval = now - self.beat.unwrap_or(now);
         self.beat = Some(now);
-        self.peers.drop_silent(now.saturating_sub(self.policy.lifetime));
-        self.settled = now - joined >= self.policy.settle;
+        self.peers.drop_silent(now.saturating_sub(self.policy.peer_lifetime));
+        self.settled = now - joined >= self.policy.settle_time;
         if let Some(report) = self.report(now, interval) {
             out.push(Effect::Broadcast(report));
         }
@@ -167,7 +167,7 @@
     /// An instance that stood still for the settle time knows too little of its peers, and may
     /// have been dropped by them: it joins anew.
     fn check_beat(&mut self, now: Time) {
-        let is_silent = self.beat.is_some_and(|beat| now - beat >= self.policy.settle);
+        let is_silent = self.beat.is_some_and(|beat| now - beat >= self.policy.settle_time);
         if !is_silent {
             return;
         }
@@ -191,9 +191,9 @@
             self.base = self.sequence;
         }
         self.measure(now, interval, full);
-        let since = self.sequence.saturating_sub(REPEATED_REPORTS - 1).max(1);
+        let since = self.sequence.saturating_sub(REPORTS_PER_CHANGE - 1).max(1);
         let is_told = |it: &Bucket| it.told() >= since;
-        let is_old = self.sent.is_none_or(|sent| now - sent >= self.policy.refresh);
+        let is_old = self.sent.is_none_or(|sent| now - sent >= self.policy.refresh_interval);
         let is_due = is_old || !self.settled || self.greetings > 0;
         self.greetings = self.greetings.saturating_sub(1);
         let has_rise = self.buckets.iter().any(|it| it.risen() >= since);
@@ -209,7 +209,8 @@
     fn measure(&mut self, now: Time, interval: Duration, full: bool) {
         let count = self.buckets.len();
         // A report has room for the changes of several.
-        let mut room = if full { count } else { self.policy.entries / REPEATED_REPORTS as usize };
+        let mut room =
+            if full { count } else { self.policy.max_entries / REPORTS_PER_CHANGE as usize };
         for step in 0..count {
             let bucket = &mut self.buckets[(self.cursor + step) % count];
             let is_due = bucket.measure(now, interval) || (full && bucket.level() > DemandLevel(0));
@@ -218,7 +219,7 @@
                 room -= 1;
             }
         }
-        self.cursor = (self.cursor + self.policy.entries) % count.max(1);
+        self.cursor = (self.cursor + self.policy.max_entries) % count.max(1);
     }
 
     fn full_report(&self) -> DemandReport {
@@ -241,16 +242,16 @@
     }
 
     fn hear(&mut self, now: Time, age: Duration, report: &DemandReport, out: &mut Vec<Effect>) {
-        if report.from == self.id || age >= self.policy.lifetime {
+        if report.from == self.id || age >= self.policy.peer_lifetime {
             return;
         }
         match self.peers.hear(now.saturating_sub(age), report) {
             Change::None => {}
             Change::Entries => self.share_listed(now, &report.entries),
             Change::Everything { resync } => {
-                self.greetings = REPEATED_REPORTS;
+                self.greetings = REPORTS_PER_CHANGE;
                 if resync {
-                    out.push(Effect::AskResync(report.from.clone()));
+                    out.push(Effect::RequestResync(report.from.clone()));
                 }
                 self.share_all(now);
             }
@@ -280,7 +281,7 @@
     }
 
     fn share_one(&mut self, now: Time, place: usize) {
-        let since = now.saturating_sub(self.policy.settle);
+        let since = now.saturating_sub(self.policy.settle_time);
         self.buckets[place].forget(since);
         let share = self.compute_share(now, &self.buckets[place]);
         self.buckets[place].set_share(now, share);
@@ -288,11 +289,11 @@
 
     fn compute_share(&self, now: Time, bucket: &Bucket) -> f64 {
         if !self.settled {
-            return START_SHARE.min(1.0 / self.instances() as f64);
+            return INITIAL_SHARE.min(1.0 / self.instances() as f64);
         }
         let rate = bucket.rate();
         let base = rate * BASE_WEIGHT;
-        let since = now.saturating_sub(self.policy.settle);
+        let since = now.saturating_sub(self.policy.settle_time);
         let own = base + bucket.lowest(since).demand().min(rate);
         own / (own + self.peers.weight(bucket.key, rate, base))
     }
--- a/crates/medlarlug-core/src/limits/mod.rs
+++ b/crates/medlarlug-core/src/limits/mod.rs
@@ -32,13 +32,13 @@
 };
 
 pub use self::{
-    divider::Limits,
-    report::{DemandEntry, DemandLevel, DemandReport, REPEATED_REPORTS, TeamKey},
+    divider::RateLimiter,
+    report::{DemandEntry, DemandLevel, DemandReport, REPORTS_PER_CHANGE, TeamKey},
 };
 
 /// The largest share of a team's rate and burst that an instance uses before its own reports are
 /// settled; among more instances it is the equal part.
-pub const START_SHARE: f64 = 0.125;
+pub const INITIAL_SHARE: f64 = 0.125;
 
 /// Weight of an instance without demand, as a share of the team's rate.
 const BASE_WEIGHT: f64 = 0.01;
@@ -47,13 +47,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LimitPolicy {
     /// Time within which a report reaches every live peer, one heartbeat interval included.
-    pub settle: Duration,
+    pub settle_time: Duration,
     /// Time after which a report is sent though nothing has changed; three of them fit the lifetime.
-    pub refresh: Duration,
+    pub refresh_interval: Duration,
     /// Time after its last report at which a silent peer is no longer counted.
-    pub lifetime: Duration,
+    pub peer_lifetime: Duration,
     /// Teams that one report lists at most; a full one lists every team with a demand.
-    pub entries: usize,
+    pub max_entries: usize,
     /// Seed of the jitter on the time to come back.
     pub seed: u64,
 }
@@ -61,10 +61,10 @@
 impl Default for LimitPolicy {
     fn default() -> LimitPolicy {
         LimitPolicy {
-            settle: Duration::from_secs(2),
-            refresh: Duration::from_secs(2),
-            lifetime: Duration::from_millis(6_500),
-            entries: 64,
+            settle_time: Duration::from_secs(2),
+            refresh_interval: Duration::from_secs(2),
+            peer_lifetime: Duration::from_millis(6_500),
+            max_entries: 64,
             seed: 1,
         }
     }
@@ -95,16 +95,16 @@
     /// The next heartbeat is due.
     Heartbeat,
     /// A peer of the region reported.
-    Heard {
+    ReportReceived {
         /// The report.
         report: DemandReport,
         /// Time since it was sent.
         age: Duration,
     },
     /// A peer has stopped and admits nothing any more.
-    PeerGone(InstanceId),
+    PeerStopped(InstanceId),
     /// A peer asks for every team's demand, because it missed a report.
-    ResyncAsked(InstanceId),
+    ResyncRequested(InstanceId),
 }
 
 /// What the shell has to do.
@@ -113,7 +113,7 @@
     /// Send the report to every entry instance of the region.
     Broadcast(DemandReport),
     /// Ask a peer for every team's demand.
-    AskResync(InstanceId),
+    RequestResync(InstanceId),
     /// Send the full report to one peer.
     Send {
         /// The peer.
--- a/crates/medlarlug-core/src/limits/peers.rs
+++ b/crates/medlarlug-core/src/limits/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     ids::{Incarnation, InstanceId},
-    limits::{DemandEntry, DemandLevel, DemandReport, REPEATED_REPORTS, TeamKey},
+    limits::{DemandEntry, DemandLevel, DemandReport, REPORTS_PER_CHANGE, TeamKey},
     time::Time,
 };
 
@@ -100,7 +100,7 @@
 
     /// Whether the report lists every change since the last one heard.
     fn follows(&self, report: &DemandReport) -> bool {
-        let is_near = report.sequence <= self.sequence + REPEATED_REPORTS;
+        let is_near = report.sequence <= self.sequence + REPORTS_PER_CHANGE;
         let is_same = report.incarnation == self.incarnation && report.base <= self.sequence;
         self.synced && is_same && is_near
     }
--- a/crates/medlarlug-core/src/limits/report.rs
+++ b/crates/medlarlug-core/src/limits/report.rs
@@ -10,7 +10,7 @@
 };
 
 /// Reports that list a change.
-pub const REPEATED_REPORTS: u64 = 3;
+pub const REPORTS_PER_CHANGE: u64 = 3;
 /// Highest demand level.
 const MAX_LEVEL: u8 = 60;
 /// Levels in a doubling of the demand.
@@ -91,7 +91,7 @@
 /// One entry instance's demand, sent with a heartbeat when there is a change to tell, and from time
 /// to time without one.
 ///
-/// Lists the teams whose demand has changed within the last [`REPEATED_REPORTS`] reports, this one
+/// Lists the teams whose demand has changed within the last [`REPORTS_PER_CHANGE`] reports, this one
 /// included, so that a few lost reports leave no gap; a full one lists every team with a demand.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DemandReport {
--- a/crates/medlarlug-core/src/refusal.rs
+++ b/crates/medlarlug-core/src/refusal.rs
@@ -153,7 +153,8 @@
     /// How the request ended.
     pub outcome: Outcome,
     /// Time after which to come back.
-    pub after: Duration,
+    #[serde(rename = "after")]
+    pub retry_after: Duration,
 }
 
 impl Refusal {
@@ -165,40 +166,40 @@
     ///
     /// let refusal = Refusal::new(Reason::Overloaded, Duration::from_millis(1_200));
     /// assert_eq!(refusal.outcome, Outcome::NotRun);
-    /// assert_eq!(refusal.retry_seconds(), 2);
+    /// assert_eq!(refusal.retry_after_secs(), 2);
     /// ```
-    pub fn new(reason: Reason, after: Duration) -> Refusal {
-        Refusal { reason, outcome: reason.outcome(), after }
+    pub fn new(reason: Reason, retry_after: Duration) -> Refusal {
+        Refusal { reason, outcome: reason.outcome(), retry_after }
     }
 
     /// `Retry-After` in whole seconds, rounded up.
-    pub fn retry_seconds(&self) -> u64 {
-        self.after.as_secs() + u64::from(self.after.subsec_nanos() > 0)
+    pub fn retry_after_secs(&self) -> u64 {
+        self.retry_after.as_secs() + u64::from(self.retry_after.subsec_nanos() > 0)
     }
 }
 
 /// Seeded jitter for the time to come back.
 #[derive(Debug, Clone)]
-pub struct Spread {
+pub struct RetryJitter {
     random: ChaCha8Rng,
 }
 
-impl Spread {
+impl RetryJitter {
     /// A source of jitter.
-    pub fn new(seed: u64) -> Spread {
-        Spread { random: ChaCha8Rng::seed_from_u64(seed) }
+    pub fn new(seed: u64) -> RetryJitter {
+        RetryJitter { random: ChaCha8Rng::seed_from_u64(seed) }
     }
 
     /// `wait` within [`MIN_RETRY_AFTER`] and [`MAX_RETRY_AFTER`], lengthened by up to a half.
     ///
     /// ```
-    /// use medlarlug_core::refusal::Spread;
+    /// use medlarlug_core::refusal::RetryJitter;
     /// use std::time::Duration;
     ///
-    /// let after = Spread::new(7).after(Duration::from_secs(10));
+    /// let after = RetryJitter::new(7).apply(Duration::from_secs(10));
     /// assert!(after >= Duration::from_secs(10) && after <= Duration::from_secs(15));
     /// ```
-    pub fn after(&mut self, wait: Duration) -> Duration {
+    pub fn apply(&mut self, wait: Duration) -> Duration {
         let base = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         let jitter: f64 = self.random.random_range(0.0..JITTER_SHARE);
         base.mul_f64(1.0 + jitter)
@@ -206,6 +207,6 @@
 
     /// A refusal with a spread time to come back.
     pub fn refuse(&mut self, reason: Reason, wait: Duration) -> Refusal {
-        Refusal::new(reason, self.after(wait))
+        Refusal::new(reason, self.apply(wait))
     }
 }
--- a/crates/medlarlug-core/src/retry.rs
+++ b/crates/medlarlug-core/src/retry.rs
@@ -1,7 +1,7 @@
 //! The retry budget and the decision to try again.
 //!
 //! One [`RetryBudget`] per instance and model holds [`MAX_STORED_RETRIES`] retries, full at the
-//! start. A retry that was taken comes back after [`SUCCESSES_PER_RETURN`] successes. So among any
+//! start. A retry that was taken comes back after [`SUCCESSES_PER_RETRY`] successes. So among any
 //! 100 requests in a row there are at most 10 retries: the attempts stay at 1.1 times the requests
 //! or below. When every upstream fails, 10 retries are made in all, and none until successes have
 //! been counted again. Only the instance that sent a request to an upstream deposits its success:
@@ -16,7 +16,7 @@
 
 use crate::{
     record::Outcome,
-    refusal::{Reason, Refusal, Spread},
+    refusal::{Reason, Refusal, RetryJitter},
     time::Time,
 };
 
@@ -25,19 +25,19 @@
 /// Attempts that one request gets at most.
 pub const MAX_ATTEMPTS: u32 = 3;
 /// Successes after which a retry that was taken comes back.
-pub const SUCCESSES_PER_RETURN: u64 = 100;
+pub const SUCCESSES_PER_RETRY: u64 = 100;
 /// Time to come back when the budget is used up.
 const BUDGET_WAIT: Duration = Duration::from_secs(2);
 
 /// Retries that successes pay for.
 ///
 /// ```
-/// use medlarlug_core::retry::{MAX_STORED_RETRIES, RetryBudget, SUCCESSES_PER_RETURN};
+/// use medlarlug_core::retry::{MAX_STORED_RETRIES, RetryBudget, SUCCESSES_PER_RETRY};
 ///
 /// let mut budget = RetryBudget::default();
 /// assert!((0..MAX_STORED_RETRIES).all(|_| budget.take()));
 /// assert!(!budget.take());
-/// (0..SUCCESSES_PER_RETURN).for_each(|_| budget.deposit());
+/// (0..SUCCESSES_PER_RETRY).for_each(|_| budget.record_success());
 /// assert!(budget.take());
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,15 +49,15 @@
 
 impl RetryBudget {
     /// Counts a request that was answered.
-    pub fn deposit(&mut self) {
+    pub fn record_success(&mut self) {
         self.successes += 1;
         let successes = self.successes;
-        self.taken.retain(|it| successes - it < SUCCESSES_PER_RETURN);
+        self.taken.retain(|it| successes - it < SUCCESSES_PER_RETRY);
     }
 
     /// Takes one retry out, if there is one.
     pub fn take(&mut self) -> bool {
-        if self.left() == 0 {
+        if self.remaining() == 0 {
             return false;
         }
         self.taken.push(self.successes);
@@ -70,7 +70,7 @@
     }
 
     /// Whole retries that are left.
-    pub fn left(&self) -> u32 {
+    pub fn remaining(&self) -> u32 {
         MAX_STORED_RETRIES.saturating_sub(self.taken.len() as u32)
     }
 }
@@ -105,7 +105,7 @@
     /// Moment by which the answer has to begin.
     pub deadline: Time,
     /// Time that an attempt takes at least.
-    pub estimate: Duration,
+    pub min_attempt_time: Duration,
     made: u32,
     zones: u32,
     may_have_run: bool,
@@ -115,21 +115,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
     /// Try another upstream of the same zone.
-    RetryHere,
+    RetryInZone,
     /// Hand the request to one other permitted zone.
-    RetryElsewhere,
+    RetryInOtherZone,
     /// Give the caller this final answer now.
     GiveUp(Refusal),
 }
 
 impl Attempts {
     /// A request without an attempt so far.
-    pub fn new(idempotent: bool, forwarded: bool, deadline: Time, estimate: Duration) -> Attempts {
+    pub fn new(
+        idempotent: bool,
+        forwarded: bool,
+        deadline: Time,
+        min_attempt_time: Duration,
+    ) -> Attempts {
         Attempts {
             idempotent,
             forwarded,
             deadline,
-            estimate,
+            min_attempt_time,
             made: 0,
             zones: 0,
             may_have_run: false,
@@ -155,7 +160,7 @@
     /// ```
     /// use medlarlug_core::{
     ///     record::Outcome,
-    ///     refusal::Spread,
+    ///     refusal::RetryJitter,
     ///     retry::{Attempts, Decision, Failure, RetryBudget},
     ///     time::Time,
     /// };
@@ -164,7 +169,7 @@
     /// let deadline = Time::from_millis(5_000);
     /// let mut booking = Attempts::new(false, false, deadline, Duration::ZERO);
     /// let mut budget = RetryBudget::default();
-    /// let decision = booking.decide(Time::ZERO, Failure::Lost, &mut budget, &mut Spread::new(1));
+    /// let decision = booking.decide(Time::ZERO, Failure::Lost, &mut budget, &mut RetryJitter::new(1));
     /// let Decision::GiveUp(refusal) = decision else { panic!("a booking is never sent twice") };
     /// assert_eq!(refusal.outcome, Outcome::Unknown);
     /// ```
@@ -173,16 +178,16 @@
         now: Time,
         failure: Failure,
         budget: &mut RetryBudget,
-        spread: &mut Spread,
+        spread: &mut RetryJitter,
     ) -> Decision {
         self.count(failure);
-        let is_in_time = now + self.estimate < self.deadline;
+        let is_in_time = now + self.min_attempt_time < self.deadline;
         if !self.is_repeatable(failure) || !is_in_time || !budget.take() {
             return Decision::GiveUp(self.refusal(spread));
         }
         match failure {
-            Failure::ZoneRefused => Decision::RetryElsewhere,
-            _ => Decision::RetryHere,
+            Failure::ZoneRefused => Decision::RetryInOtherZone,
+            _ => Decision::RetryInZone,
         }
     }
 
@@ -206,7 +211,7 @@
     /// ```
     /// use medlarlug_core::{
     ///     record::Outcome,
-    ///     refusal::{Reason, Refusal, Spread},
+    ///     refusal::{Reason, Refusal, RetryJitter},
     ///     retry::{Attempts, Failure, RetryBudget},
     ///     time::Time,
     /// };
@@ -216,7 +221,7 @@
     /// let refusal = Refusal::new(Reason::NoUpstream, Duration::from_secs(1));
     /// assert_eq!(attempts.final_refusal(refusal).outcome, Outcome::NotRun);
     /// let mut budget = RetryBudget::default();
-    /// attempts.decide(Time::ZERO, Failure::Lost, &mut budget, &mut Spread::new(1));
+    /// attempts.decide(Time::ZERO, Failure::Lost, &mut budget, &mut RetryJitter::new(1));
     /// assert_eq!(attempts.final_refusal(refusal).outcome, Outcome::Failed);
     /// ```
     pub fn final_refusal(&self, refusal: Refusal) -> Refusal {
@@ -234,7 +239,7 @@
         }
     }
 
-    fn refusal(&self, spread: &mut Spread) -> Refusal {
+    fn refusal(&self, spread: &mut RetryJitter) -> Refusal {
         spread.refuse(self.reason(), BUDGET_WAIT)
     }
 }
--- a/crates/medlarlug-core/src/stream/mod.rs
+++ b/crates/medlarlug-core/src/stream/mod.rs
@@ -29,9 +29,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamPolicy {
     /// Longest wait for the first byte on a connection.
-    pub first_byte: Duration,
+    pub first_byte_timeout: Duration,
     /// Longest wait between two chunks.
-    pub between: Duration,
+    pub chunk_timeout: Duration,
     /// Whether the upstream resumes a stream by offset.
     pub resumable: bool,
     /// Whether another upstream may continue from what was delivered.
@@ -39,18 +39,18 @@
     /// Whether the work may be repeated; if not, it is never sent to another upstream.
     pub idempotent: bool,
     /// Connections in a row that may bring nothing; then the answer has failed.
-    pub connections: u32,
+    pub max_fruitless_connections: u32,
 }
 
 impl Default for StreamPolicy {
     fn default() -> StreamPolicy {
         StreamPolicy {
-            first_byte: Duration::from_secs(10),
-            between: Duration::from_secs(2),
+            first_byte_timeout: Duration::from_secs(10),
+            chunk_timeout: Duration::from_secs(2),
             resumable: true,
             continuable: false,
             idempotent: true,
-            connections: 4,
+            max_fruitless_connections: 4,
         }
     }
 }
@@ -102,7 +102,7 @@
     /// Time passes; the tracker looks for silence.
     Tick,
     /// The caller closed its connection.
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// What the shell has to do for a stream.
--- a/crates/medlarlug-core/src/stream/tracker.rs
+++ b/crates/medlarlug-core/src/stream/tracker.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StreamCounters {
     /// Chunks that carried another request's id.
-    pub foreign: u64,
+    pub wrong_request: u64,
     /// Chunks of a replaced connection, and chunks after the end.
     pub late: u64,
     /// Chunks of which the caller had every byte.
@@ -97,10 +97,10 @@
     ///
     /// The time doubles with each connection that brought nothing, so that a slow upstream is not
     /// taken for a silent one again and again.
-    pub fn silent_at(&self) -> Time {
+    pub fn timeout_at(&self) -> Time {
         let patience = match self.phase {
-            Phase::Flowing => self.policy.between,
-            _ => self.policy.first_byte,
+            Phase::Flowing => self.policy.chunk_timeout,
+            _ => self.policy.first_byte_timeout,
         };
         self.heard + patience * 2u32.saturating_pow(self.fruitless)
     }
@@ -114,7 +114,7 @@
             Event::ResumeRefused { connection } => self.move_on(now, connection, out),
             Event::Tick => self.tick(now, out),
             Event::GivenUp(refusal) => self.give_up(refusal, out),
-            Event::CallerGone => self.cancel(out),
+            Event::CallerDisconnected => self.cancel(out),
         }
     }
 
@@ -136,7 +136,7 @@
         out: &mut Vec<Effect>,
     ) {
         if chunk.request != self.request {
-            self.counters.foreign += 1;
+            self.counters.wrong_request += 1;
             return;
         }
         if !self.is_current(connection) {
@@ -177,7 +177,7 @@
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if self.phase != Phase::Ended && now >= self.silent_at() {
+        if self.phase != Phase::Ended && now >= self.timeout_at() {
             self.replace(now, out);
         }
     }
@@ -220,7 +220,7 @@
     fn next_connection(&mut self, now: Time, out: &mut Vec<Effect>) -> Option<ConnectionNumber> {
         let next = ConnectionNumber(self.connection.0 + 1);
         self.fruitless += 1;
-        if self.fruitless >= self.policy.connections {
+        if self.fruitless >= self.policy.max_fruitless_connections {
             self.fail(out);
             return None;
         }
--- a/crates/medlarlug-core/tests/testsuite/admission.rs
+++ b/crates/medlarlug-core/tests/testsuite/admission.rs
@@ -3,7 +3,7 @@
 use std::{collections::VecDeque, time::Duration};
 
 use medlarlug_core::{
-    admission::{Admission, AdmissionPolicy, Arrival, Effect, Event},
+    admission::{AdmissionPolicy, AdmissionQueue, Arrival, Effect, Event},
     ids::RequestId,
     refusal::{Reason, Refusal},
     time::Time,
@@ -24,25 +24,28 @@
         team: id(team),
         priority: 0,
         deadline: Time::ZERO + HOUR,
-        estimate: Duration::from_millis(100),
+        min_time_to_first_byte: Duration::from_millis(100),
         cost: 1_000,
     }
 }
 
 fn patient() -> AdmissionPolicy {
-    AdmissionPolicy { wait: HOUR, ..AdmissionPolicy::default() }
+    AdmissionPolicy { max_wait: HOUR, ..AdmissionPolicy::default() }
 }
 
 struct Bench {
-    admission: Admission,
+    admission: AdmissionQueue,
     started: Vec<RequestId>,
     refused: Vec<(RequestId, Refusal)>,
 }
 
 impl Bench {
     fn new(policy: AdmissionPolicy, capacity: u32) -> Bench {
-        let mut bench =
-            Bench { admission: Admission::new(policy), started: Vec::new(), refused: Vec::new() };
+        let mut bench = Bench {
+            admission: AdmissionQueue::new(policy),
+            started: Vec::new(),
+            refused: Vec::new(),
+        };
         bench.feed(Time::ZERO, Event::Capacity(capacity));
         bench
     }
@@ -125,7 +128,7 @@
                     if !is_ended && !gone.contains(&request) {
                         gone.push(request.clone());
                     }
-                    Event::CallerGone { request }
+                    Event::CallerDisconnected { request }
                 }
                 7 => Event::Capacity(random.random_range(0..4)),
                 8 if ended < bench.started.len() => {
@@ -139,10 +142,13 @@
 
             for request in &bench.started[starts..] {
                 let arrival = known.iter().find(|it| it.request == *request).unwrap();
-                assert!(now + arrival.estimate <= arrival.deadline, "seed {seed}, step {step}");
+                assert!(
+                    now + arrival.min_time_to_first_byte <= arrival.deadline,
+                    "seed {seed}, step {step}"
+                );
             }
             for (_, refusal) in &bench.refused[refusals..] {
-                assert!(refusal.after >= Duration::from_secs(1), "seed {seed}, step {step}");
+                assert!(refusal.retry_after >= Duration::from_secs(1), "seed {seed}, step {step}");
             }
             assert!(bench.admission.drain_time().unwrap_or_default() < Duration::from_secs(60));
         }
--- a/crates/medlarlug-core/tests/testsuite/configuration_group.rs
+++ b/crates/medlarlug-core/tests/testsuite/configuration_group.rs
@@ -5,7 +5,7 @@
 use medlarlug_core::{
     configuration_group::{Command, ConfigurationGroup, Refusal, Reply},
     fingerprint::Fingerprint,
-    follower::{Ask, Effect, Event, Follower, Storage, Timing, Update},
+    follower::{Effect, Event, Follower, Storage, Timing, Update, UpdateRequest},
     home::FoundToken,
     ids::{OperatorId, RegionId, ReleaseNumber, Revision},
     release::{
@@ -154,7 +154,7 @@
     let mut survivor = group_with(vec![region("riga", &["riga-a"])]);
     let mut lost = survivor.clone();
     apply(&mut lost, note(1, vec![region("kurzeme", &["liepaja-a"])]));
-    let ask = Ask { token: 1, revision: lost.configuration().revision, full: false };
+    let ask = UpdateRequest { token: 1, revision: lost.configuration().revision, full: false };
 
     let reply = survivor.apply(Command::Rebuilt);
     let update = survivor.update_for(&ask);
@@ -291,11 +291,11 @@
             accepted += usize::from(revision.is_some());
         }
         for old in past {
-            let ask = Ask { token: 1, revision: old.revision, full: false };
+            let ask = UpdateRequest { token: 1, revision: old.revision, full: false };
             let mut follower = Follower::new(Timing::default(), Storage::Disk(Some(old)), 0);
             if let Some(update) = group.update_for(&ask) {
                 assert_matches!(update, Update::Changes { .. });
-                let event = Event::Push(update);
+                let event = Event::Pushed(update);
                 let mut out = Vec::new();
                 follower.handle(Default::default(), event, &mut out);
                 let Some(Effect::Save(save)) = out.pop() else { panic!("nothing to save") };
--- a/crates/medlarlug-core/tests/testsuite/drain.rs
+++ b/crates/medlarlug-core/tests/testsuite/drain.rs
@@ -34,7 +34,7 @@
     let after = draining.stop_cause(Time::from_millis(29_999));
 
     assert_eq!((before, after), (None, Some(StopCause::Empty)));
-    assert_eq!(draining.finish().cut(), 0);
+    assert_eq!(draining.finish().aborted(), 0);
 }
 
 #[test]
@@ -44,5 +44,5 @@
     let cause = draining.stop_cause(Time::from_millis(30_000));
 
     assert_eq!(cause, Some(StopCause::Deadline));
-    assert_eq!(draining.finish().cut(), 2);
+    assert_eq!(draining.finish().aborted(), 2);
 }
--- a/crates/medlarlug-core/tests/testsuite/follower.rs
+++ b/crates/medlarlug-core/tests/testsuite/follower.rs
@@ -6,7 +6,8 @@
 use medlarlug_core::{
     configuration_group::{Command, ConfigurationGroup, Tracker},
     follower::{
-        Answer, Ask, Confirmation, DRIFT, Effect, Event, Follower, Sources, Storage, Timing, Update,
+        Confirmation, Effect, Event, Follower, MAX_CLOCK_DRIFT, Sources, Storage, Timing, Update,
+        UpdateRequest, UpdateResponse,
     },
     ids::{InstanceId, Revision},
     release::{Configuration, ReleaseNote},
@@ -41,14 +42,14 @@
 }
 
 enum Message {
-    Ask {
+    Request {
         from: usize,
         to: InstanceId,
-        ask: Ask,
+        ask: UpdateRequest,
     },
-    Answer {
+    Response {
         to: usize,
-        answer: Answer,
+        answer: UpdateResponse,
     },
     Push {
         to: usize,
@@ -108,7 +109,7 @@
             real: Duration::ZERO,
             timing,
             group: ConfigurationGroup::default(),
-            tracker: Tracker::new(timing.lease, DRIFT),
+            tracker: Tracker::new(timing.lease, MAX_CLOCK_DRIFT),
             processes,
             messages: Vec::new(),
         };
@@ -147,7 +148,7 @@
         let note = ReleaseNote::try_from(note(base, items)).unwrap();
         self.group.apply(Command::Apply(note));
         self.tracker.committed(self.keeper_now(), Revision(base + 1));
-        let ask = Ask { token: 0, revision: Revision(base), full: false };
+        let ask = UpdateRequest { token: 0, revision: Revision(base), full: false };
         for to in 0..INSTANCES {
             let update = self.group.update_for(&ask).unwrap();
             self.messages.push(Message::Push { to, update });
@@ -171,8 +172,8 @@
         process.follower.handle(process.now(self.real), event, &mut out);
         for effect in out {
             match effect {
-                Effect::Ask { source, ask } => {
-                    self.messages.push(Message::Ask { from: index, to: source, ask });
+                Effect::RequestUpdate { source, ask } => {
+                    self.messages.push(Message::Request { from: index, to: source, ask });
                 }
                 Effect::Save(saved) => {
                     let starts = process.starts;
@@ -198,11 +199,11 @@
             return;
         }
         match message {
-            Message::Ask { from, to, ask } => self.answer(from, &to, ask),
-            Message::Answer { to, answer } => self.feed(to, Event::Answered(answer)),
+            Message::Request { from, to, ask } => self.answer(from, &to, ask),
+            Message::Response { to, answer } => self.feed(to, Event::ResponseReceived(answer)),
             Message::Saved { to, starts, saved } => self.save(to, starts, saved),
             Message::Push { to, update } if !self.processes[to].is_cut_off => {
-                self.feed(to, Event::Push(update));
+                self.feed(to, Event::Pushed(update));
             }
             Message::Push { .. } => {}
         }
@@ -218,7 +219,7 @@
     }
 
     /// The keeper answers those that are not cut off; instances answer each other.
-    fn answer(&mut self, from: usize, to: &InstanceId, ask: Ask) {
+    fn answer(&mut self, from: usize, to: &InstanceId, ask: UpdateRequest) {
         let asking = self.processes[from].name.clone();
         let answer = if to.as_str() == KEEPER {
             if self.processes[from].is_cut_off {
@@ -226,7 +227,7 @@
             }
             self.tracker.confirmed(asking.clone(), id("riga-a"), ask.revision);
             let revision = self.group.configuration().revision;
-            Answer {
+            UpdateResponse {
                 token: ask.token,
                 update: self.group.update_for(&ask),
                 confirmation: Some(Confirmation { revision, age: Duration::ZERO }),
@@ -235,7 +236,7 @@
             let peer = self.processes.iter().find(|it| it.name == *to).unwrap();
             peer.follower.answer(peer.now(self.real), ask)
         };
-        self.messages.push(Message::Answer { to: from, answer });
+        self.messages.push(Message::Response { to: from, answer });
     }
 
     /// Number of revisions that are called in force everywhere.
@@ -300,11 +301,12 @@
     let mut follower = Follower::new(timing, Storage::Disk(Some(saved)), 0);
     let mut out = Vec::new();
     follower.handle(Time::from_millis(5_000), Event::Sources(sources()), &mut out);
-    let Effect::Ask { ask, .. } = &out[0] else { panic!("no question") };
+    let Effect::RequestUpdate { ask, .. } = &out[0] else { panic!("no question") };
     let confirmation = Confirmation { revision: Revision(3), age: Duration::from_secs(2) };
-    let answer = Answer { token: ask.token, update: None, confirmation: Some(confirmation) };
+    let answer =
+        UpdateResponse { token: ask.token, update: None, confirmation: Some(confirmation) };
 
-    follower.handle(Time::from_millis(9_000), Event::Answered(answer), &mut out);
+    follower.handle(Time::from_millis(9_000), Event::ResponseReceived(answer), &mut out);
 
     let asked_to_now = Duration::from_secs(9 - 5 + 2);
     assert_eq!(follower.confirmed_age(Time::from_millis(9_000)), Some(asked_to_now));
@@ -316,10 +318,10 @@
     Update::Full(Configuration::new(Revision(revision), Vec::new()))
 }
 
-fn question(follower: &mut Follower, now: Time) -> Ask {
+fn question(follower: &mut Follower, now: Time) -> UpdateRequest {
     let mut out = Vec::new();
     follower.handle(now, Event::Sources(sources()), &mut out);
-    let Some(Effect::Ask { ask, .. }) = out.first() else { panic!("no question") };
+    let Some(Effect::RequestUpdate { ask, .. }) = out.first() else { panic!("no question") };
     *ask
 }
 
@@ -328,8 +330,8 @@
     let mut follower = Follower::new(Timing::default(), Storage::Memory, 0);
     let token = question(&mut follower, asked).token;
     let confirmation = age.map(|age| Confirmation { revision: Revision(3), age });
-    let answer = Answer { token, update: Some(full(3)), confirmation };
-    follower.handle(asked, Event::Answered(answer), &mut Vec::new());
+    let answer = UpdateResponse { token, update: Some(full(3)), confirmation };
+    follower.handle(asked, Event::ResponseReceived(answer), &mut Vec::new());
     follower
 }
 
@@ -348,7 +350,7 @@
 #[test]
 fn confirmation_from_before_the_start_by_either_clock_is_no_confirmation() {
     let asked = Time::from_millis(5_000);
-    let by_the_slower = Duration::from_secs(5).div_f64(1.0 + DRIFT);
+    let by_the_slower = Duration::from_secs(5).div_f64(1.0 + MAX_CLOCK_DRIFT);
 
     let before = offered(asked, Some(by_the_slower + Duration::from_millis(1)));
     let after = offered(asked, Some(by_the_slower - Duration::from_millis(1)));
@@ -362,11 +364,11 @@
     let mut former = Follower::new(Timing::default(), Storage::Memory, 1 << 32);
     let token = question(&mut former, Time::ZERO).token;
     let confirmation = Some(Confirmation { revision: Revision(3), age: Duration::ZERO });
-    let late = Answer { token, update: Some(full(3)), confirmation };
+    let late = UpdateResponse { token, update: Some(full(3)), confirmation };
     let mut follower = Follower::new(Timing::default(), Storage::Memory, 2 << 32);
     question(&mut follower, Time::ZERO);
 
-    follower.handle(Time::from_millis(100), Event::Answered(late), &mut Vec::new());
+    follower.handle(Time::from_millis(100), Event::ResponseReceived(late), &mut Vec::new());
 
     assert_eq!(follower.revision(), Revision(0));
 }
@@ -377,7 +379,7 @@
     let mut follower = Follower::new(Timing::default(), Storage::Disk(Some(saved)), 0);
     let mut out = Vec::new();
 
-    follower.handle(Time::ZERO, Event::Push(full(4)), &mut out);
+    follower.handle(Time::ZERO, Event::Pushed(full(4)), &mut out);
     let before = follower.revision();
     let Some(Effect::Save(save)) = out.pop() else { panic!("nothing to save") };
     follower.handle(Time::from_millis(1), Event::Saved(save), &mut out);
@@ -399,7 +401,7 @@
 
 #[test]
 fn leases_are_waited_out_with_the_drift_of_clocks() {
-    let mut tracker = Tracker::new(Duration::from_secs(10), DRIFT);
+    let mut tracker = Tracker::new(Duration::from_secs(10), MAX_CLOCK_DRIFT);
     tracker.expect(id("entry-1"), id("riga-a"));
 
     tracker.committed(Time::ZERO, Revision(1));
@@ -413,7 +415,7 @@
     let mut follower = Follower::new(Timing::default(), Storage::Memory, 0);
     let update = full(3);
     let mut out = Vec::new();
-    follower.handle(Time::from_millis(5), Event::Push(update), &mut out);
+    follower.handle(Time::from_millis(5), Event::Pushed(update), &mut out);
     assert_eq!(follower.revision(), Revision(0));
     let confirmation = Confirmation { revision: Revision(3), age: Duration::from_millis(1) };
 
@@ -434,11 +436,11 @@
         let now = Time::from_millis(second * 1_000);
         let mut out = Vec::new();
         follower.handle(now, Event::Sources(sources()), &mut out);
-        let Some(Effect::Ask { source, ask }) = out.pop() else { panic!("no question") };
+        let Some(Effect::RequestUpdate { source, ask }) = out.pop() else { panic!("no question") };
         asked += usize::from(second >= 20 && source.as_str() == KEEPER);
         let confirmation = age.map(|age| Confirmation { revision: Revision(3), age });
-        let answer = Answer { token: ask.token, update: None, confirmation };
-        follower.handle(now, Event::Answered(answer), &mut Vec::new());
+        let answer = UpdateResponse { token: ask.token, update: None, confirmation };
+        follower.handle(now, Event::ResponseReceived(answer), &mut Vec::new());
     }
     asked
 }
@@ -457,7 +459,7 @@
         let sources = Sources { voters: voters.clone(), peers: Vec::new() };
         let mut out = Vec::new();
         follower.handle(Time::ZERO, Event::Sources(sources), &mut out);
-        let Some(Effect::Ask { source, .. }) = out.pop() else { panic!("no question") };
+        let Some(Effect::RequestUpdate { source, .. }) = out.pop() else { panic!("no question") };
         source
     };
 
--- a/crates/medlarlug-core/tests/testsuite/limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/limits.rs
@@ -6,8 +6,8 @@
 use medlarlug_core::{
     ids::{Incarnation, InstanceId, TeamId},
     limits::{
-        DemandEntry, DemandLevel, DemandReport, Effect, Event, LimitPolicy, Limits, START_SHARE,
-        TeamKey, TeamLimit,
+        DemandEntry, DemandLevel, DemandReport, Effect, Event, INITIAL_SHARE, LimitPolicy,
+        RateLimiter, TeamKey, TeamLimit,
     },
     refusal::Reason,
     time::Time,
@@ -36,15 +36,15 @@
     id(&format!("entry-{number}"))
 }
 
-fn limits(number: usize, incarnation: u64, now: Time) -> Limits {
+fn limits(number: usize, incarnation: u64, now: Time) -> RateLimiter {
     let policy = LimitPolicy::default();
-    let mut limits = Limits::new(instance(number), Incarnation(incarnation), policy);
+    let mut limits = RateLimiter::new(instance(number), Incarnation(incarnation), policy);
     limits.handle(now, Event::Configured(vec![limit("survey")]), &mut Vec::new());
     limits
 }
 
 /// A settled instance, and a report of its peer, one second after its last heartbeat.
-fn settled() -> (Limits, Time) {
+fn settled() -> (RateLimiter, Time) {
     let mut limits = limits(0, 1, Time::ZERO);
     for beat in 0..6 {
         limits.handle(Time::from_millis(beat * BEAT_MS), Event::Heartbeat, &mut Vec::new());
@@ -61,7 +61,7 @@
         base,
         entries: vec![entry],
     };
-    Event::Heard { report, age: Duration::ZERO }
+    Event::ReportReceived { report, age: Duration::ZERO }
 }
 
 /// The plain counter: a leaky bucket over all admitted requests of one side.
@@ -83,7 +83,7 @@
     }
 
     fn allow_start(&mut self) {
-        let settle = LimitPolicy::default().settle.as_secs_f64();
+        let settle = LimitPolicy::default().settle_time.as_secs_f64();
         self.bound += (RATE * settle + BURST) / 8.0 + 1.0;
     }
 }
@@ -91,7 +91,7 @@
 struct Region {
     random: ChaCha8Rng,
     now: Time,
-    nodes: Vec<Option<Limits>>,
+    nodes: Vec<Option<RateLimiter>>,
     sides: Vec<usize>,
     mail: Vec<(Time, usize, usize, Event, Time)>,
     lost: Vec<u32>,
@@ -140,7 +140,9 @@
         self.mail = later;
         for (_, from, to, event, sent) in due {
             let event = match event {
-                Event::Heard { report, .. } => Event::Heard { report, age: now - sent },
+                Event::ReportReceived { report, .. } => {
+                    Event::ReportReceived { report, age: now - sent }
+                }
                 event => event,
             };
             if self.sides[from] == self.sides[to] {
@@ -160,16 +162,20 @@
                 Effect::Broadcast(report) => {
                     for to in (0..self.nodes.len()).filter(|&it| it != number) {
                         let report = report.clone();
-                        self.post(number, to, Event::Heard { report, age: Duration::ZERO });
+                        self.post(
+                            number,
+                            to,
+                            Event::ReportReceived { report, age: Duration::ZERO },
+                        );
                     }
                 }
-                Effect::AskResync(peer) => {
+                Effect::RequestResync(peer) => {
                     let to = (0..self.nodes.len()).find(|&it| instance(it) == peer).unwrap();
-                    self.post(number, to, Event::ResyncAsked(instance(number)));
+                    self.post(number, to, Event::ResyncRequested(instance(number)));
                 }
                 Effect::Send { to: peer, report } => {
                     let to = (0..self.nodes.len()).find(|&it| instance(it) == peer).unwrap();
-                    self.post(number, to, Event::Heard { report, age: Duration::ZERO });
+                    self.post(number, to, Event::ReportReceived { report, age: Duration::ZERO });
                 }
             }
         }
@@ -329,7 +335,7 @@
 #[test]
 fn unknown_team_is_refused_with_the_reason() {
     let mut known = limits(0, 1, Time::ZERO);
-    let mut empty = Limits::new(instance(1), Incarnation(1), LimitPolicy::default());
+    let mut empty = RateLimiter::new(instance(1), Incarnation(1), LimitPolicy::default());
 
     let unknown = known.admit(Time::ZERO, &id("nobody")).unwrap_err();
     let unconfigured = empty.admit(Time::ZERO, &id("survey")).unwrap_err();
@@ -358,7 +364,7 @@
 fn reports_of_2700_teams_are_bounded() {
     let teams: Vec<TeamLimit> = (0..2_700).map(|it| limit(&format!("team-{it}"))).collect();
     let names: Vec<TeamId> = teams.iter().map(|it| it.team.clone()).collect();
-    let mut limits = Limits::new(instance(0), Incarnation(1), LimitPolicy::default());
+    let mut limits = RateLimiter::new(instance(0), Incarnation(1), LimitPolicy::default());
     let mut out = Vec::new();
     limits.handle(Time::ZERO, Event::Configured(teams), &mut out);
     limits.handle(Time::ZERO, Event::Heartbeat, &mut out);
@@ -372,14 +378,14 @@
         }
         limits.handle(now, Event::Heartbeat, &mut out);
     }
-    limits.handle(Time::from_millis(60_000), Event::ResyncAsked(instance(1)), &mut out);
+    limits.handle(Time::from_millis(60_000), Event::ResyncRequested(instance(1)), &mut out);
 
     let mut buffer = vec![0; 1 << 16];
     for effect in out {
         let (report, bound) = match &effect {
             Effect::Broadcast(report) => (report, 512),
             Effect::Send { report, .. } => (report, 6 * 2_700 + 128),
-            Effect::AskResync(_) => continue,
+            Effect::RequestResync(_) => continue,
         };
         assert!(postcard::to_slice(report, &mut buffer).unwrap().len() <= bound);
     }
@@ -397,7 +403,7 @@
     limits.handle(now, heard(6, 6, 0.0), &mut Vec::new());
     let again = limits.share(&id("survey")).unwrap();
 
-    assert_matches!(&out[..], [Effect::AskResync(peer)] if *peer == instance(1));
+    assert_matches!(&out[..], [Effect::RequestResync(peer)] if *peer == instance(1));
     assert_eq!((known, again), (0.5, 0.5));
     assert!(missing < 0.02, "{missing}");
 }
@@ -410,11 +416,11 @@
 
     limits.handle(now, heard(3, 2, 0.0), &mut out);
 
-    assert_matches!(&out[..], [Effect::AskResync(_)]);
+    assert_matches!(&out[..], [Effect::RequestResync(_)]);
 }
 
 /// Whether each of the next heartbeats of a settled instance brings a report.
-fn reports_in(limits: &mut Limits, from: Time, beats: u64) -> Vec<bool> {
+fn reports_in(limits: &mut RateLimiter, from: Time, beats: u64) -> Vec<bool> {
     let is_sent = |beat: u64| {
         let mut out = Vec::new();
         let now = from + Duration::from_millis(beat * BEAT_MS);
@@ -427,7 +433,7 @@
 #[test]
 fn unchanged_demand_is_reported_three_times_within_the_lifetime() {
     let (mut limits, now) = settled();
-    let lifetime = LimitPolicy::default().lifetime.as_millis() as u64;
+    let lifetime = LimitPolicy::default().peer_lifetime.as_millis() as u64;
 
     let sent = reports_in(&mut limits, now, 10 * lifetime / BEAT_MS);
 
@@ -460,7 +466,7 @@
 fn newcomer_has_its_starting_share_until_its_reports_are_settled() {
     let mut limits = limits(0, 1, Time::ZERO);
     limits.handle(Time::ZERO, heard(1, 1, 4.0 * RATE), &mut Vec::new());
-    let settle = LimitPolicy::default().settle.as_millis() as u64;
+    let settle = LimitPolicy::default().settle_time.as_millis() as u64;
     let mut shares = Vec::new();
 
     for beat in 0..=settle / BEAT_MS {
@@ -469,17 +475,19 @@
     }
 
     let last = shares.pop().unwrap();
-    assert!(shares.iter().all(|it| *it == START_SHARE));
-    assert!(last < START_SHARE);
+    assert!(shares.iter().all(|it| *it == INITIAL_SHARE));
+    assert!(last < INITIAL_SHARE);
 }
 
 #[test]
 fn newcomer_among_many_has_the_equal_part() {
     let mut limits = limits(0, 1, Time::ZERO);
     for number in 1..16 {
-        let Event::Heard { mut report, age } = heard(1, 1, 0.0) else { unreachable!("a report") };
+        let Event::ReportReceived { mut report, age } = heard(1, 1, 0.0) else {
+            unreachable!("a report")
+        };
         report.from = instance(number);
-        limits.handle(Time::ZERO, Event::Heard { report, age }, &mut Vec::new());
+        limits.handle(Time::ZERO, Event::ReportReceived { report, age }, &mut Vec::new());
     }
 
     assert_eq!(limits.share(&id("survey")), Some(1.0 / 16.0));
--- a/crates/medlarlug-core/tests/testsuite/retry.rs
+++ b/crates/medlarlug-core/tests/testsuite/retry.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 use medlarlug_core::{
     record::Outcome,
-    refusal::{Reason, Spread},
+    refusal::{Reason, RetryJitter},
     retry::{Attempts, Decision, Failure, MAX_ATTEMPTS, MAX_STORED_RETRIES, RetryBudget},
     time::Time,
 };
@@ -22,7 +22,7 @@
 
 fn full_budget() -> RetryBudget {
     let mut budget = RetryBudget::default();
-    (0..1_000).for_each(|_| budget.deposit());
+    (0..1_000).for_each(|_| budget.record_success());
     budget
 }
 
@@ -31,12 +31,12 @@
     random: &mut ChaCha8Rng,
     health: f64,
     budget: &mut RetryBudget,
-    spread: &mut Spread,
+    spread: &mut RetryJitter,
 ) -> u32 {
     let mut state = attempts(true, false);
     for sent in 1.. {
         if random.random_bool(health) {
-            budget.deposit();
+            budget.record_success();
             return sent;
         }
         let failure = FAILURES[random.random_range(0..FAILURES.len())];
@@ -51,7 +51,7 @@
 fn attempts_stay_within_1_1_times_any_100_requests_through_failure_and_return() {
     for seed in 0..500 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let (mut budget, mut spread) = (RetryBudget::default(), Spread::new(seed));
+        let (mut budget, mut spread) = (RetryBudget::default(), RetryJitter::new(seed));
         let mut sent: Vec<u32> = Vec::new();
 
         for phase in 0..6 {
@@ -73,12 +73,12 @@
 
 #[test]
 fn first_failure_after_the_start_is_retried() {
-    let (mut budget, mut spread) = (RetryBudget::default(), Spread::new(1));
+    let (mut budget, mut spread) = (RetryBudget::default(), RetryJitter::new(1));
 
     let decision =
         attempts(true, false).decide(Time::ZERO, Failure::Lost, &mut budget, &mut spread);
 
-    assert_eq!(decision, Decision::RetryHere);
+    assert_eq!(decision, Decision::RetryInZone);
 }
 
 #[test]
@@ -86,7 +86,7 @@
     for seed in 0..2_000 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut state = attempts(random.random(), random.random());
-        let (mut budget, mut spread) = (full_budget(), Spread::new(seed));
+        let (mut budget, mut spread) = (full_budget(), RetryJitter::new(seed));
         let (mut may_have_run, mut crossings) = (false, 0);
         for made in 1.. {
             let failure = FAILURES[random.random_range(0..FAILURES.len())];
@@ -103,7 +103,7 @@
                     break;
                 }
                 decision => {
-                    crossings += u32::from(decision == Decision::RetryElsewhere);
+                    crossings += u32::from(decision == Decision::RetryInOtherZone);
                     assert!(state.idempotent || !may_have_run, "seed {seed}");
                     assert!(crossings <= u32::from(!state.forwarded), "seed {seed}");
                     assert!(made < MAX_ATTEMPTS, "seed {seed}");
@@ -115,13 +115,13 @@
 
 #[test]
 fn attempt_that_would_miss_the_deadline_is_not_made() {
-    let (mut budget, mut spread) = (full_budget(), Spread::new(1));
+    let (mut budget, mut spread) = (full_budget(), RetryJitter::new(1));
     let late = Time::from_millis(1_900);
 
     let decision = attempts(true, false).decide(late, Failure::NotSent, &mut budget, &mut spread);
 
     assert_matches!(decision, Decision::GiveUp(it) if it.reason == Reason::NotStarted);
-    assert_eq!(budget.left(), MAX_STORED_RETRIES);
+    assert_eq!(budget.remaining(), MAX_STORED_RETRIES);
 }
 
 #[test]
@@ -138,10 +138,10 @@
 
 #[test]
 fn times_to_come_back_are_spread() {
-    let mut spread = Spread::new(3);
+    let mut spread = RetryJitter::new(3);
 
     let mut waits: Vec<Duration> =
-        (0..100).map(|_| spread.after(Duration::from_secs(10))).collect();
+        (0..100).map(|_| spread.apply(Duration::from_secs(10))).collect();
     waits.sort_unstable();
     waits.dedup();
 
--- a/crates/medlarlug-core/tests/testsuite/stream.rs
+++ b/crates/medlarlug-core/tests/testsuite/stream.rs
@@ -227,7 +227,7 @@
     let out = arrives(&mut tracker, 1, 0, foreign);
 
     assert_eq!(out, []);
-    assert_eq!(tracker.counters().foreign, 1);
+    assert_eq!(tracker.counters().wrong_request, 1);
     assert!(!tracker.is_ended());
 }
 
@@ -235,8 +235,8 @@
 fn upstream_is_cancelled_when_the_caller_goes() {
     let mut tracker = tracker(StreamPolicy::default());
 
-    let first = handles(&mut tracker, 1, Event::CallerGone);
-    let second = handles(&mut tracker, 2, Event::CallerGone);
+    let first = handles(&mut tracker, 1, Event::CallerDisconnected);
+    let second = handles(&mut tracker, 2, Event::CallerDisconnected);
 
     let connection = ConnectionNumber(0);
     assert_eq!(first, [Effect::Close { connection }, Effect::CancelUpstream { connection }]);
@@ -245,17 +245,18 @@
 
 #[test]
 fn first_byte_has_its_own_limit() {
-    let policy = StreamPolicy { first_byte: Duration::from_secs(9), ..StreamPolicy::default() };
+    let policy =
+        StreamPolicy { first_byte_timeout: Duration::from_secs(9), ..StreamPolicy::default() };
     let tracker = tracker(policy);
 
-    assert_eq!(tracker.silent_at(), Time::from_millis(9_000));
+    assert_eq!(tracker.timeout_at(), Time::from_millis(9_000));
 }
 
 /// Feeds ticks at the moments when the tracker calls for them; gives those moments, in seconds.
 fn silences(tracker: &mut StreamTracker) -> Vec<u64> {
     let mut moments = Vec::new();
     while !tracker.is_ended() {
-        let moment = tracker.silent_at();
+        let moment = tracker.timeout_at();
         moments.push(moment.as_micros() / 1_000_000);
         tracker.handle(moment, Event::Tick, &mut Vec::new());
     }
@@ -264,7 +265,8 @@
 
 #[test]
 fn slow_upstream_has_twice_the_time_on_each_further_connection() {
-    let policy = StreamPolicy { first_byte: Duration::from_secs(2), ..StreamPolicy::default() };
+    let policy =
+        StreamPolicy { first_byte_timeout: Duration::from_secs(2), ..StreamPolicy::default() };
     let mut tracker = tracker(policy);
 
     let moments = silences(&mut tracker);
--- a/src/coordination/entry/admission.rs
+++ b/src/coordination/entry/admission.rs
@@ -1,13 +1,13 @@
 //! Admission to the upstreams of the own zone.
 //!
-//! Requests for one target wait in one queue, which an [`Admission`] core orders and bounds. The
+//! Requests for one target wait in one queue, which an [`AdmissionQueue`] core orders and bounds. The
 //! capacity is this instance's share of the zone's slots, somewhat more than they are, so that
 //! engines always find the next request waiting.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use medlarlug_core::{
-    admission::{Admission, AdmissionPolicy, Arrival, Effect, Event},
+    admission::{AdmissionPolicy, AdmissionQueue, Arrival, Effect, Event},
     ids::RequestId,
     membership::Target,
     refusal::{Reason, Refusal},
@@ -34,7 +34,7 @@
 
 struct Queue {
     target: Target,
-    admission: Admission,
+    admission: AdmissionQueue,
     waiting: Vec<(RequestId, oneshot::Sender<Result<(), Refusal>>)>,
 }
 
@@ -65,7 +65,7 @@
         team: facts.team.clone(),
         priority: facts.priority,
         deadline: now + facts.deadline,
-        estimate: SHORTEST_SERVICE,
+        min_time_to_first_byte: SHORTEST_SERVICE,
         cost,
     };
     Candidate { arrival, target: facts.target.clone() }
@@ -160,7 +160,7 @@
         let place = match queues.binary_search_by(|it| it.target.cmp(target)) {
             Ok(found) => found,
             Err(place) => {
-                let admission = Admission::new(AdmissionPolicy::default());
+                let admission = AdmissionQueue::new(AdmissionPolicy::default());
                 let queue = Queue { target: target.clone(), admission, waiting: Vec::new() };
                 queues.insert(place, queue);
                 place
--- a/src/coordination/entry/inference/delivery.rs
+++ b/src/coordination/entry/inference/delivery.rs
@@ -98,7 +98,7 @@
     if end == StreamEnd::Complete {
         entry.suspect(suspects::Event::Completed { request });
         if let Some(target) = own {
-            entry.with_budget(target, |budget| budget.deposit());
+            entry.with_budget(target, |budget| budget.record_success());
         }
     } else {
         entry.suspect(suspects::Event::Inconclusive { request });
@@ -151,7 +151,7 @@
 /// instance sent the request to the upstream and counts it.
 pub fn pay_for_retries(entry: &Entry, target: &Target, place: &Place, status: StatusCode) {
     if matches!(place, Place::Upstream(_)) && !status.is_server_error() {
-        entry.with_budget(target, |budget| budget.deposit());
+        entry.with_budget(target, |budget| budget.record_success());
     }
 }
 
--- a/src/coordination/entry/inference/mod.rs
+++ b/src/coordination/entry/inference/mod.rs
@@ -67,7 +67,7 @@
         exclude(&mut job, &failed);
         match decision {
             Decision::GiveUp(refusal) => return refuse(&entry, &id, &refusal),
-            Decision::RetryHere | Decision::RetryElsewhere => {
+            Decision::RetryInZone | Decision::RetryInOtherZone => {
                 entry.step(&id, Stage::Retried { reason: failed.reason });
             }
         }
--- a/src/coordination/entry/intake.rs
+++ b/src/coordination/entry/intake.rs
@@ -116,7 +116,7 @@
             phase => phase,
         };
         match &*phase {
-            Phase::Stopped(drain) => drain.cut(),
+            Phase::Stopped(drain) => drain.aborted(),
             Phase::Serving(_) | Phase::Draining(_) => 0,
         }
     }
--- a/src/coordination/entry/mod.rs
+++ b/src/coordination/entry/mod.rs
@@ -47,10 +47,10 @@
 
 use medlarlug_core::{
     ids::{InstanceId, RequestId, Revision, TeamId, UpstreamId},
-    limits::{self, LimitPolicy, Limits, TeamLimit},
+    limits::{self, LimitPolicy, RateLimiter, TeamLimit},
     membership::{Notice, Status, Target},
     record::{Outcome, Stage},
-    refusal::{Reason, Refusal, Spread},
+    refusal::{Reason, Refusal, RetryJitter},
     release::ItemKey,
     retry::RetryBudget,
     routing::{ConfigurationLease, Router, router},
@@ -88,7 +88,7 @@
     /// Records of requests.
     pub journal: RefCell<Journal>,
     /// Spreads the times to come back.
-    pub spread: RefCell<Spread>,
+    pub spread: RefCell<RetryJitter>,
     /// Admission to the zone's upstreams.
     pub admission: ZoneAdmission,
     /// Upstreams at which new connections have just failed.
@@ -100,7 +100,7 @@
     /// Requests that crash upstreams.
     pub suspects: RefCell<SuspectTracker>,
     /// The teams' limits.
-    pub limits: RefCell<Limits>,
+    pub limits: RefCell<RateLimiter>,
     configured: Cell<Revision>,
     ticks: Cell<u32>,
     retries: RefCell<Vec<(Target, RetryBudget)>>,
@@ -110,13 +110,13 @@
     fn new(node: Rc<Node>, settings: EntrySettings) -> Entry {
         let seed = node.incarnation.0;
         let policy = LimitPolicy { seed, ..LimitPolicy::default() };
-        let limits = Limits::new(node.own.id.clone(), node.incarnation, policy);
+        let limits = RateLimiter::new(node.own.id.clone(), node.incarnation, policy);
         let journal = Journal::new(node.region.clone(), node.own.id.clone(), node.incarnation);
         Entry {
             client: HttpClient::default(),
             router: RefCell::new(Router::new(node.now(), seed)),
             journal: RefCell::new(journal),
-            spread: RefCell::new(Spread::new(seed)),
+            spread: RefCell::new(RetryJitter::new(seed)),
             admission: ZoneAdmission::default(),
             cooldowns: Cooldowns::default(),
             closed_entries: Cooldowns::default(),
@@ -176,7 +176,7 @@
     ///
     /// Fails with the refusal `leaving` once the instance has begun to stop.
     pub fn admit(&self) -> Result<(), Refusal> {
-        self.intake.admit().map_err(|it| self.refusal(it.reason, it.after))
+        self.intake.admit().map_err(|it| self.refusal(it.reason, it.retry_after))
     }
 
     /// Tells the router what became of an attempt.
@@ -247,7 +247,7 @@
         let shown = budgets.iter().map(|(target, budget)| {
             json!({
                 "target": target,
-                "left": budget.left(),
+                "left": budget.remaining(),
                 "successes": budget.successes(),
             })
         });
@@ -318,7 +318,7 @@
                         self.node.send(&peer, Message::Demand { report: report.clone() });
                     }
                 }
-                limits::Effect::AskResync(peer) => {
+                limits::Effect::RequestResync(peer) => {
                     self.node.send(&peer, Message::AskDemand);
                 }
                 limits::Effect::Send { to, report } => {
@@ -349,9 +349,9 @@
         match message {
             Message::Demand { report } => {
                 let age = Duration::ZERO;
-                self.limit(limits::Event::Heard { report, age });
+                self.limit(limits::Event::ReportReceived { report, age });
             }
-            Message::AskDemand => self.limit(limits::Event::ResyncAsked(from)),
+            Message::AskDemand => self.limit(limits::Event::ResyncRequested(from)),
             Message::Fact(fact) => self.suspect(suspects::Event::FactReceived(fact)),
             Message::Reserve { upstream, lifetime } => {
                 self.suspect(suspects::Event::Reserved { upstream, lifetime });
@@ -374,7 +374,7 @@
             tracing::info!(?notice, "membership changed");
             match notice {
                 Notice::PeerUp(peer) => self.inform(peer),
-                Notice::PeerLeaving(peer) => self.limit(limits::Event::PeerGone(peer.clone())),
+                Notice::PeerLeaving(peer) => self.limit(limits::Event::PeerStopped(peer.clone())),
                 _ => {}
             }
         }
--- a/src/coordination/entry/relay.rs
+++ b/src/coordination/entry/relay.rs
@@ -94,8 +94,8 @@
     /// A relay of the answer that `exchange` began.
     pub fn new(entry: Rc<Entry>, id: RequestId, exchange: Exchange) -> Relay {
         let is_upstream = matches!(exchange.place, Place::Upstream(_));
-        let (resumable, first_byte) = (is_upstream, FIRST_EVENT_PATIENCE);
-        let policy = StreamPolicy { resumable, first_byte, ..StreamPolicy::default() };
+        let (resumable, first_byte_timeout) = (is_upstream, FIRST_EVENT_PATIENCE);
+        let policy = StreamPolicy { resumable, first_byte_timeout, ..StreamPolicy::default() };
         let tracker = StreamTracker::new(id.clone(), policy, entry.node.now());
         let number = ConnectionNumber::default();
         let source = Source {
@@ -172,7 +172,7 @@
     fn caller_gone(&mut self) {
         self.parts.clear();
         self.end = Some(StreamEnd::CallerGone);
-        for effect in self.feed(Event::CallerGone) {
+        for effect in self.feed(Event::CallerDisconnected) {
             self.finish_effect(effect);
         }
     }
@@ -180,7 +180,7 @@
     /// Takes the next bytes or the next timeout in.
     async fn advance(&mut self) {
         let now = self.entry.node.now();
-        let silent = self.tracker.silent_at() - now;
+        let silent = self.tracker.timeout_at() - now;
         let effects = match &mut self.source {
             Some(source) => {
                 let number = source.number;
--- a/src/coordination/entry/services.rs
+++ b/src/coordination/entry/services.rs
@@ -231,7 +231,7 @@
         inference::exclude(&mut booking.job, &failed);
         match decision {
             Decision::GiveUp(refusal) => return End::NotSent(refusal),
-            Decision::RetryHere | Decision::RetryElsewhere => {
+            Decision::RetryInZone | Decision::RetryInOtherZone => {
                 entry.step(&id, Stage::Retried { reason: failed.reason });
             }
         }
--- a/src/coordination/keeper/duties/confirmations.rs
+++ b/src/coordination/keeper/duties/confirmations.rs
@@ -9,7 +9,7 @@
 
 use medlarlug_core::{
     configuration_group::{Command, Draining, Force, Reply, Tracker},
-    follower::{self, DRIFT},
+    follower::{self, MAX_CLOCK_DRIFT},
     ids::{InstanceId, Revision},
     release::Configuration,
 };
@@ -68,7 +68,7 @@
 
 fn new_tracker(node: &Node) -> Tracker {
     let lease: Duration = follower::Timing::default().lease;
-    let mut tracker = Tracker::new(lease, DRIFT);
+    let mut tracker = Tracker::new(lease, MAX_CLOCK_DRIFT);
     for peer in &node.cluster.instances {
         tracker.expect(peer.id.clone(), peer.zone.clone());
     }
--- a/src/coordination/keeper/duties/mod.rs
+++ b/src/coordination/keeper/duties/mod.rs
@@ -82,7 +82,7 @@
     let group = GroupId::Configuration;
     let node = &keeper.node;
     let revision = node.follower.borrow().revision();
-    let ask = follower::Ask { token: 0, revision, full: false };
+    let ask = follower::UpdateRequest { token: 0, revision, full: false };
     let newer = keeper.with_machine(&group, |machine| match machine {
         Machine::Configuration(machine) => machine.update_for(&ask),
         Machine::Home(_) | Machine::Publication(_) => None,
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -220,7 +220,7 @@
 
     /// Takes a newer configuration in, as a keeper learns it from its own group.
     pub fn push(&self, update: follower::Update) {
-        self.run_follower(follower::Event::Push(update));
+        self.run_follower(follower::Event::Pushed(update));
     }
 
     /// Confirms the newest revision, as a keeper knows it from its own group.
@@ -245,11 +245,11 @@
                 Received::Done
             }
             Message::Answer(answer) => {
-                self.run_follower(follower::Event::Answered(*answer));
+                self.run_follower(follower::Event::ResponseReceived(*answer));
                 Received::Done
             }
             Message::Push(update) => {
-                self.run_follower(follower::Event::Push(*update));
+                self.run_follower(follower::Event::Pushed(*update));
                 Received::Done
             }
             Message::Unheard => {
@@ -281,7 +281,7 @@
         self.follower.borrow_mut().handle(self.now(), event, &mut effects);
         for effect in effects {
             match effect {
-                follower::Effect::Ask { source, ask } => {
+                follower::Effect::RequestUpdate { source, ask } => {
                     self.send(&source, Message::Ask(ask));
                 }
                 follower::Effect::Save(configuration) => {
--- a/src/protocol/message.rs
+++ b/src/protocol/message.rs
@@ -61,9 +61,9 @@
     /// Between instances that watch each other.
     Membership(membership::Message),
     /// Asks for the newest configuration.
-    Ask(follower::Ask),
+    Ask(follower::UpdateRequest),
     /// The answer to [`Message::Ask`].
-    Answer(Box<follower::Answer>),
+    Answer(Box<follower::UpdateResponse>),
     /// Between entry instances of a region: the demand of teams.
     Demand {
         /// The sender's demand.
--- a/src/protocol/problem.rs
+++ b/src/protocol/problem.rs
@@ -59,7 +59,7 @@
     pub fn from_refusal(refusal: &Refusal) -> Problem {
         let reason = refusal.reason;
         let problem = Problem::new(reason.status(), reason.slug(), reason.title(), refusal.outcome);
-        problem.after(refusal.after)
+        problem.after(refusal.retry_after)
     }
 
     /// The same problem of the request `id`.
--- a/tests/testsuite/budget.rs
+++ b/tests/testsuite/budget.rs
@@ -11,7 +11,7 @@
 };
 use medlarlug_core::{
     configuration_group::Change,
-    follower::{Answer, Ask, Confirmation, Update, VOTER_TURN},
+    follower::{Confirmation, Update, UpdateRequest, UpdateResponse, VOTER_REQUEST_INTERVAL},
     home,
     ids::{Incarnation, LogIndex, Revision, Term},
     limits::{DemandEntry, DemandLevel, DemandReport, LimitPolicy, TeamKey},
@@ -160,10 +160,10 @@
 /// Frames of a question and of its answer when nothing is new.
 fn question_bytes() -> usize {
     let token = (1_764_720_000_000 << 20) + 100_000;
-    let ask = Ask { token, revision: Revision(100_000), full: false };
+    let ask = UpdateRequest { token, revision: Revision(100_000), full: false };
     let age = Duration::from_millis(300);
     let confirmation = Some(Confirmation { revision: Revision(100_000), age });
-    let answer = Answer { token, update: None, confirmation };
+    let answer = UpdateResponse { token, update: None, confirmation };
     frame_bytes(Message::Ask(ask)) + frame_bytes(Message::Answer(Box::new(answer)))
 }
 
@@ -194,7 +194,7 @@
     let (voters, heartbeats, nodes) = (5, 4, 340);
     let group = (voters - 1) * (heartbeats * group_heartbeat_bytes() + question_bytes());
 
-    let bytes = group + nodes * question_bytes() / VOTER_TURN / voters;
+    let bytes = group + nodes * question_bytes() / VOTER_REQUEST_INTERVAL / voters;
 
     assert!(bytes <= NODE, "{bytes} B/s, {group} of them within the group");
 }
@@ -212,7 +212,7 @@
 
     let bytes = frame_bytes(Message::Demand { report });
 
-    let both = 2 * bytes * (REGION_PEERS - 1) / policy.refresh.as_secs() as usize;
+    let both = 2 * bytes * (REGION_PEERS - 1) / policy.refresh_interval.as_secs() as usize;
     assert!(both <= NODE / 2, "{both} B/s of reports of {bytes} B");
 }
 
