--- a/benches/capacity/membership.rs
+++ b/benches/capacity/membership.rs
@@ -114,7 +114,7 @@
 
 fn kind_of(message: &membership::Message) -> usize {
     match message {
-        Body::Heartbeat(_) | Body::Lost(_) => 0,
+        Body::Heartbeat(_) | Body::DeadPeers(_) => 0,
         Body::Upstreams(_) | Body::Pull(_) => 1,
         Body::Summaries(_) => 2,
     }
@@ -124,7 +124,7 @@
 fn news_bytes(message: &membership::Message) -> f64 {
     match message {
         Body::Heartbeat(beat) => {
-            let bytes = postcard::to_stdvec(&beat.news).expect("news");
+            let bytes = postcard::to_stdvec(&beat.updates).expect("news");
             (bytes.len() - 1) as f64
         }
         _ => 0.0,
--- a/benches/routing/decision.rs
+++ b/benches/routing/decision.rs
@@ -7,7 +7,7 @@
     fingerprint::Fingerprint,
     ids::{Incarnation, RequestId},
     membership::{Event, InstanceKind, Membership, Seed, Settings, Target},
-    routing::{ConfigurationLease, Origin, Prefix, RequestFacts, Router, View},
+    routing::{CallerRequest, ConfigurationLease, Prefix, RequestFacts, Router, View},
     time::Time,
     units::{Slots, Tokens},
 };
@@ -63,12 +63,12 @@
     }
 }
 
-fn origin() -> Origin {
+fn origin() -> CallerRequest {
     let prefixes = (0..3u8).map(|it| Prefix {
-        print: Fingerprint::of(&[it]),
+        fingerprint: Fingerprint::of(&[it]),
         tokens: Tokens(1_500 / (u64::from(it) + 1)),
     });
-    Origin::new(RequestFacts {
+    CallerRequest::new(RequestFacts {
         id: RequestId {
             region: id("riga"),
             instance: id("e0"),
--- a/benches/routing/deployment.rs
+++ b/benches/routing/deployment.rs
@@ -130,7 +130,7 @@
 impl Deployment {
     /// Requests a second that one engine serves when its slots are the bottleneck.
     pub fn engine_rate(&self) -> f64 {
-        let prefill = self.prefix_tokens as f64 / 3.0 / super::engine::PROMPT_SPEED;
+        let prefill = self.prefix_tokens as f64 / 3.0 / super::engine::PREFILL_TOKENS_PER_SECOND;
         let service = self.answer / super::engine::STREAM_SPEED + prefill;
         f64::from(super::engine::SLOTS) / service
     }
--- a/benches/routing/driver/fault.rs
+++ b/benches/routing/driver/fault.rs
@@ -16,7 +16,7 @@
         for attempt in 0..self.requests.len() {
             let request = &self.requests[attempt];
             let is_hit = request.engine.is_some_and(|it| it.0 < self.deployment.engines / 3);
-            if is_hit && (request.server.is_some() || request.ticket.is_some()) {
+            if is_hit && (request.server.is_some() || request.attempt_id.is_some()) {
                 self.after(LOSS, What::Lost { attempt });
             }
         }
--- a/benches/routing/driver/mod.rs
+++ b/benches/routing/driver/mod.rs
@@ -15,7 +15,7 @@
     ids::{Incarnation, UpstreamId},
     membership::{Event as News, InstanceKind, Membership, Seed, Settings},
     release::Configuration,
-    routing::{Origin, Router, Ticket},
+    routing::{AttemptId, CallerRequest, Router},
     time::Time,
 };
 use rand::{RngExt, SeedableRng};
@@ -62,13 +62,13 @@
 
 /// One request; retries reuse it.
 struct Request {
-    origin: Origin,
+    origin: CallerRequest,
     entry: usize,
     arrived: f64,
     job: Job,
     tries: u32,
-    ticket: Option<Ticket>,
-    server: Option<(usize, Option<Ticket>)>,
+    attempt_id: Option<AttemptId>,
+    server: Option<(usize, Option<AttemptId>)>,
     engine: Option<(usize, u64)>,
     is_away: bool,
     is_started: bool,
--- a/benches/routing/driver/request.rs
+++ b/benches/routing/driver/request.rs
@@ -5,7 +5,7 @@
 use medlarlug_core::{
     ids::{RegionId, UpstreamId, ZoneId},
     release::Configuration,
-    routing::{ConfigurationLease, Event, ForwardHeader, Forwarded, Origin, Permit},
+    routing::{CallerRequest, ConfigurationLease, Event, ForwardHeader, ForwardedRequest, Permit},
 };
 use rand::RngExt;
 use test_support::id;
@@ -42,12 +42,12 @@
         let attempt = self.requests.len();
         let (facts, job) = self.traffic.request(region, attempt);
         Request {
-            origin: Origin::new(facts),
+            origin: CallerRequest::new(facts),
             entry: self.traffic.entry(region),
             arrived: self.now,
             job,
             tries: 0,
-            ticket: None,
+            attempt_id: None,
             server: None,
             engine: None,
             is_away: false,
@@ -77,14 +77,14 @@
         let decision =
             entry.decider.origin(now, &entry.membership, &self.configuration, &request.origin);
         match decision {
-            Decision::Serve(upstream, ticket) => {
-                request.ticket = None;
-                request.server = Some((request.entry, ticket));
+            Decision::Serve(upstream, attempt_id) => {
+                request.attempt_id = None;
+                request.server = Some((request.entry, attempt_id));
                 request.is_away = false;
                 self.send(attempt, &upstream);
             }
-            Decision::Forward(zone, ticket) => {
-                request.ticket = ticket;
+            Decision::Forward(zone, attempt_id) => {
+                request.attempt_id = attempt_id;
                 request.server = None;
                 request.is_away = true;
                 let zone = self.zone(&zone);
@@ -114,17 +114,17 @@
         let own = id(self.deployment.zones[zone].1);
         let request = &mut self.requests[attempt];
         let header = header(&self.configuration, &request.origin, &own);
-        let forwarded = Forwarded::receive(header, &self.configuration, &own).unwrap();
+        let forwarded = ForwardedRequest::receive(header, &self.configuration, &own).unwrap();
         let entry = &mut self.entries[entry_place];
         let decision =
             entry.decider.forwarded(now, &entry.membership, &self.configuration, &forwarded);
         match decision {
-            Decision::Serve(upstream, ticket) => {
-                request.server = Some((entry_place, ticket));
+            Decision::Serve(upstream, attempt_id) => {
+                request.server = Some((entry_place, attempt_id));
                 self.send(attempt, &upstream);
             }
             _ => {
-                request.origin.refuse(id(self.deployment.zones[zone].0));
+                request.origin.exclude_zone(id(self.deployment.zones[zone].0));
                 self.after(self.deployment.far, What::Returned { attempt });
             }
         }
@@ -175,7 +175,11 @@
     }
 }
 
-fn header(configuration: &Configuration, origin: &Origin, region: &RegionId) -> ForwardHeader {
+fn header(
+    configuration: &Configuration,
+    origin: &CallerRequest,
+    region: &RegionId,
+) -> ForwardHeader {
     let lease = ConfigurationLease::Valid;
     let permit = Permit::check(configuration, lease, &origin.facts, region, region).unwrap();
     origin.header(&permit)
--- a/benches/routing/driver/serving.rs
+++ b/benches/routing/driver/serving.rs
@@ -1,6 +1,6 @@
 //! A request at an engine, up to its end.
 
-use medlarlug_core::routing::{Event, Ticket};
+use medlarlug_core::routing::{AttemptId, Event};
 
 use crate::{
     deployment::{LINK_PRICE, PROMPT_PRICE},
@@ -58,21 +58,21 @@
         }
     }
 
-    pub(super) fn learn(&mut self, attempt: usize, event: fn(Ticket) -> Event) {
+    pub(super) fn learn(&mut self, attempt: usize, event: fn(AttemptId) -> Event) {
         let now = self.clock();
         let request = &self.requests[attempt];
-        if let Some((server, Some(ticket))) = request.server {
-            self.entries[server].decider.learn(now, event(ticket));
+        if let Some((server, Some(attempt_id))) = request.server {
+            self.entries[server].decider.learn(now, event(attempt_id));
         }
-        if let Some(ticket) = request.ticket {
-            self.entries[request.entry].decider.learn(now, event(ticket));
+        if let Some(attempt_id) = request.attempt_id {
+            self.entries[request.entry].decider.learn(now, event(attempt_id));
         }
     }
 
-    pub(super) fn settle(&mut self, attempt: usize, event: fn(Ticket) -> Event) {
+    pub(super) fn settle(&mut self, attempt: usize, event: fn(AttemptId) -> Event) {
         self.learn(attempt, event);
         self.requests[attempt].server = None;
-        self.requests[attempt].ticket = None;
+        self.requests[attempt].attempt_id = None;
     }
 
     pub(super) fn end(&mut self, attempt: usize, engine: usize, epoch: u64) {
--- a/benches/routing/engine.rs
+++ b/benches/routing/engine.rs
@@ -5,7 +5,7 @@
 use medlarlug_core::{announcement::LoadReport, fingerprint::Fingerprint, units::Tokens};
 
 /// Prompt tokens that an engine processes a second.
-pub const PROMPT_SPEED: f64 = 8_000.0;
+pub const PREFILL_TOKENS_PER_SECOND: f64 = 8_000.0;
 /// Tokens of one stream a second.
 pub const STREAM_SPEED: f64 = 1.0 / 0.029;
 /// Requests that an engine runs at once.
@@ -82,7 +82,7 @@
         let is_hit = self.touch(job.prefix);
         let processed = if is_hit { job.prompt - job.prefix_tokens } else { job.prompt };
         let begin = now.max(self.free_at);
-        let first = begin + processed as f64 / PROMPT_SPEED * self.slowness;
+        let first = begin + processed as f64 / PREFILL_TOKENS_PER_SECOND * self.slowness;
         self.free_at = first;
         let end = first + job.answer / STREAM_SPEED * self.slowness;
         Started { attempt: job.attempt, first, end, processed, is_hit }
@@ -110,7 +110,7 @@
             return LoadReport { cached, evicted, ..LoadReport::default() };
         }
         let queued: u64 = self.queue.iter().map(|it| it.prompt).sum();
-        let in_work = ((self.free_at - now).max(0.0) * PROMPT_SPEED) as u64;
+        let in_work = ((self.free_at - now).max(0.0) * PREFILL_TOKENS_PER_SECOND) as u64;
         LoadReport {
             running: self.running,
             waiting: self.queue.len() as u32,
--- a/benches/routing/policy.rs
+++ b/benches/routing/policy.rs
@@ -5,8 +5,8 @@
     membership::{Membership, load::free_slots},
     release::Configuration,
     routing::{
-        Choice, ConfigurationLease, Event, Forwarded, Origin, Permit, RequestFacts, Router, Ticket,
-        View,
+        AttemptId, CallerRequest, Choice, ConfigurationLease, Event, ForwardedRequest, Permit,
+        RequestFacts, Router, View,
     },
     time::Time,
 };
@@ -17,11 +17,11 @@
     Naive { turn: usize },
 }
 
-/// What was decided; the ticket is the real router's.
+/// What was decided; the attempt id is the real router's.
 #[derive(Debug)]
 pub enum Decision {
-    Serve(UpstreamId, Option<Ticket>),
-    Forward(ZoneId, Option<Ticket>),
+    Serve(UpstreamId, Option<AttemptId>),
+    Forward(ZoneId, Option<AttemptId>),
     Refuse,
 }
 
@@ -31,7 +31,7 @@
         now: Time,
         membership: &Membership,
         configuration: &Configuration,
-        request: &Origin,
+        request: &CallerRequest,
     ) -> Decision {
         let lease = ConfigurationLease::Valid;
         match self {
@@ -39,16 +39,16 @@
                 let view = View { membership, configuration, lease };
                 match router.decide(now, view, request) {
                     Ok(Choice::Serve(route)) => {
-                        let departure = route.depart(configuration, &request.facts).unwrap();
-                        router.sent(now, &departure, &request.facts);
-                        let route = departure.route();
-                        Decision::Serve(route.upstream.clone(), Some(route.ticket))
+                        let authorized = route.authorize(configuration, &request.facts).unwrap();
+                        router.record_sent(now, &authorized, &request.facts);
+                        let route = authorized.route();
+                        Decision::Serve(route.upstream.clone(), Some(route.attempt_id))
                     }
                     Ok(Choice::Forward(route)) => {
-                        let crossing = route.depart(configuration, lease, request).unwrap();
-                        router.crossed(now, &crossing);
-                        let route = crossing.route();
-                        Decision::Forward(route.zone.clone(), Some(route.ticket))
+                        let authorized = route.authorize(configuration, lease, request).unwrap();
+                        router.record_forwarded(now, &authorized);
+                        let route = authorized.route();
+                        Decision::Forward(route.zone.clone(), Some(route.attempt_id))
                     }
                     Err(_) => Decision::Refuse,
                 }
@@ -62,7 +62,7 @@
         now: Time,
         membership: &Membership,
         configuration: &Configuration,
-        request: &Forwarded,
+        request: &ForwardedRequest,
     ) -> Decision {
         match self {
             Decider::Real(router) => {
@@ -71,10 +71,10 @@
                 let Ok(route) = router.decide_forwarded(now, view, request) else {
                     return Decision::Refuse;
                 };
-                let departure = route.depart_forwarded(configuration, request).unwrap();
-                router.sent(now, &departure, request.facts());
-                let route = departure.route();
-                Decision::Serve(route.upstream.clone(), Some(route.ticket))
+                let authorized = route.authorize_forwarded(configuration, request).unwrap();
+                router.record_sent(now, &authorized, request.facts());
+                let route = authorized.route();
+                Decision::Serve(route.upstream.clone(), Some(route.attempt_id))
             }
             Decider::Naive { turn } => local(now, membership, turn)
                 .map_or(Decision::Refuse, |it| Decision::Serve(it, None)),
@@ -93,7 +93,7 @@
     now: Time,
     membership: &Membership,
     configuration: &Configuration,
-    request: &Origin,
+    request: &CallerRequest,
     turn: &mut usize,
 ) -> Decision {
     let own = &membership.own().region;
@@ -103,7 +103,7 @@
         let zone = membership.zones().iter().find(|zone| {
             let has_room = zone.row(now, target).is_some_and(|it| it.summary.free > 0);
             let is_permitted = is_permitted(configuration, &request.facts, own, &zone.region);
-            has_room && is_permitted && request.refused.binary_search(&zone.zone).is_err()
+            has_room && is_permitted && request.excluded_zones.binary_search(&zone.zone).is_err()
         });
         if let Some(zone) = zone {
             return Decision::Forward(zone.zone.clone(), None);
--- a/benches/routing/traffic.rs
+++ b/benches/routing/traffic.rs
@@ -62,7 +62,7 @@
             target: Target::Model(id("m")),
             adapter: None,
             prompt: Tokens(prompt),
-            prefixes: vec![Prefix { print, tokens: Tokens(prefix_tokens) }],
+            prefixes: vec![Prefix { fingerprint: print, tokens: Tokens(prefix_tokens) }],
             priority: 0,
             deadline: Duration::from_secs_f64(self.deployment.deadline),
             excluded: Vec::new(),
--- a/crates/medlarlug-core/src/membership/core.rs
+++ b/crates/medlarlug-core/src/membership/core.rs
@@ -7,12 +7,12 @@
     ids::{InstanceId, UpstreamId},
     membership::{
         Effect, Event, Heartbeat, InstanceKind, Message, Notice, Seed, Settings, Status, Target,
-        UpstreamKey, UpstreamNews,
+        UpstreamKey, UpstreamUpdate,
+        dead_peers::ReportedDead,
         hash::StableHasher,
-        lost::LostTable,
         peers::{Peer, PeerTable},
         speaker::Held,
-        timing::{HEARTBEAT, SUMMARY_PERIOD, SYNC_INTERVAL, WATCH_ALL},
+        timing::{FULL_MESH_INSTANCES, FULL_SYNC_INTERVAL, HEARTBEAT_INTERVAL, SUMMARY_INTERVAL},
         upstreams::{Change, UpstreamTable},
         zones::{Outbox, ZoneTable},
     },
@@ -61,7 +61,7 @@
     pub(super) next_beat: Time,
     pub(super) next_summary: Time,
     pub(super) next_sync: Time,
-    pub(super) lost: LostTable,
+    pub(super) lost: ReportedDead,
     pub(super) next_lost: Time,
 }
 
@@ -70,7 +70,7 @@
     pub fn new(now: Time, mut settings: Settings) -> Membership {
         let own = &settings.own;
         settings.peers.retain(|it| it.id != own.id);
-        let watches_all = settings.peers.len() < WATCH_ALL;
+        let watches_all = settings.peers.len() < FULL_MESH_INSTANCES;
         let is_watched = |it: &&Seed| watches_all || it.zone == own.zone;
         let watched = settings.peers.iter().filter(is_watched).cloned().collect();
         let entries: Vec<Seed> =
@@ -95,7 +95,7 @@
             next_beat: now,
             next_summary: now,
             next_sync: now,
-            lost: LostTable::default(),
+            lost: ReportedDead::default(),
             next_lost: now,
             settings,
         }
@@ -131,17 +131,17 @@
             Message::Upstreams(news) => self.learn_upstreams(now, from, news, out),
             Message::Pull(keys) => self.answer_pull(now, from, &keys, out),
             Message::Summaries(summaries) => self.learn_zones(now, summaries, out),
-            Message::Lost(lost) => self.learn_lost(now, lost, out),
+            Message::DeadPeers(lost) => self.learn_lost(now, lost, out),
         }
     }
 
     fn beaten(&mut self, now: Time, from: &InstanceId, mut beat: Heartbeat, out: &mut Vec<Effect>) {
-        self.learn_upstreams(now, from, std::mem::take(&mut beat.news), out);
+        self.learn_upstreams(now, from, std::mem::take(&mut beat.updates), out);
         let shares_upstreams = self.zone_entry_peers().any(|it| it.seed.id == *from);
         let digest = if shares_upstreams { self.upstreams.digest() } else { beat.digest };
         let differs = self.peers.beat(from, beat, digest, out);
         if differs && now >= self.next_sync {
-            self.next_sync = now + SYNC_INTERVAL;
+            self.next_sync = now + FULL_SYNC_INTERVAL;
             self.peers.synced(from);
             let message = Message::Upstreams(self.upstreams.whole_view(now));
             out.push(Effect::Send { to: from.clone(), message });
@@ -152,7 +152,7 @@
         &mut self,
         now: Time,
         from: &InstanceId,
-        news: Vec<UpstreamNews>,
+        news: Vec<UpstreamUpdate>,
         out: &mut Vec<Effect>,
     ) {
         let mut unknown = Vec::new();
@@ -217,19 +217,20 @@
             self.share_news(now, out);
         }
         if now >= self.next_summary {
-            self.next_summary = now + SUMMARY_PERIOD;
+            self.next_summary = now + SUMMARY_INTERVAL;
             self.summarize(now, out);
         }
     }
 
     fn send_beats(&mut self, now: Time, out: &mut Vec<Effect>) {
-        self.next_beat = now + HEARTBEAT * self.peers.period_factor();
+        self.next_beat = now + HEARTBEAT_INTERVAL * self.peers.period_factor();
         let digest = self.upstreams.digest();
         let (incarnation, status) = (self.settings.incarnation, self.status);
         let news = self.upstreams.take_news(now);
         for peer in self.peers.all() {
             let news = if self.shares_upstreams(peer) { news.clone() } else { Vec::new() };
-            let message = Message::Heartbeat(Heartbeat { incarnation, status, digest, news });
+            let message =
+                Message::Heartbeat(Heartbeat { incarnation, status, digest, updates: news });
             out.push(Effect::Send { to: peer.seed.id.clone(), message });
         }
     }
@@ -254,7 +255,7 @@
         (*instance != self.first, hasher.short(), instance)
     }
 
-    pub(super) fn is_open(&self) -> bool {
+    pub(super) fn accepts_callers(&self) -> bool {
         self.settings.own.kind == InstanceKind::Entry && !self.status.leaving
     }
 
--- a/crates/medlarlug-core/src/membership/lost.rs
+++ b/crates/medlarlug-core/src/membership/dead_peers.rs
@@ -8,27 +8,27 @@
 use crate::{
     ids::ZoneId,
     membership::{
-        Effect, InstanceKind, LostPeer, Message, Notice, PeerState, Seed,
+        DeadPeer, Effect, InstanceKind, Message, Notice, PeerState, Seed,
         core::Membership,
-        timing::{LOST_LIFETIME, LOST_PERIOD},
+        timing::{DEAD_REPORT_INTERVAL, DEAD_REPORT_LIFETIME},
     },
     time::Time,
 };
 
 /// Dead instances of other zones, as others tell.
 #[derive(Debug, Clone, Default)]
-pub(super) struct LostTable {
-    peers: Vec<LostPeer>,
+pub(super) struct ReportedDead {
+    peers: Vec<DeadPeer>,
     heard: Vec<Time>,
 }
 
-impl LostTable {
-    pub(super) fn all(&self) -> &[LostPeer] {
+impl ReportedDead {
+    pub(super) fn all(&self) -> &[DeadPeer] {
         &self.peers
     }
 
     /// Takes news in; answers whether the instance was not known to be dead.
-    fn learn(&mut self, now: Time, peer: LostPeer) -> bool {
+    fn learn(&mut self, now: Time, peer: DeadPeer) -> bool {
         let Some(place) = self.peers.iter().position(|it| it.id == peer.id) else {
             self.peers.push(peer);
             self.heard.push(now);
@@ -43,7 +43,7 @@
 
     fn expire(&mut self, now: Time) {
         for place in (0..self.peers.len()).rev() {
-            if now - self.heard[place] >= LOST_LIFETIME {
+            if now - self.heard[place] >= DEAD_REPORT_LIFETIME {
                 self.peers.remove(place);
                 self.heard.remove(place);
             }
@@ -52,10 +52,10 @@
 }
 
 impl Membership {
-    pub(super) fn learn_lost(&mut self, now: Time, lost: Vec<LostPeer>, out: &mut Vec<Effect>) {
+    pub(super) fn learn_lost(&mut self, now: Time, lost: Vec<DeadPeer>, out: &mut Vec<Effect>) {
         let own = &self.settings.own.id;
-        let is_news = |it: &LostPeer| it.id != *own && self.peer(&it.id).is_none();
-        let lost: Vec<LostPeer> = lost.into_iter().filter(is_news).collect();
+        let is_news = |it: &DeadPeer| it.id != *own && self.peer(&it.id).is_none();
+        let lost: Vec<DeadPeer> = lost.into_iter().filter(is_news).collect();
         for peer in lost {
             let id = peer.id.clone();
             if self.lost.learn(now, peer) {
@@ -70,25 +70,25 @@
         if !is_new && now < self.next_lost {
             return;
         }
-        self.next_lost = now + LOST_PERIOD;
+        self.next_lost = now + DEAD_REPORT_INTERVAL;
         let dead = self.dead_entries();
         if dead.is_empty() || !self.is_speaker() {
             return;
         }
         for keeper in self.unwatched_keepers() {
-            let message = Message::Lost(dead.clone());
+            let message = Message::DeadPeers(dead.clone());
             out.push(Effect::Send { to: keeper.id.clone(), message });
         }
     }
 
-    fn dead_entries(&self) -> Vec<LostPeer> {
+    fn dead_entries(&self) -> Vec<DeadPeer> {
         let zone: &ZoneId = &self.settings.own.zone;
         let is_dead = |state| matches!(state, PeerState::Dead { .. });
         let peers = self.peers.all().iter();
         let dead = peers.filter(|it| {
             it.seed.zone == *zone && it.seed.kind == InstanceKind::Entry && is_dead(it.state)
         });
-        dead.map(|it| LostPeer { id: it.seed.id.clone(), incarnation: it.incarnation }).collect()
+        dead.map(|it| DeadPeer { id: it.seed.id.clone(), incarnation: it.incarnation }).collect()
     }
 
     fn unwatched_keepers(&self) -> impl Iterator<Item = &Seed> {
--- a/crates/medlarlug-core/src/membership/dump.rs
+++ b/crates/medlarlug-core/src/membership/dump.rs
@@ -103,7 +103,7 @@
         id: announcement.id.clone(),
         incarnation: announcement.incarnation,
         sequence: announcement.sequence,
-        age: now - upstream.heard,
+        age: now - upstream.received_at,
         usable: upstream.is_usable(now),
         running: announcement.load.running,
         waiting: announcement.load.waiting,
@@ -124,7 +124,7 @@
     ZoneDump {
         zone: zone.zone.clone(),
         region: zone.region.clone(),
-        age: zone.made.map(|made| now - made),
+        age: zone.created_at.map(|created_at| now - created_at),
         revision: zone.revision,
         entries: zone.entries.clone(),
         rows: zone.rows(now).map(|it| it.summary.clone()).collect(),
--- a/crates/medlarlug-core/src/membership/message.rs
+++ b/crates/medlarlug-core/src/membership/message.rs
@@ -10,7 +10,7 @@
     announcement::{Announcement, LoadReport},
     fingerprint::Fingerprint,
     ids::{Incarnation, InstanceId, Revision, UpstreamId, ZoneId},
-    membership::{ShortPrint, summary::TargetSummary},
+    membership::{ShortFingerprint, summary::TargetSummary},
     units::Tokens,
 };
 
@@ -20,18 +20,19 @@
     /// The sender is alive.
     Heartbeat(Heartbeat),
     /// News of upstreams of the sender's zone.
-    Upstreams(Vec<UpstreamNews>),
+    Upstreams(Vec<UpstreamUpdate>),
     /// Asks for the whole announcement of upstreams that the sender doesn't know.
     Pull(Vec<UpstreamKey>),
     /// Summaries of zones, on their way through regions and zones.
     Summaries(Summaries),
     /// Entry instances of the sender's zone that are dead, for those who don't watch the zone.
-    Lost(Vec<LostPeer>),
+    #[serde(rename = "Lost")]
+    DeadPeers(Vec<DeadPeer>),
 }
 
 /// An instance that is dead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LostPeer {
+pub struct DeadPeer {
     /// The instance.
     pub id: InstanceId,
     /// The incarnation that died.
@@ -48,7 +49,8 @@
     /// Hash of the upstreams and tombstones that the sender knows.
     pub digest: u32,
     /// News of upstreams, for entry instances of the sender's zone.
-    pub news: Vec<UpstreamNews>,
+    #[serde(rename = "news")]
+    pub updates: Vec<UpstreamUpdate>,
 }
 
 /// Short name of what an upstream announced besides its load: 32 bits of a hash of its id, its
@@ -74,7 +76,7 @@
 
 /// News of one upstream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum UpstreamNews {
+pub enum UpstreamUpdate {
     /// Everything known of it.
     Full {
         /// Its latest announcement.
@@ -91,7 +93,7 @@
         /// Time since the announcement arrived.
         age: Millis,
         /// The new load.
-        load: LoadNews,
+        load: LoadUpdate,
     },
     /// This incarnation takes no new work any more.
     Left {
@@ -121,7 +123,7 @@
 
 /// A load report in few bytes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct LoadNews {
+pub struct LoadUpdate {
     /// Time between the reading and the sending of the announcement.
     pub age: Millis,
     /// Requests that run.
@@ -133,15 +135,15 @@
     /// Tokens generated a second.
     pub speed: u32,
     /// Prefixes that entered the cache.
-    pub cached: Vec<ShortPrint>,
+    pub cached: Vec<ShortFingerprint>,
     /// Prefixes that left the cache.
-    pub evicted: Vec<ShortPrint>,
+    pub evicted: Vec<ShortFingerprint>,
 }
 
-impl From<&LoadReport> for LoadNews {
-    fn from(load: &LoadReport) -> LoadNews {
+impl From<&LoadReport> for LoadUpdate {
+    fn from(load: &LoadReport) -> LoadUpdate {
         let short = |prints: &[Fingerprint]| prints.iter().map(|it| (*it).into()).collect();
-        LoadNews {
+        LoadUpdate {
             age: load.age.into(),
             running: load.running,
             waiting: load.waiting,
@@ -153,9 +155,9 @@
     }
 }
 
-impl From<&LoadNews> for LoadReport {
+impl From<&LoadUpdate> for LoadReport {
     /// The report without its cache events, whose fingerprints are shortened.
-    fn from(news: &LoadNews) -> LoadReport {
+    fn from(news: &LoadUpdate) -> LoadReport {
         LoadReport {
             age: news.age.into(),
             running: news.running,
@@ -174,7 +176,7 @@
     /// How far the receiver hands them on.
     pub scope: Scope,
     /// The summaries.
-    pub zones: Vec<ZoneNews>,
+    pub zones: Vec<ZoneUpdate>,
 }
 
 /// How far a receiver hands a summary on.
@@ -190,7 +192,7 @@
 
 /// Changes of one zone's summary.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ZoneNews {
+pub struct ZoneUpdate {
     /// The zone.
     pub zone: ZoneId,
     /// The instance that made the summary.
--- a/crates/medlarlug-core/src/membership/mod.rs
+++ b/crates/medlarlug-core/src/membership/mod.rs
@@ -11,14 +11,14 @@
 //! Instances watch each other by heartbeats. A silent connection is replaced by a new one first;
 //! an instance counts as dead only when the new connection is silent as well.
 
-pub mod awaited;
 mod core;
+mod dead_peers;
 pub mod dump;
 mod hash;
 pub mod load;
-mod lost;
 pub mod message;
 pub mod peers;
+pub mod pending_responses;
 mod query;
 mod speaker;
 pub mod summary;
@@ -32,19 +32,19 @@
     ids::{Incarnation, InstanceId, RegionId, UpstreamId, ZoneId},
 };
 
-pub use awaited::Awaited;
 pub use core::Membership;
 pub use dump::MembershipDump;
 pub use message::{
-    EntryLoad, Heartbeat, LoadNews, LostPeer, Message, Millis, Scope, Status, Summaries,
-    UpstreamKey, UpstreamNews, ZoneNews,
+    DeadPeer, EntryLoad, Heartbeat, LoadUpdate, Message, Millis, Scope, Status, Summaries,
+    UpstreamKey, UpstreamUpdate, ZoneUpdate,
 };
 pub use peers::{Peer, PeerState};
+pub use pending_responses::PendingResponses;
 pub use query::EntryView;
 pub use summary::{QueueTime, Sketch, Target, TargetSummary};
 pub use timing::TICK;
 pub use upstreams::Upstream;
-pub use warm::{ShortPrint, WarmSet};
+pub use warm::{ShortFingerprint, WarmSet};
 pub use zones::{Row, ZoneView};
 
 /// Role of an instance of the system.
--- a/crates/medlarlug-core/src/membership/peers.rs
+++ b/crates/medlarlug-core/src/membership/peers.rs
@@ -7,7 +7,8 @@
     membership::{
         Effect, Heartbeat, InstanceKind, Notice, Seed, Status,
         timing::{
-            DIGEST_MISMATCHES, FEW_PEERS, LINK_SILENCE, MANY_FACTOR, PEER_SILENCE, RETRY_DEAD,
+            CONNECTION_TIMEOUT, DEAD_RECONNECT_INTERVAL, DIGEST_MISMATCHES,
+            LARGE_GROUP_PERIOD_FACTOR, RECONNECT_TIMEOUT, SMALL_GROUP_PEERS,
         },
     },
     time::Time,
@@ -34,7 +35,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerState {
     /// Nothing was heard of it since the own start.
-    Unheard,
+    NeverSeen,
     /// It was heard lately.
     Up,
     /// Its connection was silent and has been replaced.
@@ -45,7 +46,7 @@
     /// The new connection was silent as well.
     Dead {
         /// When the last new connection was asked for.
-        tried: Time,
+        last_reconnect: Time,
     },
 }
 
@@ -57,11 +58,11 @@
 
     /// Time since it was heard; `None` if it never was.
     pub fn age(&self, now: Time) -> Option<Duration> {
-        (self.state != PeerState::Unheard).then(|| now - self.heard)
+        (self.state != PeerState::NeverSeen).then(|| now - self.heard)
     }
 
     /// Whether callers can be sent to it.
-    pub fn is_open(&self) -> bool {
+    pub fn accepts_callers(&self) -> bool {
         self.is_live() && !self.status.leaving && self.seed.kind == InstanceKind::Entry
     }
 }
@@ -143,17 +144,20 @@
     /// bounded in a zone with many instances. Instances of a zone watch each other, so that they
     /// reckon with the same factor.
     pub(super) fn period_factor(&self) -> u32 {
-        if self.peers.len() > FEW_PEERS { MANY_FACTOR } else { 1 }
+        if self.peers.len() > SMALL_GROUP_PEERS { LARGE_GROUP_PERIOD_FACTOR } else { 1 }
     }
 
     /// Looks for silent connections.
     pub(super) fn check(&mut self, now: Time, out: &mut Vec<Effect>) {
         let factor = self.period_factor();
-        let (link_silence, peer_silence) = (LINK_SILENCE * factor, PEER_SILENCE * factor);
+        let (link_silence, peer_silence) =
+            (CONNECTION_TIMEOUT * factor, RECONNECT_TIMEOUT * factor);
         for peer in &mut self.peers {
             let id = &peer.seed.id;
             match peer.state {
-                PeerState::Unheard if now - *peer.tried.get_or_insert(now) >= RETRY_DEAD => {
+                PeerState::NeverSeen
+                    if now - *peer.tried.get_or_insert(now) >= DEAD_RECONNECT_INTERVAL =>
+                {
                     peer.tried = Some(now);
                     out.push(Effect::Reconnect { peer: id.clone() });
                 }
@@ -162,11 +166,13 @@
                     out.push(Effect::Reconnect { peer: id.clone() });
                 }
                 PeerState::Reconnecting { since } if now - since >= peer_silence => {
-                    peer.state = PeerState::Dead { tried: now };
+                    peer.state = PeerState::Dead { last_reconnect: now };
                     out.push(Effect::Notice(Notice::PeerDead(id.clone())));
                 }
-                PeerState::Dead { tried } if now - tried >= RETRY_DEAD => {
-                    peer.state = PeerState::Dead { tried: now };
+                PeerState::Dead { last_reconnect }
+                    if now - last_reconnect >= DEAD_RECONNECT_INTERVAL =>
+                {
+                    peer.state = PeerState::Dead { last_reconnect: now };
                     out.push(Effect::Reconnect { peer: id.clone() });
                 }
                 _ => {}
@@ -181,7 +187,7 @@
             seed,
             incarnation: Incarnation(0),
             status: Status::default(),
-            state: PeerState::Unheard,
+            state: PeerState::NeverSeen,
             heard: Time::ZERO,
             tried: None,
             mismatches: 0,
--- a/crates/medlarlug-core/src/membership/query.rs
+++ b/crates/medlarlug-core/src/membership/query.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     ids::{InstanceId, RegionId, Revision, UpstreamId, ZoneId},
-    membership::{LostPeer, Peer, Seed, Status, Upstream, ZoneView, core::Membership},
+    membership::{DeadPeer, Peer, Seed, Status, Upstream, ZoneView, core::Membership},
     time::Time,
 };
 
@@ -74,7 +74,7 @@
     }
 
     /// The dead instances of zones that aren't watched, as far as others tell.
-    pub fn lost(&self) -> &[LostPeer] {
+    pub fn reported_dead(&self) -> &[DeadPeer] {
         self.lost.all()
     }
 
@@ -87,27 +87,28 @@
     }
 
     /// Entry instances of the own zone that callers may use, this one included.
-    pub fn open_entries(&self) -> u32 {
-        let others = self.zone_peers().filter(|it| it.is_open()).count();
-        u32::try_from(others).unwrap_or(u32::MAX).saturating_add(u32::from(self.is_open()))
+    pub fn accepting_entries(&self) -> u32 {
+        let others = self.zone_peers().filter(|it| it.accepts_callers()).count();
+        u32::try_from(others).unwrap_or(u32::MAX).saturating_add(u32::from(self.accepts_callers()))
     }
 
     /// Whether this instance sends the summaries of its zone: the lowest live entry instance.
     pub fn is_speaker(&self) -> bool {
         let own = &self.settings.own.id;
-        self.is_open() && !self.zone_peers().any(|it| it.is_open() && it.seed.id < *own)
+        self.accepts_callers()
+            && !self.zone_peers().any(|it| it.accepts_callers() && it.seed.id < *own)
     }
 
     /// The entry instances that callers may use, sorted by id: live and not leaving.
     pub fn entries(&self, now: Time) -> Vec<EntryView> {
         let mut entries: Vec<EntryView> = Vec::new();
-        if self.is_open() {
+        if self.accepts_callers() {
             entries.push(entry_view(&self.settings.own, self.status));
         }
         let watched = self.peers.all();
-        let open = watched.iter().filter(|it| it.is_open());
+        let open = watched.iter().filter(|it| it.accepts_callers());
         entries.extend(open.map(|it| entry_view(&it.seed, it.status)));
-        for zone in self.zones.all().iter().filter(|it| it.is_heard(now)) {
+        for zone in self.zones.all().iter().filter(|it| it.has_fresh_summary(now)) {
             let far = zone.entries.iter().filter(|it| self.peer(&it.id).is_none());
             entries.extend(far.map(|it| EntryView {
                 id: it.id.clone(),
--- a/crates/medlarlug-core/src/membership/speaker.rs
+++ b/crates/medlarlug-core/src/membership/speaker.rs
@@ -6,9 +6,9 @@
     ids::{InstanceId, Revision},
     membership::{
         Effect, EntryLoad, InstanceKind, Message, Peer, QueueTime, Scope, Sketch, Summaries,
-        TargetSummary, Upstream, ZoneNews,
+        TargetSummary, Upstream, ZoneUpdate,
         core::Membership,
-        load::{free_slots, queueing},
+        load::{free_slots, queueing_time},
         timing::SUMMARY_ENTRIES,
     },
     time::Time,
@@ -33,7 +33,7 @@
     }
 
     /// Sends the own summary to other regions, and gives what is due within the region.
-    fn summarize_own(&mut self, now: Time, out: &mut Vec<Effect>) -> Option<ZoneNews> {
+    fn summarize_own(&mut self, now: Time, out: &mut Vec<Effect>) -> Option<ZoneUpdate> {
         let rows = self.own_rows(now);
         let entries = self.zone_entries();
         self.turn += 1;
@@ -48,22 +48,22 @@
         near
     }
 
-    fn own_news(&self, entries: Vec<EntryLoad>, rows: Vec<TargetSummary>) -> ZoneNews {
+    fn own_news(&self, entries: Vec<EntryLoad>, rows: Vec<TargetSummary>) -> ZoneUpdate {
         let in_zone = self.zone_peers().filter(|it| it.is_live()).map(|it| it.status.revision);
         let revision = in_zone.chain([self.status.revision]).max().unwrap_or(Revision(0));
         let (zone, speaker) = (self.settings.own.zone.clone(), self.settings.own.id.clone());
-        ZoneNews { zone, speaker, age: Default::default(), revision, entries, rows }
+        ZoneUpdate { zone, speaker, age: Default::default(), revision, entries, rows }
     }
 
     fn own_rows(&mut self, now: Time) -> Vec<TargetSummary> {
         let mut rows: Vec<TargetSummary> =
-            self.told.iter().cloned().map(TargetSummary::none).collect();
+            self.told.iter().cloned().map(TargetSummary::empty).collect();
         for upstream in self.upstreams.all().iter().filter(|it| it.is_usable(now)) {
             for target in upstream.targets() {
                 let place = match rows.binary_search_by(|it| it.target.cmp(&target)) {
                     Ok(place) => place,
                     Err(place) => {
-                        rows.insert(place, TargetSummary::none(target));
+                        rows.insert(place, TargetSummary::empty(target));
                         place
                     }
                 };
@@ -109,10 +109,10 @@
 
     fn zone_entries(&self) -> Vec<EntryLoad> {
         let own = EntryLoad { id: self.settings.own.id.clone(), load: self.status.load };
-        let open = self.zone_peers().filter(|it| it.is_open());
+        let open = self.zone_peers().filter(|it| it.accepts_callers());
         let open = open.map(|it| EntryLoad { id: it.seed.id.clone(), load: it.status.load });
         let mut entries: Vec<EntryLoad> = open.collect();
-        if self.is_open() {
+        if self.accepts_callers() {
             entries.push(own);
         }
         entries.sort_by(|a, b| (a.load, &a.id).cmp(&(b.load, &b.id)));
@@ -125,20 +125,20 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Held {
     /// For the other zones of the region.
-    region: Vec<(Time, ZoneNews)>,
+    region: Vec<(Time, ZoneUpdate)>,
     /// For the other entry instances of the zone.
-    zone: Vec<(Time, ZoneNews)>,
+    zone: Vec<(Time, ZoneUpdate)>,
 }
 
-fn hold(held: &mut Vec<(Time, ZoneNews)>, now: Time, zones: Vec<ZoneNews>) {
+fn hold(held: &mut Vec<(Time, ZoneUpdate)>, now: Time, zones: Vec<ZoneUpdate>) {
     held.extend(zones.into_iter().map(|it| (now, it)));
 }
 
 /// Takes the held news out, dated by its age now.
-fn release(held: &mut Vec<(Time, ZoneNews)>, now: Time) -> Vec<ZoneNews> {
-    let aged = |(since, news): (Time, ZoneNews)| {
+fn release(held: &mut Vec<(Time, ZoneUpdate)>, now: Time) -> Vec<ZoneUpdate> {
+    let aged = |(since, news): (Time, ZoneUpdate)| {
         let age = Duration::from(news.age) + (now - since);
-        ZoneNews { age: age.into(), ..news }
+        ZoneUpdate { age: age.into(), ..news }
     };
     std::mem::take(held).into_iter().map(aged).collect()
 }
@@ -150,7 +150,7 @@
 fn send_summaries(
     contacts: Vec<InstanceId>,
     scope: Scope,
-    zones: Vec<ZoneNews>,
+    zones: Vec<ZoneUpdate>,
     out: &mut Vec<Effect>,
 ) {
     for to in contacts {
@@ -161,7 +161,7 @@
 
 fn add_upstream(row: &mut TargetSummary, upstream: &Upstream) {
     let announcement = &upstream.announcement;
-    let millis = u32::try_from(queueing(announcement).as_millis()).unwrap_or(u32::MAX);
+    let millis = u32::try_from(queueing_time(announcement).as_millis()).unwrap_or(u32::MAX);
     let sum = u64::from(row.queueing.0) * u64::from(row.upstreams) + u64::from(millis);
     let mean = sum / (u64::from(row.upstreams) + 1);
     row.queueing = QueueTime(u32::try_from(mean).unwrap_or(u32::MAX));
--- a/crates/medlarlug-core/src/membership/summary.rs
+++ b/crates/medlarlug-core/src/membership/summary.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     ids::{ModelId, ServiceId},
-    membership::ShortPrint,
+    membership::ShortFingerprint,
     release::ItemKey,
 };
 
@@ -92,18 +92,18 @@
     pub(super) const PREFIXES: usize = 4;
 
     /// Adds a prefix.
-    pub fn insert(&mut self, prefix: ShortPrint) {
+    pub fn insert(&mut self, prefix: ShortFingerprint) {
         for bit in Self::positions(prefix) {
             self.0[bit / 8] |= 1 << (bit % 8);
         }
     }
 
     /// Whether the prefix may have been added.
-    pub fn contains(&self, prefix: ShortPrint) -> bool {
+    pub fn contains(&self, prefix: ShortFingerprint) -> bool {
         Self::positions(prefix).iter().all(|bit| self.0[bit / 8] & (1 << (bit % 8)) != 0)
     }
 
-    fn positions(prefix: ShortPrint) -> [usize; 2] {
+    fn positions(prefix: ShortFingerprint) -> [usize; 2] {
         let bits = prefix.bits();
         [(bits % Self::BITS) as usize, (bits / Self::BITS % Self::BITS) as usize]
     }
@@ -111,7 +111,7 @@
 
 impl TargetSummary {
     /// An empty summary: the zone has no upstream for the target.
-    pub fn none(target: Target) -> TargetSummary {
+    pub fn empty(target: Target) -> TargetSummary {
         let (queueing, warm) = (QueueTime::default(), Sketch::default());
         TargetSummary { target, upstreams: 0, free: 0, queueing, speed: 0, warm }
     }
--- a/crates/medlarlug-core/src/membership/upstreams.rs
+++ b/crates/medlarlug-core/src/membership/upstreams.rs
@@ -6,10 +6,10 @@
     announcement::{Announcement, LoadReport, UpstreamKind},
     ids::{AdapterId, Incarnation, UpstreamId},
     membership::{
-        LoadNews, Millis, ShortPrint, Target, UpstreamKey, UpstreamNews,
+        LoadUpdate, Millis, ShortFingerprint, Target, UpstreamKey, UpstreamUpdate,
         hash::StableHasher,
         timing::{
-            LEAVING_ROUNDS, MAX_PENDING, MAX_TOMBSTONES, PASS_INTERVAL, TELLER_SILENCE,
+            LEAVING_SENDS, MAX_PENDING_CACHE_EVENTS, MAX_TOMBSTONES, RELAY_INTERVAL, RELAY_TIMEOUT,
             TOMBSTONE_LIFETIME, UPSTREAM_LEASE,
         },
         warm::WarmSet,
@@ -23,7 +23,7 @@
     /// Its latest announcement.
     pub announcement: Announcement,
     /// When that announcement reached the zone.
-    pub heard: Time,
+    pub received_at: Time,
     /// Prefixes in its cache, as far as its events tell.
     pub warm: WarmSet,
     shape: u32,
@@ -39,16 +39,16 @@
 /// Cache events that the other instances of the zone haven't been sent.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct PendingEvents {
-    cached: Vec<ShortPrint>,
-    evicted: Vec<ShortPrint>,
+    cached: Vec<ShortFingerprint>,
+    evicted: Vec<ShortFingerprint>,
 }
 
 impl PendingEvents {
-    fn add(&mut self, news: &LoadNews) {
+    fn add(&mut self, news: &LoadUpdate) {
         self.cached.extend(&news.cached);
         self.evicted.extend(&news.evicted);
         for prints in [&mut self.cached, &mut self.evicted] {
-            let surplus = prints.len().saturating_sub(MAX_PENDING);
+            let surplus = prints.len().saturating_sub(MAX_PENDING_CACHE_EVENTS);
             prints.drain(..surplus);
         }
     }
@@ -63,12 +63,12 @@
 }
 
 impl Upstream {
-    fn new(announcement: Announcement, heard: Time, unsent: Unsent) -> Upstream {
+    fn new(announcement: Announcement, received_at: Time, unsent: Unsent) -> Upstream {
         let shape = shape(&announcement);
         let mut upstream = Upstream {
             key: key(&announcement, shape),
             announcement,
-            heard,
+            received_at,
             warm: WarmSet::default(),
             shape,
             unsent,
@@ -82,7 +82,7 @@
 
     /// Whether it takes new work: its lease runs and it doesn't leave.
     pub fn is_usable(&self, now: Time) -> bool {
-        !self.announcement.leaving && now - self.heard < UPSTREAM_LEASE
+        !self.announcement.leaving && now - self.received_at < UPSTREAM_LEASE
     }
 
     /// Whether it serves a target.
@@ -119,7 +119,7 @@
     /// Whether another instance passes the renewals on; of all that the upstream announces itself
     /// to, the one with the highest rank does, so that each renewal travels once.
     fn is_told(&self, now: Time) -> bool {
-        self.told.is_some_and(|told| now - told < TELLER_SILENCE)
+        self.told.is_some_and(|told| now - told < RELAY_TIMEOUT)
     }
 
     fn order(&self) -> (Incarnation, u64) {
@@ -127,11 +127,11 @@
     }
 
     fn note_cache(&mut self) {
-        let news = LoadNews::from(&self.announcement.load);
+        let news = LoadUpdate::from(&self.announcement.load);
         self.note_events(&news);
     }
 
-    fn note_events(&mut self, news: &LoadNews) {
+    fn note_events(&mut self, news: &LoadUpdate) {
         news.evicted.iter().for_each(|it| self.warm.remove(*it));
         news.cached.iter().for_each(|it| self.warm.insert(*it));
     }
@@ -220,11 +220,11 @@
     }
 
     /// The upstream that news is about; fails with the key of an upstream that is not known.
-    pub(super) fn subject(&self, news: &UpstreamNews) -> Result<UpstreamId, UpstreamKey> {
+    pub(super) fn subject(&self, news: &UpstreamUpdate) -> Result<UpstreamId, UpstreamKey> {
         match news {
-            UpstreamNews::Full { announcement, .. } => Ok(announcement.id.clone()),
-            UpstreamNews::Left { id, .. } => Ok(id.clone()),
-            UpstreamNews::Renewal { key, .. } => {
+            UpstreamUpdate::Full { announcement, .. } => Ok(announcement.id.clone()),
+            UpstreamUpdate::Left { id, .. } => Ok(id.clone()),
+            UpstreamUpdate::Renewal { key, .. } => {
                 let place = self.find_key(*key).ok_or(*key)?;
                 Ok(self.upstreams[place].announcement.id.clone())
             }
@@ -249,12 +249,12 @@
 
     /// Takes in news from another instance of the zone; `is_preferred` tells whether it goes before
     /// the own one in passing renewals of the upstream on.
-    pub(super) fn learn(&mut self, now: Time, news: UpstreamNews, is_preferred: bool) -> Change {
+    pub(super) fn learn(&mut self, now: Time, news: UpstreamUpdate, is_preferred: bool) -> Change {
         match news {
-            UpstreamNews::Full { announcement, age } => {
+            UpstreamUpdate::Full { announcement, age } => {
                 self.accept(*announcement, now.saturating_sub(age), now, false)
             }
-            UpstreamNews::Renewal { key, sequence, age, load } => {
+            UpstreamUpdate::Renewal { key, sequence, age, load } => {
                 let Some(place) = self.find_key(key) else {
                     return Change::None;
                 };
@@ -265,14 +265,14 @@
                 }
                 self.renew(place, sequence, now.saturating_sub(age.into()), load)
             }
-            UpstreamNews::Left { id, incarnation } => self.leave(now, &id, incarnation),
+            UpstreamUpdate::Left { id, incarnation } => self.leave(now, &id, incarnation),
         }
     }
 
     fn accept(
         &mut self,
         announcement: Announcement,
-        heard: Time,
+        received_at: Time,
         now: Time,
         is_first_hand: bool,
     ) -> Change {
@@ -281,7 +281,7 @@
         if self.is_void(&id, order) {
             return Change::Void;
         }
-        if now - heard >= UPSTREAM_LEASE {
+        if now - received_at >= UPSTREAM_LEASE {
             return Change::None;
         }
         let is_leaving = announcement.leaving;
@@ -301,11 +301,11 @@
                     unsent = if known.is_told(now) { Unsent::Nothing } else { Unsent::Load };
                 }
                 known.announcement = announcement;
-                known.heard = heard;
+                known.received_at = received_at;
                 known.unsent = unsent;
                 known.note_cache();
                 match unsent {
-                    Unsent::Load => known.pending.add(&LoadNews::from(&known.announcement.load)),
+                    Unsent::Load => known.pending.add(&LoadUpdate::from(&known.announcement.load)),
                     _ => known.pending = PendingEvents::default(),
                 }
                 if is_same {
@@ -317,7 +317,7 @@
                 }
             }
             Err(place) => {
-                self.upstreams.insert(place, Upstream::new(announcement, heard, unsent));
+                self.upstreams.insert(place, Upstream::new(announcement, received_at, unsent));
                 Change::Up
             }
         };
@@ -327,7 +327,13 @@
         if is_leaving { self.leave(now, &id, incarnation) } else { change }
     }
 
-    fn renew(&mut self, place: usize, sequence: u64, heard: Time, load: LoadNews) -> Change {
+    fn renew(
+        &mut self,
+        place: usize,
+        sequence: u64,
+        received_at: Time,
+        load: LoadUpdate,
+    ) -> Change {
         let known = &self.upstreams[place];
         let order = (known.announcement.incarnation, sequence);
         if self.is_void(&known.announcement.id, order) {
@@ -340,7 +346,7 @@
         if order > known.order() {
             known.announcement.sequence = sequence;
             known.announcement.load = LoadReport::from(&load);
-            known.heard = heard;
+            known.received_at = received_at;
             known.note_events(&load);
         }
         Change::None
@@ -365,7 +371,7 @@
     }
 
     fn bury(&mut self, now: Time, id: &UpstreamId, incarnation: Incarnation, sequence: u64) {
-        let rounds = if sequence == LEFT { LEAVING_ROUNDS } else { 0 };
+        let rounds = if sequence == LEFT { LEAVING_SENDS } else { 0 };
         let tombstone = Tombstone { id: id.clone(), incarnation, sequence, since: now, rounds };
         match self.find_tombstone(id) {
             Ok(place) => self.tombstones[place] = tombstone,
@@ -380,7 +386,7 @@
     /// Takes out upstreams whose lease ran out, and gives their ids.
     pub(super) fn expire(&mut self, now: Time) -> Vec<UpstreamId> {
         self.tombstones.retain(|it| now - it.since < TOMBSTONE_LIFETIME);
-        let is_dead = |it: &Upstream| now - it.heard >= UPSTREAM_LEASE;
+        let is_dead = |it: &Upstream| now - it.received_at >= UPSTREAM_LEASE;
         let dead: Vec<_> = self.upstreams.extract_if(.., |it| is_dead(it)).collect();
         if !dead.is_empty() {
             self.generation += 1;
@@ -399,18 +405,18 @@
     }
 
     /// News that the other instances of the zone haven't been sent.
-    pub(super) fn take_news(&mut self, now: Time) -> Vec<UpstreamNews> {
+    pub(super) fn take_news(&mut self, now: Time) -> Vec<UpstreamUpdate> {
         let mut news = Vec::new();
         for it in &mut self.tombstones {
             if it.rounds > 0 {
                 it.rounds -= 1;
-                news.push(UpstreamNews::Left { id: it.id.clone(), incarnation: it.incarnation });
+                news.push(UpstreamUpdate::Left { id: it.id.clone(), incarnation: it.incarnation });
             }
         }
         for it in &mut self.upstreams {
             match it.unsent {
                 Unsent::Nothing => continue,
-                Unsent::Load if it.passed.is_some_and(|last| now - last < PASS_INTERVAL) => {
+                Unsent::Load if it.passed.is_some_and(|last| now - last < RELAY_INTERVAL) => {
                     continue;
                 }
                 Unsent::Load => news.push(renewal(now, it)),
@@ -423,26 +429,26 @@
     }
 
     /// Everything that is known, tombstones included.
-    pub(super) fn whole_view(&self, now: Time) -> Vec<UpstreamNews> {
+    pub(super) fn whole_view(&self, now: Time) -> Vec<UpstreamUpdate> {
         let left = self.tombstones.iter().filter(|it| it.sequence == LEFT);
         let left =
-            left.map(|it| UpstreamNews::Left { id: it.id.clone(), incarnation: it.incarnation });
+            left.map(|it| UpstreamUpdate::Left { id: it.id.clone(), incarnation: it.incarnation });
         left.chain(self.upstreams.iter().map(|it| full(now, it))).collect()
     }
 
     /// The news that answers for one upstream: its announcement, or its tombstone.
-    pub(super) fn answer(&self, now: Time, id: &UpstreamId) -> Option<UpstreamNews> {
+    pub(super) fn answer(&self, now: Time, id: &UpstreamId) -> Option<UpstreamUpdate> {
         if let Some(upstream) = self.get(id) {
             return Some(full(now, upstream));
         }
         let place = self.find_tombstone(id).ok()?;
         let tombstone = &self.tombstones[place];
         let incarnation = tombstone.incarnation;
-        (tombstone.sequence == LEFT).then(|| UpstreamNews::Left { id: id.clone(), incarnation })
+        (tombstone.sequence == LEFT).then(|| UpstreamUpdate::Left { id: id.clone(), incarnation })
     }
 
     /// The whole announcement that a key stands for.
-    pub(super) fn answer_key(&self, now: Time, key: UpstreamKey) -> Option<UpstreamNews> {
+    pub(super) fn answer_key(&self, now: Time, key: UpstreamKey) -> Option<UpstreamUpdate> {
         Some(full(now, &self.upstreams[self.find_key(key)?]))
     }
 
@@ -456,15 +462,15 @@
     }
 }
 
-fn full(now: Time, upstream: &Upstream) -> UpstreamNews {
+fn full(now: Time, upstream: &Upstream) -> UpstreamUpdate {
     let announcement = Box::new(upstream.announcement.clone());
-    UpstreamNews::Full { announcement, age: now - upstream.heard }
+    UpstreamUpdate::Full { announcement, age: now - upstream.received_at }
 }
 
-fn renewal(now: Time, upstream: &mut Upstream) -> UpstreamNews {
+fn renewal(now: Time, upstream: &mut Upstream) -> UpstreamUpdate {
     let PendingEvents { cached, evicted } = std::mem::take(&mut upstream.pending);
     let Announcement { sequence, load, .. } = &upstream.announcement;
-    let load = LoadNews { cached, evicted, ..LoadNews::from(load) };
-    let age = Millis::from(now - upstream.heard);
-    UpstreamNews::Renewal { key: upstream.key, sequence: *sequence, age, load }
+    let load = LoadUpdate { cached, evicted, ..LoadUpdate::from(load) };
+    let age = Millis::from(now - upstream.received_at);
+    UpstreamUpdate::Renewal { key: upstream.key, sequence: *sequence, age, load }
 }
--- a/crates/medlarlug-core/src/membership/zones.rs
+++ b/crates/medlarlug-core/src/membership/zones.rs
@@ -5,10 +5,11 @@
 use crate::{
     ids::{InstanceId, RegionId, Revision, ZoneId},
     membership::{
-        EntryLoad, Seed, Sketch, Target, TargetSummary, ZoneNews,
+        EntryLoad, Seed, Sketch, Target, TargetSummary, ZoneUpdate,
         timing::{
-            BUDGET_BURST, CONTACT_SILENCE, FAR_BUDGET, FAR_LIFETIME, FAR_REFRESH, FEW_ZONES,
-            MIN_ROWS, NEAR_BUDGET, NEAR_LIFETIME, NEAR_REFRESH,
+            CONTACT_TIMEOUT, CROSS_REGION_BYTES_PER_SECOND, CROSS_REGION_LIFETIME,
+            CROSS_REGION_REFRESH, MAX_SAVED_BYTES, MAX_ZONES_WITH_WARM_PREFIXES, MIN_BATCH_ROWS,
+            REGION_BYTES_PER_SECOND, REGION_LIFETIME, REGION_REFRESH,
         },
     },
     time::Time,
@@ -20,7 +21,7 @@
     /// The summary.
     pub summary: TargetSummary,
     /// When it was made, by the own clock.
-    pub made: Time,
+    pub created_at: Time,
 }
 
 /// What is known of another zone.
@@ -33,7 +34,7 @@
     /// Age beyond which its rows are not used.
     pub lifetime: Duration,
     /// When its latest summary was made, by the own clock.
-    pub made: Option<Time>,
+    pub created_at: Option<Time>,
     /// Highest configuration revision in force in it.
     pub revision: Revision,
     /// Its entry instances that callers may use, the least loaded first.
@@ -55,24 +56,26 @@
     pub fn row(&self, now: Time, target: &Target) -> Option<&Row> {
         let place = self.rows.binary_search_by(|it| it.summary.target.cmp(target)).ok()?;
         let row = &self.rows[place];
-        (now - row.made < self.lifetime).then_some(row)
+        (now - row.created_at < self.lifetime).then_some(row)
     }
 
     /// All rows that are younger than their lifetime, sorted by target.
     pub fn rows(&self, now: Time) -> impl Iterator<Item = &Row> {
-        self.rows.iter().filter(move |it| now - it.made < self.lifetime)
+        self.rows.iter().filter(move |it| now - it.created_at < self.lifetime)
     }
 
     /// Whether a summary of the zone arrived within its lifetime.
-    pub fn is_heard(&self, now: Time) -> bool {
-        self.made.is_some_and(|made| now - made < self.lifetime)
+    pub fn has_fresh_summary(&self, now: Time) -> bool {
+        self.created_at.is_some_and(|created_at| now - created_at < self.lifetime)
     }
 
     /// The instance that summaries are sent to: the zone's speaker while it is heard, otherwise
     /// each entry instance in turn.
     fn contact(&mut self, now: Time) -> InstanceId {
-        let last = self.made.map_or(self.contact.since, |made| made.max(self.contact.since));
-        if now - last >= CONTACT_SILENCE.max(self.lifetime / 2) {
+        let last = self
+            .created_at
+            .map_or(self.contact.since, |created_at| created_at.max(self.contact.since));
+        if now - last >= CONTACT_TIMEOUT.max(self.lifetime / 2) {
             let place = self.seeds.iter().position(|it| *it == self.contact.id).unwrap_or(0);
             let next = &self.seeds[(place + 1) % self.seeds.len()];
             self.contact = Contact { id: next.clone(), since: now };
@@ -114,21 +117,21 @@
     }
 
     /// Takes news in; answers whether it is newer than what was known.
-    pub(super) fn learn(&mut self, now: Time, news: &ZoneNews) -> bool {
+    pub(super) fn learn(&mut self, now: Time, news: &ZoneUpdate) -> bool {
         let Ok(place) = self.zones.binary_search_by(|it| it.zone.cmp(&news.zone)) else {
             return false;
         };
         let zone = &mut self.zones[place];
-        let made = now.saturating_sub(news.age.into());
-        if zone.made.is_some_and(|known| made <= known + SAME_AGE) {
+        let created_at = now.saturating_sub(news.age.into());
+        if zone.created_at.is_some_and(|known| created_at <= known + SAME_AGE) {
             return false;
         }
-        zone.made = Some(made);
+        zone.created_at = Some(created_at);
         zone.revision = zone.revision.max(news.revision);
         zone.entries = news.entries.clone();
         zone.contact = Contact { id: news.speaker.clone(), since: now };
         for summary in &news.rows {
-            let row = Row { summary: summary.clone(), made };
+            let row = Row { summary: summary.clone(), created_at };
             match zone.rows.binary_search_by(|it| it.summary.target.cmp(&summary.target)) {
                 Ok(place) => zone.rows[place] = row,
                 Err(place) => zone.rows.insert(place, row),
@@ -174,8 +177,8 @@
         ZoneView {
             zone: seed.zone.clone(),
             region: seed.region.clone(),
-            lifetime: if is_near { NEAR_LIFETIME } else { FAR_LIFETIME },
-            made: None,
+            lifetime: if is_near { REGION_LIFETIME } else { CROSS_REGION_LIFETIME },
+            created_at: None,
             revision: Revision(0),
             entries: Vec::new(),
             rows: Vec::new(),
@@ -209,16 +212,20 @@
 impl Outbox {
     /// An outbox for the other zones of the region, of which there are `zones`.
     pub(super) fn near(zones: usize) -> Outbox {
-        Outbox::new(NEAR_REFRESH, NEAR_BUDGET / zones.max(1) as f64, true)
+        Outbox::new(REGION_REFRESH, REGION_BYTES_PER_SECOND / zones.max(1) as f64, true)
     }
 
     /// An outbox for other regions, which have `zones` zones.
     pub(super) fn far(zones: usize) -> Outbox {
-        Outbox::new(FAR_REFRESH, FAR_BUDGET / zones.max(1) as f64, zones <= FEW_ZONES)
+        Outbox::new(
+            CROSS_REGION_REFRESH,
+            CROSS_REGION_BYTES_PER_SECOND / zones.max(1) as f64,
+            zones <= MAX_ZONES_WITH_WARM_PREFIXES,
+        )
     }
 
     fn new(refresh: Duration, rate: f64, tells_warm: bool) -> Outbox {
-        let (budget, filled) = (BUDGET_BURST, Time::ZERO);
+        let (budget, filled) = (MAX_SAVED_BYTES, Time::ZERO);
         Outbox { sent: Vec::new(), refresh, tells_warm, budget, rate, filled }
     }
 
@@ -248,8 +255,8 @@
             let warm = if self.tells_warm { row.warm } else { Sketch::default() };
             taken.push(TargetSummary { warm, ..row.clone() });
         }
-        let is_full = self.budget >= BUDGET_BURST;
-        let is_partial = taken.len() < due_count.min(MIN_ROWS) && !is_full;
+        let is_full = self.budget >= MAX_SAVED_BYTES;
+        let is_partial = taken.len() < due_count.min(MIN_BATCH_ROWS) && !is_full;
         if taken.is_empty() || is_partial {
             return None;
         }
@@ -262,7 +269,7 @@
 
     fn fill(&mut self, now: Time) {
         let earned = (now - self.filled).as_secs_f64() * self.rate;
-        self.budget = (self.budget + earned).min(BUDGET_BURST);
+        self.budget = (self.budget + earned).min(MAX_SAVED_BYTES);
         self.filled = now;
     }
 
@@ -276,12 +283,12 @@
             return Some(Time::ZERO);
         };
         let last = &self.sent[place];
-        let is_due = now - last.made >= self.refresh || row.differs(&last.summary);
-        is_due.then_some(last.made)
+        let is_due = now - last.created_at >= self.refresh || row.differs(&last.summary);
+        is_due.then_some(last.created_at)
     }
 
     fn note_sent(&mut self, now: Time, row: &TargetSummary) {
-        let sent = Row { summary: row.clone(), made: now };
+        let sent = Row { summary: row.clone(), created_at: now };
         match self.find(&row.target) {
             Ok(place) => self.sent[place] = sent,
             Err(place) => self.sent.insert(place, sent),
--- a/crates/medlarlug-core/src/orders/issuer.rs
+++ b/crates/medlarlug-core/src/orders/issuer.rs
@@ -6,7 +6,7 @@
     ids::{Term, UpstreamId},
     orders::{
         bucket::TokenBucket,
-        order::{Fence, Order, Task},
+        order::{FencingToken, Order, Task},
     },
     time::Time,
     units::Rate,
@@ -16,31 +16,31 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Timing {
     /// Length of a lease, as asked for.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Time between two requests for the lease.
-    pub renewal: Duration,
+    pub renewal_interval: Duration,
     /// Longest time between the sending of an order and its arrival at an engine.
-    pub flight: Duration,
+    pub max_delivery_time: Duration,
     /// Time after which an unanswered order is given up; at least `flight`.
-    pub patience: Duration,
+    pub answer_timeout: Duration,
     /// Most that two clocks of the region can differ in speed: 0.01 is one part in a hundred.
-    pub drift: f64,
+    pub max_clock_drift: f64,
     /// Loads a second that the region's weight store permits.
-    pub loads: Rate,
+    pub load_rate: Rate,
     /// Loads that may be started at once after a pause.
-    pub burst: u32,
+    pub load_burst: u32,
 }
 
 impl Default for Timing {
     fn default() -> Timing {
         Timing {
-            lease: Duration::from_secs(10),
-            renewal: Duration::from_secs(3),
-            flight: Duration::from_secs(5),
-            patience: Duration::from_secs(30),
-            drift: 0.01,
-            loads: Rate::try_from(0.5).expect("above zero"),
-            burst: 2,
+            lease_duration: Duration::from_secs(10),
+            renewal_interval: Duration::from_secs(3),
+            max_delivery_time: Duration::from_secs(5),
+            answer_timeout: Duration::from_secs(30),
+            max_clock_drift: 0.01,
+            load_rate: Rate::try_from(0.5).expect("above zero"),
+            load_burst: 2,
         }
     }
 }
@@ -58,9 +58,9 @@
         duration: Duration,
     },
     /// Another instance holds the lease.
-    Held,
+    HeldElsewhere,
     /// A task to order, and whether its engine checks fencing numbers.
-    Wanted {
+    Requested {
         /// The task.
         task: Task,
         /// Whether the engine refuses an old fencing number.
@@ -71,7 +71,7 @@
         /// The engine.
         upstream: UpstreamId,
         /// Fencing number of the order.
-        fence: Fence,
+        fence: FencingToken,
     },
     /// Time has passed.
     Tick,
@@ -90,7 +90,7 @@
     /// Send an order at once; drop it when it can't leave within the flight time.
     Send(Order),
     /// An order was not answered in time; whether it was carried out is not known.
-    GivenUp(Order),
+    TimedOut(Order),
 }
 
 /// A lease, as measured on the holder's own clock.
@@ -122,7 +122,7 @@
 /// given up, so that orders can't overtake each other.
 ///
 /// The bounds that safety rests on, for engines that don't check fencing numbers: clocks differ in
-/// speed by [`Timing::drift`] at most, and an order arrives within [`Timing::flight`] of the
+/// speed by [`Timing::max_clock_drift`] at most, and an order arrives within [`Timing::max_delivery_time`] of the
 /// [`Effect::Send`] or never.
 ///
 /// ```
@@ -158,7 +158,7 @@
         Issuer {
             timing,
             lease: None,
-            bucket: TokenBucket::empty(Time::ZERO, timing.loads, timing.burst),
+            bucket: TokenBucket::empty(Time::ZERO, timing.load_rate, timing.load_burst),
             sequence: 0,
             token: 0,
             asked: Vec::new(),
@@ -192,8 +192,8 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Granted { token, term, duration } => self.on_grant(now, token, term, duration),
-            Event::Held | Event::Tick => {}
-            Event::Wanted { task, fencing } => self.want(task, fencing),
+            Event::HeldElsewhere | Event::Tick => {}
+            Event::Requested { task, fencing } => self.want(task, fencing),
             Event::Answered { upstream, fence } => {
                 self.open
                     .retain(|it| it.order.fence != fence || it.order.task.upstream != upstream);
@@ -208,12 +208,12 @@
 
     fn ask(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.token += 1;
-        self.next_ask = now + self.timing.renewal;
+        self.next_ask = now + self.timing.renewal_interval;
         if self.asked.len() == MAX_OPEN_REQUESTS {
             self.asked.remove(0);
         }
         self.asked.push((self.token, now));
-        out.push(Effect::Acquire { token: self.token, duration: self.timing.lease });
+        out.push(Effect::Acquire { token: self.token, duration: self.timing.lease_duration });
     }
 
     fn on_grant(&mut self, now: Time, token: u64, term: Term, duration: Duration) {
@@ -221,7 +221,7 @@
             return;
         };
         let (_, asked) = self.asked.remove(found);
-        let until = asked + duration.div_f64(1.0 + self.timing.drift);
+        let until = asked + duration.div_f64(1.0 + self.timing.max_clock_drift);
         match &mut self.lease {
             Some(lease) if lease.term == term => lease.until = lease.until.max(until),
             Some(lease) if lease.term > term => {}
@@ -233,12 +233,12 @@
         let settled = now + self.flight();
         self.lease = Some(Lease { term, until, settled });
         self.sequence = 0;
-        self.bucket = TokenBucket::empty(now, self.timing.loads, self.timing.burst);
+        self.bucket = TokenBucket::empty(now, self.timing.load_rate, self.timing.load_burst);
     }
 
     /// The longest flight of an order, as this process's clock may measure it.
     fn flight(&self) -> Duration {
-        self.timing.flight.mul_f64(1.0 + self.timing.drift)
+        self.timing.max_delivery_time.mul_f64(1.0 + self.timing.max_clock_drift)
     }
 
     fn want(&mut self, task: Task, fencing: bool) {
@@ -250,11 +250,11 @@
     }
 
     fn give_up(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let patience = self.timing.patience.max(self.flight());
+        let patience = self.timing.answer_timeout.max(self.flight());
         self.open.retain(|it| {
             let is_open = now - it.sent < patience;
             if !is_open {
-                out.push(Effect::GivenUp(it.order.clone()));
+                out.push(Effect::TimedOut(it.order.clone()));
             }
             is_open
         });
@@ -274,7 +274,7 @@
             }
             let task = self.waiting.remove(place).task;
             self.sequence += 1;
-            let fence = Fence { term: lease.term, sequence: self.sequence };
+            let fence = FencingToken { term: lease.term, sequence: self.sequence };
             let order = Order { fence, task };
             self.open.push(Open { order: order.clone(), sent: now });
             out.push(Effect::Send(order));
--- a/crates/medlarlug-core/src/orders/order.rs
+++ b/crates/medlarlug-core/src/orders/order.rs
@@ -9,24 +9,24 @@
 /// Orders an order among all orders of its region.
 ///
 /// ```
-/// use medlarlug_core::{ids::Term, orders::Fence};
+/// use medlarlug_core::{ids::Term, orders::FencingToken};
 ///
-/// let old = Fence { term: Term(1), sequence: 9 };
-/// let new = Fence { term: Term(2), sequence: 1 };
+/// let old = FencingToken { term: Term(1), sequence: 9 };
+/// let new = FencingToken { term: Term(2), sequence: 1 };
 /// assert!(old < new);
 /// assert_eq!(new.to_string(), "2.1");
 /// ```
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Fence {
+pub struct FencingToken {
     /// Term of the issuer's lease.
     pub term: Term,
     /// Number of the order within the term.
     pub sequence: u64,
 }
 
-impl fmt::Display for Fence {
+impl fmt::Display for FencingToken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.term, self.sequence)
     }
@@ -102,7 +102,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// Fencing number.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// What to do.
     pub task: Task,
 }
--- a/crates/medlarlug-core/src/orders/plan.rs
+++ b/crates/medlarlug-core/src/orders/plan.rs
@@ -77,13 +77,13 @@
 
     /// The tasks that are still to be ordered.
     ///
-    /// `announcements` are those of the engines that live, `under_way` the tasks that were ordered
+    /// `announcements` are those of the engines that live, `in_flight` the tasks that were ordered
     /// and may not show in them yet.
     pub fn plan(
         &mut self,
         configuration: &Configuration,
         announcements: &[Announcement],
-        under_way: &[Task],
+        in_flight: &[Task],
     ) -> Vec<Task> {
         self.note_named(configuration);
         let mut engines: Vec<Engine> = announcements.iter().filter_map(engine).collect();
@@ -92,7 +92,7 @@
                 it.upstream == engine.announcement.id
                     && it.incarnation == engine.announcement.incarnation
             };
-            let kinds: Vec<&OrderKind> = under_way.iter().filter(own).map(|it| &it.kind).collect();
+            let kinds: Vec<&OrderKind> = in_flight.iter().filter(own).map(|it| &it.kind).collect();
             kinds.into_iter().for_each(|it| engine.carry_out(it));
         }
         let mut tasks = Vec::new();
--- a/crates/medlarlug-core/src/routing/affinity.rs
+++ b/crates/medlarlug-core/src/routing/affinity.rs
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Clone)]
 struct SentPrefix {
-    print: Fingerprint,
+    fingerprint: Fingerprint,
     upstream: UpstreamId,
     tokens: Tokens,
     at: Time,
@@ -32,13 +32,13 @@
             self.shrink(now);
         }
         for prefix in prefixes {
-            let Prefix { print, tokens } = *prefix;
-            let key = |it: &SentPrefix| (it.print, it.upstream.clone());
-            match self.sent.binary_search_by(|it| key(it).cmp(&(print, upstream.clone()))) {
+            let Prefix { fingerprint, tokens } = *prefix;
+            let key = |it: &SentPrefix| (it.fingerprint, it.upstream.clone());
+            match self.sent.binary_search_by(|it| key(it).cmp(&(fingerprint, upstream.clone()))) {
                 Ok(place) => self.sent[place].at = now,
                 Err(place) => {
                     let upstream = upstream.clone();
-                    self.sent.insert(place, SentPrefix { print, upstream, tokens, at: now });
+                    self.sent.insert(place, SentPrefix { fingerprint, upstream, tokens, at: now });
                 }
             }
         }
@@ -63,8 +63,9 @@
     pub(super) fn upstreams(&self, now: Time, prefixes: &[Prefix]) -> Vec<(&UpstreamId, Tokens)> {
         let mut found: Vec<(&UpstreamId, Tokens)> = Vec::new();
         for prefix in prefixes {
-            let start = self.sent.partition_point(|it| it.print < prefix.print);
-            let same = self.sent[start..].iter().take_while(|it| it.print == prefix.print);
+            let start = self.sent.partition_point(|it| it.fingerprint < prefix.fingerprint);
+            let same =
+                self.sent[start..].iter().take_while(|it| it.fingerprint == prefix.fingerprint);
             for it in same.filter(|it| now - it.at < LIFETIME) {
                 if found.iter().all(|(id, _)| *id != &it.upstream) {
                     found.push((&it.upstream, it.tokens));
--- a/crates/medlarlug-core/src/routing/dump.rs
+++ b/crates/medlarlug-core/src/routing/dump.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     ids::{UpstreamId, ZoneId},
-    routing::{learned::Learned, router::Router},
+    routing::{router::Router, stats::DestinationStats},
     time::Time,
 };
 
@@ -12,18 +12,19 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RouterDump {
     /// Upstreams of the own zone.
-    pub upstreams: Vec<LearnedDump<UpstreamId>>,
+    pub upstreams: Vec<DestinationDump<UpstreamId>>,
     /// Other zones.
-    pub zones: Vec<LearnedDump<ZoneId>>,
+    pub zones: Vec<DestinationDump<ZoneId>>,
 }
 
 /// What was learned of one place.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct LearnedDump<Id> {
+pub struct DestinationDump<Id> {
     /// The place.
     pub id: Id,
     /// Own requests that haven't ended.
-    pub flights: usize,
+    #[serde(rename = "flights")]
+    pub in_flight: usize,
     /// Ratio of observed to predicted times to the first token.
     pub ratio: f64,
     /// Whether failures keep it from being used.
@@ -39,7 +40,7 @@
     }
 }
 
-fn dump_place<Id>(now: Time, id: Id, learned: &Learned) -> LearnedDump<Id> {
-    let (flights, ratio) = (learned.in_flight(), learned.bias(now));
-    LearnedDump { id, flights, ratio, paused: learned.is_paused(now) }
+fn dump_place<Id>(now: Time, id: Id, learned: &DestinationStats) -> DestinationDump<Id> {
+    let (in_flight, ratio) = (learned.in_flight(), learned.bias(now));
+    DestinationDump { id, in_flight, ratio, paused: learned.is_paused(now) }
 }
--- a/crates/medlarlug-core/src/routing/local.rs
+++ b/crates/medlarlug-core/src/routing/local.rs
@@ -11,12 +11,12 @@
     membership::{Target, Upstream},
     release::Configuration,
     routing::{
-        learned::Learned,
         predict::{Prediction, predict},
         request::RequestFacts,
         residency::Permit,
         route::{Refusal, Route},
-        router::{Candidate, LearnedUpstream, Router, TargetIndex, Ticket, View},
+        router::{AttemptId, Candidate, Router, TargetIndex, UpstreamStats, View},
+        stats::DestinationStats,
         weights::Weights,
     },
     time::Time,
@@ -68,7 +68,7 @@
         self.refresh_index(now, view);
         let weights = Weights::of(view.configuration);
         let senders =
-            1.0 + SENDER_SHARE * f64::from(view.membership.open_entries().saturating_sub(1));
+            1.0 + SENDER_SHARE * f64::from(view.membership.accepting_entries().saturating_sub(1));
         let mut best: Option<Scored> = None;
         for (candidate, recent) in self.candidates(now, view, facts) {
             let upstream = &view.membership.all_upstreams()[candidate.upstream];
@@ -89,7 +89,7 @@
             }
         }
         let target = facts.target.key();
-        let best = best.ok_or(Refusal::NoUpstream { target, retry: SHORTEST_RETRY })?;
+        let best = best.ok_or(Refusal::NoUpstream { target, retry_after: SHORTEST_RETRY })?;
         let first_token = Duration::from_secs_f64(best.prediction.first_token);
         within_deadline(first_token, facts.deadline)?;
         let upstream = &view.membership.all_upstreams()[best.candidate.upstream];
@@ -149,12 +149,12 @@
     }
 
     /// Seconds that are added to the prediction of a paused or returning place.
-    pub(super) fn penalty(&self, now: Time, learned: &Learned) -> f64 {
+    pub(super) fn penalty(&self, now: Time, learned: &DestinationStats) -> f64 {
         let pause = if learned.is_paused(now) { PAUSED_PENALTY } else { 0.0 };
         pause + self.ramp_penalty(now, learned)
     }
 
-    fn ramp_penalty(&self, now: Time, learned: &Learned) -> f64 {
+    fn ramp_penalty(&self, now: Time, learned: &DestinationStats) -> f64 {
         let is_return = learned.since > self.started + WARM_UP;
         let progress = (now - learned.since).as_secs_f64() / RAMP.as_secs_f64();
         if !is_return || progress >= 1.0 {
@@ -172,7 +172,7 @@
         best: Scored,
     ) -> Route {
         Route {
-            ticket: self.ticket(),
+            attempt_id: self.attempt_id(),
             upstream: upstream.announcement.id.clone(),
             address: upstream.announcement.address,
             version: version(view.configuration, upstream, &facts.target),
@@ -184,9 +184,9 @@
         }
     }
 
-    pub(super) fn ticket(&mut self) -> Ticket {
+    pub(super) fn attempt_id(&mut self) -> AttemptId {
         self.next += 1;
-        Ticket(self.next)
+        AttemptId(self.next)
     }
 
     fn refresh_index(&mut self, now: Time, view: View<'_>) {
@@ -220,7 +220,7 @@
         let is_restart = known.incarnation != incarnation && known.incarnation != Incarnation(0);
         known.incarnation = incarnation;
         if is_restart {
-            known.learned = Learned::new(now);
+            known.learned = DestinationStats::new(now);
             self.affinity.forget(&known.id);
         }
     }
@@ -239,11 +239,11 @@
         match self.upstreams.binary_search_by(|it| it.id.cmp(id)) {
             Ok(place) => place,
             Err(place) => {
-                let learned = Learned::new(now);
+                let learned = DestinationStats::new(now);
                 let hash = Fingerprint::of(id.as_str().as_bytes()).0 as u64;
                 self.upstreams.insert(
                     place,
-                    LearnedUpstream { id: id.clone(), incarnation: Incarnation(0), hash, learned },
+                    UpstreamStats { id: id.clone(), incarnation: Incarnation(0), hash, learned },
                 );
                 self.indexed = self.indexed.filter(|_| place + 1 == self.upstreams.len());
                 place
@@ -258,7 +258,7 @@
     let Some(prefix) = facts.prefixes.last() else {
         return 0.0;
     };
-    let mixed = (prefix.print.0 as u64 ^ upstream).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let mixed = (prefix.fingerprint.0 as u64 ^ upstream).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ (mixed >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     ((mixed >> 11) as f64 / (1u64 << 53) as f64).powi(4)
 }
@@ -303,6 +303,6 @@
     if predicted <= latest {
         return Ok(());
     }
-    let retry = (predicted - latest).clamp(SHORTEST_RETRY, LONGEST_RETRY);
-    Err(Refusal::Deadline { predicted, deadline, retry })
+    let retry_after = (predicted - latest).clamp(SHORTEST_RETRY, LONGEST_RETRY);
+    Err(Refusal::Deadline { predicted, deadline, retry_after })
 }
--- a/crates/medlarlug-core/src/routing/mod.rs
+++ b/crates/medlarlug-core/src/routing/mod.rs
@@ -12,20 +12,20 @@
 //! * [`router`]: the core that decides and learns.
 
 mod affinity;
-mod away;
 pub mod dump;
-mod learned;
 mod local;
 mod predict;
-mod refuse;
+mod refusal;
+mod remote;
 pub mod request;
 pub mod residency;
 pub mod route;
 pub mod router;
+mod stats;
 mod weights;
 
 pub use dump::RouterDump;
-pub use request::{ForwardHeader, Forwarded, Origin, Prefix, RequestFacts};
+pub use request::{CallerRequest, ForwardHeader, ForwardedRequest, Prefix, RequestFacts};
 pub use residency::{ConfigurationLease, Permit, ResidencyError};
-pub use route::{Choice, Crossing, Departure, Refusal, Route, ZoneRoute};
-pub use router::{Event, Router, Ticket, View};
+pub use route::{AuthorizedForward, AuthorizedRoute, Choice, Refusal, Route, ZoneRoute};
+pub use router::{AttemptId, Event, Router, View};
--- a/crates/medlarlug-core/src/routing/predict.rs
+++ b/crates/medlarlug-core/src/routing/predict.rs
@@ -3,9 +3,9 @@
 use crate::{
     membership::{
         Upstream,
-        load::{PROMPT_SPEED, slot_time},
+        load::{PREFILL_TOKENS_PER_SECOND, slot_time},
     },
-    routing::{learned::Learned, request::RequestFacts},
+    routing::{request::RequestFacts, stats::DestinationStats},
     time::Time,
     units::Tokens,
 };
@@ -36,19 +36,19 @@
     now: Time,
     facts: &RequestFacts,
     upstream: &Upstream,
-    learned: &Learned,
+    learned: &DestinationStats,
     recent: Option<Tokens>,
     senders: f64,
 ) -> Prediction {
     let announcement = &upstream.announcement;
     let load = &announcement.load;
-    let reading = upstream.heard.saturating_sub(load.age);
+    let reading = upstream.received_at.saturating_sub(load.age);
     let age = (now - reading).as_secs_f64();
     let since = learned.sent_since(reading);
     let slot_time = learned.hold(now, slot_time(announcement).as_secs_f64());
 
     let reported = load.backlog.0 as f64;
-    let backlog = learned.backlog(now, reading, reported, senders, PROMPT_SPEED);
+    let backlog = learned.backlog(now, reading, reported, senders, PREFILL_TOKENS_PER_SECOND);
     let slots = f64::from(announcement.slots.0.max(1));
     let busy = f64::from(load.running.saturating_add(load.waiting));
     let ended = age * f64::from(load.running) / slot_time;
@@ -58,14 +58,14 @@
     let warm = warm_tokens(facts, upstream).max(recent.unwrap_or_default());
     let saved = (warm.0 as f64 * WARM_TRUST) as u64;
     let tokens = Tokens(facts.prompt.0.saturating_sub(saved));
-    let base = waiting + (backlog + tokens.0 as f64) / PROMPT_SPEED;
+    let base = waiting + (backlog + tokens.0 as f64) / PREFILL_TOKENS_PER_SECOND;
     let share = ((busy + f64::from(since.requests)) / slots).min(1.0);
-    let crowding = tokens.0 as f64 / PROMPT_SPEED * CROWDING * share * share;
+    let crowding = tokens.0 as f64 / PREFILL_TOKENS_PER_SECOND * CROWDING * share * share;
     let first_token = base * learned.bias(now) + learned.overdue(now);
     Prediction { base, first_token, tokens, crowding, is_warm: warm.0 > 0 }
 }
 
 fn warm_tokens(facts: &RequestFacts, upstream: &Upstream) -> Tokens {
-    let found = facts.prefixes.iter().find(|it| upstream.warm.contains(it.print.into()));
+    let found = facts.prefixes.iter().find(|it| upstream.warm.contains(it.fingerprint.into()));
     found.map_or(Tokens(0), |it| it.tokens)
 }
--- a/crates/medlarlug-core/src/routing/refuse.rs
+++ b/crates/medlarlug-core/src/routing/refusal.rs
@@ -32,7 +32,7 @@
     ) -> Refusal {
         if matches!(
             home,
-            Refusal::Deadline { .. } | Refusal::Residency(ResidencyError::Team { .. })
+            Refusal::Deadline { .. } | Refusal::Residency(ResidencyError::UnknownTeam { .. })
         ) {
             return home;
         }
@@ -44,13 +44,13 @@
         if !is_somewhere_permitted && matches!(home, Refusal::Residency(_)) {
             return home;
         }
-        let (target, retry) = (facts.target.key(), SHORTEST_RETRY);
+        let (target, retry_after) = (facts.target.key(), SHORTEST_RETRY);
         let is_served = places.iter().any(|it| it.is_permitted && it.is_served);
         let regions = forbidden_regions(places);
         if is_served || regions.is_empty() {
-            return Refusal::NoUpstream { target, retry };
+            return Refusal::NoUpstream { target, retry_after };
         }
-        Refusal::ServedElsewhere { team: facts.team.clone(), target, regions, retry }
+        Refusal::ServedElsewhere { team: facts.team.clone(), target, regions, retry_after }
     }
 
     /// The own region, and that of each other zone.
--- a/crates/medlarlug-core/src/routing/away.rs
+++ b/crates/medlarlug-core/src/routing/remote.rs
@@ -6,14 +6,14 @@
 
 use crate::{
     ids::ZoneId,
-    membership::{Row, load::PROMPT_SPEED},
+    membership::{Row, load::PREFILL_TOKENS_PER_SECOND},
     routing::{
-        learned::Learned,
         local::within_deadline,
-        request::{Origin, RequestFacts},
+        request::{CallerRequest, RequestFacts},
         residency::Permit,
         route::{Choice, Refusal, Route, ZoneRoute},
-        router::{LearnedZone, Router, Ticket, View},
+        router::{AttemptId, Router, View, ZoneStats},
+        stats::DestinationStats,
         weights::Weights,
     },
     time::Time,
@@ -43,7 +43,7 @@
         &mut self,
         now: Time,
         view: View<'_>,
-        request: &Origin,
+        request: &CallerRequest,
     ) -> Result<ZoneRoute, Option<Refusal>> {
         let facts = &request.facts;
         let own = view.membership.own();
@@ -51,7 +51,7 @@
         let mut best: Option<(f64, ZoneRoute)> = None;
         let mut late: Option<Duration> = None;
         for zone in view.membership.zones() {
-            if request.refused.binary_search(&zone.zone).is_ok() || zone.entries.is_empty() {
+            if request.excluded_zones.binary_search(&zone.zone).is_ok() || zone.entries.is_empty() {
                 continue;
             }
             let Some(row) = zone.row(now, &facts.target).filter(|it| it.summary.upstreams > 0)
@@ -80,7 +80,7 @@
                 let entry =
                     zone.entries[self.random.random_range(0..zone.entries.len())].id.clone();
                 let route = ZoneRoute {
-                    ticket: Ticket(0),
+                    attempt_id: AttemptId(0),
                     zone: zone.zone.clone(),
                     region: region.clone(),
                     entry,
@@ -94,7 +94,7 @@
         }
         let late = late.and_then(|it| within_deadline(it, facts.deadline).err());
         let (_, mut route) = best.ok_or(late)?;
-        route.ticket = self.ticket();
+        route.attempt_id = self.attempt_id();
         Ok(route)
     }
 
@@ -125,8 +125,8 @@
         match self.zones.binary_search_by(|it| it.id.cmp(id)) {
             Ok(place) => place,
             Err(place) => {
-                let learned = Learned::new(now);
-                self.zones.insert(place, LearnedZone { id: id.clone(), learned, seen: now });
+                let learned = DestinationStats::new(now);
+                self.zones.insert(place, ZoneStats { id: id.clone(), learned, seen: now });
                 place
             }
         }
@@ -147,16 +147,16 @@
     tokens: Tokens,
 }
 
-fn zone_forecast(facts: &RequestFacts, row: &Row, learned: &Learned) -> ZoneForecast {
+fn zone_forecast(facts: &RequestFacts, row: &Row, learned: &DestinationStats) -> ZoneForecast {
     let summary = &row.summary;
-    let since = learned.sent_since(row.made);
+    let since = learned.sent_since(row.created_at);
     let upstreams = f64::from(summary.upstreams.max(1));
     let excess = f64::from(since.requests) - f64::from(summary.free);
     let waiting = summary.queueing.duration().as_secs_f64()
         + excess.max(0.0) * SLOT_SECONDS / upstreams
-        + since.tokens as f64 / upstreams / PROMPT_SPEED;
-    let warm = facts.prefixes.iter().find(|it| summary.warm.contains(it.print.into()));
+        + since.tokens as f64 / upstreams / PREFILL_TOKENS_PER_SECOND;
+    let warm = facts.prefixes.iter().find(|it| summary.warm.contains(it.fingerprint.into()));
     let saved = warm.map_or(0.0, |it| it.tokens.0 as f64 * SKETCH_TRUST);
     let tokens = Tokens(facts.prompt.0.saturating_sub(saved as u64));
-    ZoneForecast { base: waiting + tokens.0 as f64 / PROMPT_SPEED, tokens }
+    ZoneForecast { base: waiting + tokens.0 as f64 / PREFILL_TOKENS_PER_SECOND, tokens }
 }
--- a/crates/medlarlug-core/src/routing/request.rs
+++ b/crates/medlarlug-core/src/routing/request.rs
@@ -1,7 +1,7 @@
 //! The facts of a request that decide its route, and its crossing between zones as types.
 //!
-//! A request that a caller sent is an [`Origin`]; it may be handed to one other zone, which
-//! consumes it and yields a [`ForwardHeader`]. The receiver turns the header into a [`Forwarded`],
+//! A request that a caller sent is an [`CallerRequest`]; it may be handed to one other zone, which
+//! consumes it and yields a [`ForwardHeader`]. The receiver turns the header into a [`ForwardedRequest`],
 //! which has no way to be handed on: a loop between zones can't be written.
 
 use std::time::Duration;
@@ -53,24 +53,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prefix {
     /// Fingerprint of the prefix.
-    pub print: Fingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
     /// Its length.
     pub tokens: Tokens,
 }
 
 /// A request that came from a caller, at the instance that took it in.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Origin {
+pub struct CallerRequest {
     /// The facts.
     pub facts: RequestFacts,
     /// Zones that refused it as not run or can't be reached, sorted.
-    pub refused: Vec<ZoneId>,
+    pub excluded_zones: Vec<ZoneId>,
 }
 
-impl Origin {
+impl CallerRequest {
     /// A request as a caller sent it.
-    pub fn new(facts: RequestFacts) -> Origin {
-        Origin { facts, refused: Vec::new() }
+    pub fn new(facts: RequestFacts) -> CallerRequest {
+        CallerRequest { facts, excluded_zones: Vec::new() }
     }
 
     /// The header under which the request crosses to another zone.
@@ -81,9 +82,9 @@
     }
 
     /// Marks a zone that refused the request as not run.
-    pub fn refuse(&mut self, zone: ZoneId) {
-        if let Err(place) = self.refused.binary_search(&zone) {
-            self.refused.insert(place, zone);
+    pub fn exclude_zone(&mut self, zone: ZoneId) {
+        if let Err(place) = self.excluded_zones.binary_search(&zone) {
+            self.excluded_zones.insert(place, zone);
         }
     }
 }
@@ -104,11 +105,11 @@
 
 /// A request that another zone handed over; it is served in this zone or refused as not run.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Forwarded {
+pub struct ForwardedRequest {
     facts: RequestFacts,
 }
 
-impl Forwarded {
+impl ForwardedRequest {
     /// Takes a request over, if it may be served in this region by the revision in force here.
     ///
     /// # Errors
@@ -118,13 +119,13 @@
         header: ForwardHeader,
         configuration: &Configuration,
         own: &RegionId,
-    ) -> Result<Forwarded, ResidencyError> {
+    ) -> Result<ForwardedRequest, ResidencyError> {
         if header.region != *own {
             return Err(ResidencyError::Misdirected { meant: header.region, region: own.clone() });
         }
         let lease = ConfigurationLease::Valid;
         Permit::check(configuration, lease, &header.facts, own, own)?;
-        Ok(Forwarded { facts: header.facts })
+        Ok(ForwardedRequest { facts: header.facts })
     }
 
     /// Keeps the request from being sent to an upstream.
@@ -133,12 +134,12 @@
     }
 
     /// Lets the request be sent to every upstream again.
-    pub fn readmit(&mut self) {
+    pub fn clear_excluded(&mut self) {
         self.facts.excluded.clear();
     }
 
     /// Takes time off that the request has waited.
-    pub fn spend(&mut self, waited: Duration) {
+    pub fn deduct_wait(&mut self, waited: Duration) {
         self.facts.deadline = self.facts.deadline.saturating_sub(waited);
     }
 
--- a/crates/medlarlug-core/src/routing/residency.rs
+++ b/crates/medlarlug-core/src/routing/residency.rs
@@ -34,7 +34,7 @@
 pub enum ResidencyError {
     /// The configuration doesn't know the team.
     #[error("team {team} is unknown at revision {revision}")]
-    Team {
+    UnknownTeam {
         /// The team.
         team: TeamId,
         /// Revision in force.
@@ -86,7 +86,7 @@
         if lease == ConfigurationLease::Lapsed && own != region {
             return Err(ResidencyError::Unconfirmed { revision, region: own.clone() });
         }
-        let unknown = || ResidencyError::Team { team: facts.team.clone(), revision };
+        let unknown = || ResidencyError::UnknownTeam { team: facts.team.clone(), revision };
         let team = configuration.team(&facts.team).ok_or_else(unknown)?;
         let target = facts.target.key();
         if !configuration.is_permitted(team, &target, region) {
--- a/crates/medlarlug-core/src/routing/route.rs
+++ b/crates/medlarlug-core/src/routing/route.rs
@@ -10,9 +10,9 @@
     refusal::Reason,
     release::{Configuration, ItemKey},
     routing::{
-        request::{ForwardHeader, Forwarded, Origin, RequestFacts},
+        request::{CallerRequest, ForwardHeader, ForwardedRequest, RequestFacts},
         residency::{ConfigurationLease, Permit, ResidencyError},
-        router::Ticket,
+        router::AttemptId,
     },
     units::Tokens,
 };
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     /// Names the attempt in the router's events.
-    pub ticket: Ticket,
+    pub attempt_id: AttemptId,
     /// The upstream.
     pub upstream: UpstreamId,
     /// Its address.
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneRoute {
     /// Names the attempt in the router's events.
-    pub ticket: Ticket,
+    pub attempt_id: AttemptId,
     /// The zone.
     pub zone: ZoneId,
     /// Its region.
@@ -66,14 +66,14 @@
 
 /// A request that may leave for an upstream now; sending takes it by value.
 #[derive(Debug, PartialEq)]
-pub struct Departure {
+pub struct AuthorizedRoute {
     route: Route,
     permit: Permit,
 }
 
 /// A request that may cross to another zone now; sending takes it by value.
 #[derive(Debug, PartialEq)]
-pub struct Crossing {
+pub struct AuthorizedForward {
     route: ZoneRoute,
     header: ForwardHeader,
     permit: Permit,
@@ -91,7 +91,7 @@
         /// What the request asks for.
         target: ItemKey,
         /// Time after which to come back.
-        retry: Duration,
+        retry_after: Duration,
     },
     /// The target is served only in regions where residency forbids the request.
     #[error("{target} is served only where requests of team {team} are not permitted: {regions:?}")]
@@ -103,7 +103,7 @@
         /// Regions that serve it, sorted.
         regions: Vec<RegionId>,
         /// Time after which to come back: an upstream may return to a permitted region.
-        retry: Duration,
+        retry_after: Duration,
     },
     /// The first token is predicted too late to be sure of the deadline.
     #[error("the first token is predicted after {predicted:?}, too late for {deadline:?}")]
@@ -113,7 +113,7 @@
         /// Time that was left.
         deadline: Duration,
         /// Time after which to come back.
-        retry: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -132,9 +132,9 @@
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Refusal::Residency(_) => None,
-            Refusal::NoUpstream { retry, .. }
-            | Refusal::ServedElsewhere { retry, .. }
-            | Refusal::Deadline { retry, .. } => Some(*retry),
+            Refusal::NoUpstream { retry_after, .. }
+            | Refusal::ServedElsewhere { retry_after, .. }
+            | Refusal::Deadline { retry_after, .. } => Some(*retry_after),
         }
     }
 }
@@ -145,14 +145,14 @@
     /// # Errors
     ///
     /// Fails when the configuration in force doesn't permit this region.
-    pub fn depart(
+    pub fn authorize(
         self,
         configuration: &Configuration,
         facts: &RequestFacts,
-    ) -> Result<Departure, ResidencyError> {
+    ) -> Result<AuthorizedRoute, ResidencyError> {
         let lease = ConfigurationLease::Valid;
         let permit = Permit::check(configuration, lease, facts, &self.region, &self.region)?;
-        Ok(Departure { route: self, permit })
+        Ok(AuthorizedRoute { route: self, permit })
     }
 
     /// Checks residency of a forwarded request at the moment of leaving.
@@ -160,12 +160,12 @@
     /// # Errors
     ///
     /// Fails when the configuration in force doesn't permit this region.
-    pub fn depart_forwarded(
+    pub fn authorize_forwarded(
         self,
         configuration: &Configuration,
-        request: &Forwarded,
-    ) -> Result<Departure, ResidencyError> {
-        self.depart(configuration, request.facts())
+        request: &ForwardedRequest,
+    ) -> Result<AuthorizedRoute, ResidencyError> {
+        self.authorize(configuration, request.facts())
     }
 }
 
@@ -176,20 +176,20 @@
     ///
     /// Fails when the configuration in force doesn't permit the zone's region, or when it could
     /// not be confirmed and the zone is in another region.
-    pub fn depart(
+    pub fn authorize(
         self,
         configuration: &Configuration,
         lease: ConfigurationLease,
-        request: &Origin,
-    ) -> Result<Crossing, ResidencyError> {
+        request: &CallerRequest,
+    ) -> Result<AuthorizedForward, ResidencyError> {
         let facts = &request.facts;
         let permit = Permit::check(configuration, lease, facts, &self.own, &self.region)?;
         let header = request.header(&permit);
-        Ok(Crossing { route: self, header, permit })
+        Ok(AuthorizedForward { route: self, header, permit })
     }
 }
 
-impl Departure {
+impl AuthorizedRoute {
     /// The upstream and what was predicted.
     pub fn route(&self) -> &Route {
         &self.route
@@ -201,7 +201,7 @@
     }
 }
 
-impl Crossing {
+impl AuthorizedForward {
     /// The zone and what was predicted.
     pub fn route(&self) -> &ZoneRoute {
         &self.route
--- a/crates/medlarlug-core/src/routing/router.rs
+++ b/crates/medlarlug-core/src/routing/router.rs
@@ -11,10 +11,10 @@
     release::Configuration,
     routing::{
         affinity::Affinity,
-        learned::Learned,
-        request::{Forwarded, Origin, RequestFacts},
+        request::{CallerRequest, ForwardedRequest, RequestFacts},
         residency::ConfigurationLease,
-        route::{Choice, Crossing, Departure, Refusal, Route},
+        route::{AuthorizedForward, AuthorizedRoute, Choice, Refusal, Route},
+        stats::DestinationStats,
     },
     time::Time,
 };
@@ -28,17 +28,17 @@
 
 /// Names one attempt to serve a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct AttemptId(pub u64);
 
 /// What became of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// The first token, or the first byte of a plain service's answer, arrived.
-    FirstToken(Ticket),
+    FirstToken(AttemptId),
     /// The answer is complete, or the caller went away.
-    Ended(Ticket),
+    Ended(AttemptId),
     /// The attempt failed.
-    Failed(Ticket),
+    Failed(AttemptId),
 }
 
 /// Decides where requests are served.
@@ -49,8 +49,8 @@
     pub(super) next: u64,
     pub(super) index: Vec<TargetIndex>,
     pub(super) indexed: Option<(u64, Revision)>,
-    pub(super) upstreams: Vec<LearnedUpstream>,
-    pub(super) zones: Vec<LearnedZone>,
+    pub(super) upstreams: Vec<UpstreamStats>,
+    pub(super) zones: Vec<ZoneStats>,
     pub(super) affinity: Affinity,
     attempts: Vec<Attempt>,
     pub(super) left: Time,
@@ -71,23 +71,23 @@
 }
 
 #[derive(Debug, Clone)]
-pub(super) struct LearnedUpstream {
+pub(super) struct UpstreamStats {
     pub(super) id: UpstreamId,
     pub(super) incarnation: Incarnation,
     pub(super) hash: u64,
-    pub(super) learned: Learned,
+    pub(super) learned: DestinationStats,
 }
 
 #[derive(Debug, Clone)]
-pub(super) struct LearnedZone {
+pub(super) struct ZoneStats {
     pub(super) id: ZoneId,
-    pub(super) learned: Learned,
+    pub(super) learned: DestinationStats,
     pub(super) seen: Time,
 }
 
 #[derive(Debug, Clone)]
 struct Attempt {
-    ticket: Ticket,
+    attempt_id: AttemptId,
     place: Place,
     sent: Time,
     is_waiting: bool,
@@ -145,7 +145,7 @@
         &mut self,
         now: Time,
         view: View<'_>,
-        request: &Origin,
+        request: &CallerRequest,
     ) -> Result<Choice, Refusal> {
         self.sweep(now);
         let local = self.best_local(now, view, &request.facts);
@@ -167,40 +167,41 @@
         &mut self,
         now: Time,
         view: View<'_>,
-        request: &Forwarded,
+        request: &ForwardedRequest,
     ) -> Result<Route, Refusal> {
         self.sweep(now);
         self.best_local(now, view, request.facts())
     }
 
     /// Notes that a request is sent to an upstream.
-    pub fn sent(&mut self, now: Time, departure: &Departure, facts: &RequestFacts) {
-        let route = departure.route();
+    pub fn record_sent(&mut self, now: Time, authorized: &AuthorizedRoute, facts: &RequestFacts) {
+        let route = authorized.route();
         let place = self.upstream_place(now, &route.upstream);
         let predicted = route.predicted.as_secs_f64();
         let learned = &mut self.upstreams[place].learned;
-        learned.send(now, route.ticket, route.tokens, route.base, predicted);
+        learned.send(now, route.attempt_id, route.tokens, route.base, predicted);
         self.affinity.note(now, &facts.prefixes, &route.upstream);
         let place = Place::Upstream(route.upstream.clone());
-        self.note_attempt(now, route.ticket, place);
+        self.note_attempt(now, route.attempt_id, place);
     }
 
     /// Notes that a request is sent to another zone.
-    pub fn crossed(&mut self, now: Time, crossing: &Crossing) {
-        let route = crossing.route();
+    pub fn record_forwarded(&mut self, now: Time, authorized: &AuthorizedForward) {
+        let route = authorized.route();
         let predicted = route.predicted.as_secs_f64();
         let place = self.zone_place(now, &route.zone);
         let learned = &mut self.zones[place].learned;
-        learned.send(now, route.ticket, route.tokens, route.base, predicted);
+        learned.send(now, route.attempt_id, route.tokens, route.base, predicted);
         self.left = now;
         let place = Place::Zone(route.zone.clone());
-        self.note_attempt(now, route.ticket, place);
+        self.note_attempt(now, route.attempt_id, place);
     }
 
     /// Learns what became of an attempt.
     pub fn handle(&mut self, now: Time, event: Event) {
-        let (Event::FirstToken(ticket) | Event::Ended(ticket) | Event::Failed(ticket)) = event;
-        let Ok(at) = self.attempts.binary_search_by_key(&ticket, |it| it.ticket) else {
+        let (Event::FirstToken(attempt_id) | Event::Ended(attempt_id) | Event::Failed(attempt_id)) =
+            event;
+        let Ok(at) = self.attempts.binary_search_by_key(&attempt_id, |it| it.attempt_id) else {
             return;
         };
         let learned = match self.attempts[at].place.clone() {
@@ -214,9 +215,9 @@
             }
         };
         match event {
-            Event::FirstToken(_) => learned.first_token(now, ticket),
-            Event::Ended(_) => learned.end(now, ticket),
-            Event::Failed(_) => learned.fail(now, ticket),
+            Event::FirstToken(_) => learned.first_token(now, attempt_id),
+            Event::Ended(_) => learned.end(now, attempt_id),
+            Event::Failed(_) => learned.fail(now, attempt_id),
         }
         match event {
             Event::FirstToken(_) => self.attempts[at].is_waiting = false,
@@ -226,9 +227,9 @@
         }
     }
 
-    fn note_attempt(&mut self, now: Time, ticket: Ticket, place: Place) {
-        let at = self.attempts.partition_point(|it| it.ticket < ticket);
-        self.attempts.insert(at, Attempt { ticket, place, sent: now, is_waiting: true });
+    fn note_attempt(&mut self, now: Time, attempt_id: AttemptId, place: Place) {
+        let at = self.attempts.partition_point(|it| it.attempt_id < attempt_id);
+        self.attempts.insert(at, Attempt { attempt_id, place, sent: now, is_waiting: true });
     }
 
     /// Takes out attempts whose end was never told, so that they don't count as overdue for good.
@@ -238,9 +239,9 @@
         }
         self.swept = now;
         let forgotten = self.attempts.iter().filter(|it| it.is_forgotten(now));
-        let forgotten: Vec<Ticket> = forgotten.map(|it| it.ticket).collect();
-        for ticket in forgotten {
-            self.handle(now, Event::Ended(ticket));
+        let forgotten: Vec<AttemptId> = forgotten.map(|it| it.attempt_id).collect();
+        for attempt_id in forgotten {
+            self.handle(now, Event::Ended(attempt_id));
         }
     }
 
--- a/crates/medlarlug-core/src/routing/learned.rs
+++ b/crates/medlarlug-core/src/routing/stats.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{routing::router::Ticket, time::Time, units::Tokens};
+use crate::{routing::router::AttemptId, time::Time, units::Tokens};
 
 /// Share of a new observation in an average.
 const GAIN: f64 = 0.2;
@@ -24,7 +24,7 @@
 /// A request that was sent and hasn't ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Flight {
-    ticket: Ticket,
+    attempt_id: AttemptId,
     sent: Time,
     tokens: Tokens,
     base: f64,
@@ -61,7 +61,7 @@
 
 /// What own requests have shown of one place that serves them.
 #[derive(Debug, Clone)]
-pub(super) struct Learned {
+pub(super) struct DestinationStats {
     flights: Vec<Flight>,
     holds: Holds,
     bias: f64,
@@ -81,9 +81,9 @@
     pub(super) tokens: u64,
 }
 
-impl Learned {
-    pub(super) fn new(since: Time) -> Learned {
-        Learned {
+impl DestinationStats {
+    pub(super) fn new(since: Time) -> DestinationStats {
+        DestinationStats {
             flights: Vec::new(),
             holds: Holds::default(),
             bias: 1.0,
@@ -99,19 +99,19 @@
     pub(super) fn send(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        attempt_id: AttemptId,
         tokens: Tokens,
         base: f64,
         predicted: f64,
     ) {
         self.last = now;
-        let flight = Flight { ticket, sent: now, tokens, base, predicted, first: None };
+        let flight = Flight { attempt_id, sent: now, tokens, base, predicted, first: None };
         self.flights.push(flight);
     }
 
     /// Notes the first token of a request, and learns from its time.
-    pub(super) fn first_token(&mut self, now: Time, ticket: Ticket) {
-        let Some(flight) = self.flights.iter_mut().find(|it| it.ticket == ticket) else {
+    pub(super) fn first_token(&mut self, now: Time, attempt_id: AttemptId) {
+        let Some(flight) = self.flights.iter_mut().find(|it| it.attempt_id == attempt_id) else {
             return;
         };
         flight.first = Some(now);
@@ -130,8 +130,8 @@
 
     /// Takes an ended request out. One that ended without a first token has shown that the place
     /// needs at least the time that it waited.
-    pub(super) fn end(&mut self, now: Time, ticket: Ticket) {
-        let Some(flight) = self.take(ticket) else {
+    pub(super) fn end(&mut self, now: Time, attempt_id: AttemptId) {
+        let Some(flight) = self.take(attempt_id) else {
             return;
         };
         if let Some(first) = flight.first {
@@ -143,14 +143,14 @@
         }
     }
 
-    fn take(&mut self, ticket: Ticket) -> Option<Flight> {
-        let place = self.flights.iter().position(|it| it.ticket == ticket)?;
+    fn take(&mut self, attempt_id: AttemptId) -> Option<Flight> {
+        let place = self.flights.iter().position(|it| it.attempt_id == attempt_id)?;
         Some(self.flights.remove(place))
     }
 
     /// Takes a failed request out and pauses the place, longer with each failure in a row.
-    pub(super) fn fail(&mut self, now: Time, ticket: Ticket) {
-        self.take(ticket);
+    pub(super) fn fail(&mut self, now: Time, attempt_id: AttemptId) {
+        self.take(attempt_id);
         self.paused = now + FIRST_PAUSE * (1 << self.failures.min(MAX_DOUBLINGS));
         self.failures = self.failures.saturating_add(1);
     }
--- a/crates/medlarlug-core/tests/testsuite/membership.rs
+++ b/crates/medlarlug-core/tests/testsuite/membership.rs
@@ -7,9 +7,9 @@
     fingerprint::Fingerprint,
     ids::{Incarnation, Revision},
     membership::{
-        Awaited, Effect, Event, Heartbeat, InstanceKind, LostPeer, Membership, Message, Notice,
-        Seed, Settings, Status, UpstreamNews,
-        timing::{ANSWER_SILENCE, LOST_LIFETIME},
+        DeadPeer, Effect, Event, Heartbeat, InstanceKind, Membership, Message, Notice,
+        PendingResponses, Seed, Settings, Status, UpstreamUpdate,
+        timing::{ANSWER_TIMEOUT, DEAD_REPORT_LIFETIME},
     },
     time::Time,
 };
@@ -62,7 +62,7 @@
         out.iter().filter(|it| matches!(it, Effect::Reconnect { .. })).count()
     };
     let (status, news) = (Status::default(), Vec::new());
-    let beat = Heartbeat { incarnation: Incarnation(1), status, digest: 0, news };
+    let beat = Heartbeat { incarnation: Incarnation(1), status, digest: 0, updates: news };
     let heard = Event::Message { from: id("e1"), message: Message::Heartbeat(beat) };
 
     let first = reconnects(0..10_000, None);
@@ -103,14 +103,14 @@
     membership.handle(Time::ZERO, Event::Announced(left), &mut Vec::new());
 
     let mut out = Vec::new();
-    let news = vec![UpstreamNews::Full { announcement, age: SECOND }];
+    let news = vec![UpstreamUpdate::Full { announcement, age: SECOND }];
     let message = Message::Upstreams(news);
     let event = Event::Message { from: id("e1"), message };
     membership.handle(Time::from_millis(10), event, &mut out);
 
     let told = out.iter().any(|it| {
         matches!(it, Effect::Send { message: Message::Upstreams(news), .. }
-            if matches!(news[..], [UpstreamNews::Left { .. }]))
+            if matches!(news[..], [UpstreamUpdate::Left { .. }]))
     });
     assert!(told);
 }
@@ -121,7 +121,7 @@
     let news = Event::Announced(engine("u0", "riga-a", &["m"]));
     membership.handle(Time::ZERO, news, &mut Vec::new());
     let status = Status::default();
-    let beat = Heartbeat { incarnation: Incarnation(1), status, digest: 1, news: Vec::new() };
+    let beat = Heartbeat { incarnation: Incarnation(1), status, digest: 1, updates: Vec::new() };
 
     let mut out = Vec::new();
     for millis in [500, 1_000] {
@@ -353,7 +353,7 @@
             let now = network.clock(node);
             for zone in network.nodes[node].membership.zones() {
                 let row = zone.row(now, &target);
-                let is_fresh = row.is_some_and(|it| now - it.made < 3 * SECOND);
+                let is_fresh = row.is_some_and(|it| now - it.created_at < 3 * SECOND);
                 assert!(is_fresh, "seed {seed}, instance {node}, {}", zone.zone);
             }
         }
@@ -392,28 +392,28 @@
     network.run(3 * SECOND);
     network.nodes[4].is_up = false;
     network.run(15 * SECOND);
-    let before = network.nodes[keeper].membership.lost().to_vec();
+    let before = network.nodes[keeper].membership.reported_dead().to_vec();
 
     network.restart_node(4);
-    network.run(LOST_LIFETIME + 2 * SECOND);
+    network.run(DEAD_REPORT_LIFETIME + 2 * SECOND);
 
-    assert_eq!(before, [LostPeer { id: id("a4"), incarnation: Incarnation(1) }]);
-    assert_eq!(network.nodes[keeper].membership.lost(), []);
+    assert_eq!(before, [DeadPeer { id: id("a4"), incarnation: Incarnation(1) }]);
+    assert_eq!(network.nodes[keeper].membership.reported_dead(), []);
 }
 
 #[test]
 fn peer_that_answers_is_not_silent() {
-    let mut awaited = Awaited::default();
+    let mut awaited = PendingResponses::default();
     let (answering, silent) = (id("keeper-1"), id("keeper-2"));
     for peer in [&answering, &silent] {
-        awaited.asked(Time::ZERO, peer);
-        awaited.asked(Time::from_millis(2_000), peer);
+        awaited.expect_response(Time::ZERO, peer);
+        awaited.expect_response(Time::from_millis(2_000), peer);
     }
 
-    awaited.heard(&answering);
+    awaited.response_received(&answering);
 
-    assert_eq!(awaited.silent(Time::ZERO + ANSWER_SILENCE), [silent]);
-    assert!(awaited.silent(Time::ZERO + 2 * ANSWER_SILENCE).is_empty());
+    assert_eq!(awaited.take_unresponsive(Time::ZERO + ANSWER_TIMEOUT), [silent]);
+    assert!(awaited.take_unresponsive(Time::ZERO + 2 * ANSWER_TIMEOUT).is_empty());
 }
 
 #[test]
--- a/crates/medlarlug-core/tests/testsuite/orders.rs
+++ b/crates/medlarlug-core/tests/testsuite/orders.rs
@@ -7,7 +7,7 @@
 use medlarlug_core::{
     home::{Action, Command, HomeGroup, Owner, Reply},
     ids::{Incarnation, Revision, Term, UpstreamId},
-    orders::{Effect, Event, Fence, Issuer, Order, OrderKind, Task, Timing},
+    orders::{Effect, Event, FencingToken, Issuer, Order, OrderKind, Task, Timing},
     time::Time,
 };
 use rand::{RngExt, SeedableRng};
@@ -61,15 +61,15 @@
     processes: Vec<Process>,
     messages: Vec<(Duration, Message)>,
     /// Fences in the order in which each engine carried the orders out.
-    taken: Vec<Vec<Fence>>,
+    taken: Vec<Vec<FencingToken>>,
     /// Real times at which loads were sent.
     loads: Vec<Duration>,
 }
 
 fn timing() -> Timing {
     Timing {
-        loads: "0.7/s".parse().unwrap(),
-        patience: Duration::from_secs(6),
+        load_rate: "0.7/s".parse().unwrap(),
+        answer_timeout: Duration::from_secs(6),
         ..Timing::default()
     }
 }
@@ -165,7 +165,7 @@
         let task = Task { upstream: engine_id(engine), incarnation: Incarnation(1), kind };
         for index in 0..ISSUERS {
             let (task, fencing) = (task.clone(), checks_fences(engine));
-            self.feed(index, Event::Wanted { task, fencing });
+            self.feed(index, Event::Requested { task, fencing });
         }
     }
 
@@ -186,9 +186,9 @@
                 Effect::Send(order) => {
                     self.loads.extend(order.task.kind.is_load().then_some(self.real));
                     let message = Message::Order { from: index, incarnation, order };
-                    self.send(self.timing.flight, message);
+                    self.send(self.timing.max_delivery_time, message);
                 }
-                Effect::GivenUp(_) => {}
+                Effect::TimedOut(_) => {}
             }
         }
     }
@@ -232,7 +232,7 @@
         let holder = Owner { instance: id(&format!("entry-{from}")), incarnation };
         let event = match self.apply(Action::Lease { holder, duration }) {
             Reply::LeaseGranted { term, duration } => Event::Granted { token, term, duration },
-            _ => Event::Held,
+            _ => Event::HeldElsewhere,
         };
         self.send(Duration::from_secs(8), Message::Grant { to: from, incarnation, event });
     }
@@ -252,10 +252,11 @@
             let is_ordered = taken.windows(2).all(|pair| pair[0] < pair[1]);
             assert!(is_ordered, "seed {seed}: engine {engine} took {taken:?}");
         }
-        let rate = self.timing.loads.get() * (1.0 + self.timing.drift);
+        let rate = self.timing.load_rate.get() * (1.0 + self.timing.max_clock_drift);
         for (first, start) in self.loads.iter().enumerate() {
             for (last, end) in self.loads.iter().enumerate().skip(first) {
-                let permitted = f64::from(self.timing.burst) + rate * (*end - *start).as_secs_f64();
+                let permitted =
+                    f64::from(self.timing.load_burst) + rate * (*end - *start).as_secs_f64();
                 let count = (last - first + 1) as f64;
                 assert!(count <= permitted + 1e-6, "seed {seed}: {count} loads at {start:?}");
             }
--- a/crates/medlarlug-core/tests/testsuite/renewals.rs
+++ b/crates/medlarlug-core/tests/testsuite/renewals.rs
@@ -4,7 +4,7 @@
     fingerprint::Fingerprint,
     ids::{Incarnation, InstanceId},
     membership::{
-        Effect, Event, InstanceKind, Membership, Message, Seed, Settings, TICK, UpstreamNews,
+        Effect, Event, InstanceKind, Membership, Message, Seed, Settings, TICK, UpstreamUpdate,
     },
     time::Time,
 };
@@ -56,11 +56,12 @@
             let Effect::Send { to, message } = effect else { continue };
             let news = match &message {
                 Message::Upstreams(news) => &news[..],
-                Message::Heartbeat(beat) => &beat.news[..],
+                Message::Heartbeat(beat) => &beat.updates[..],
                 _ => &[],
             };
             if !news.is_empty() {
-                let renewals = news.iter().filter(|it| matches!(it, UpstreamNews::Renewal { .. }));
+                let renewals =
+                    news.iter().filter(|it| matches!(it, UpstreamUpdate::Renewal { .. }));
                 self.passed[at] += renewals.count() as u32;
                 self.told.push(to.clone());
             }
--- a/crates/medlarlug-core/tests/testsuite/routing.rs
+++ b/crates/medlarlug-core/tests/testsuite/routing.rs
@@ -9,15 +9,15 @@
     ids::{Incarnation, RegionId, RequestId, Revision},
     membership::{
         EntryLoad, Event as News, Membership, Message, Millis, QueueTime, Scope, Seed, Settings,
-        Sketch, Summaries, Target, TargetSummary, ZoneNews,
+        Sketch, Summaries, Target, TargetSummary, ZoneUpdate,
     },
     release::{
         Configuration, Item,
         item::{Model, Residency, Team},
     },
     routing::{
-        Choice, ConfigurationLease, Event, Forwarded, Origin, Prefix, Refusal, RequestFacts,
-        ResidencyError, Router, View,
+        CallerRequest, Choice, ConfigurationLease, Event, ForwardedRequest, Prefix, Refusal,
+        RequestFacts, ResidencyError, Router, View,
     },
     time::Time,
     units::Tokens,
@@ -97,7 +97,7 @@
         speed: 0,
         warm: Sketch::default(),
     };
-    let news = ZoneNews {
+    let news = ZoneUpdate {
         zone: id(&zone(region)),
         speaker: id(&format!("e-{region}")),
         age: Millis::default(),
@@ -160,7 +160,7 @@
             let name = format!("u{place}");
             all.push(Announcement { leaving: *is_leaving, load, ..upstream(&name) });
         }
-        let mut request = Origin::new(facts());
+        let mut request = CallerRequest::new(facts());
         let excluded = (0..upstreams.len()).filter(|it| upstreams[*it].1);
         request.facts.excluded = excluded.map(|it| id(&format!("u{it}"))).collect();
         let mut membership = membership(all);
@@ -182,14 +182,14 @@
             Ok(Choice::Serve(route)) => {
                 let place: usize = route.upstream.as_str()[1..].parse().unwrap();
                 prop_assert!(permits(&id("riga")) && usable(place));
-                prop_assert!(route.depart(&configuration, &request.facts).is_ok());
+                prop_assert!(route.authorize(&configuration, &request.facts).is_ok());
             }
             Ok(Choice::Forward(route)) => {
                 prop_assert!(permits(&route.region) && is_valid);
-                let crossing = route.depart(&configuration, lease, &request).unwrap();
-                let header = crossing.header().clone();
-                let region = crossing.route().region.clone();
-                prop_assert!(Forwarded::receive(header, &configuration, &region).is_ok());
+                let authorized = route.authorize(&configuration, lease, &request).unwrap();
+                let header = authorized.header().clone();
+                let region = authorized.route().region.clone();
+                prop_assert!(ForwardedRequest::receive(header, &configuration, &region).is_ok());
             }
             Err(_) => prop_assert!(!at_home && !away(1) && !away(2)),
         }
@@ -203,7 +203,7 @@
     let configuration = configuration(open_team(), Residency::Anywhere);
     let mut membership = membership(Vec::new());
     tell(&mut membership, NOW, "kurzeme");
-    let request = Origin::new(facts());
+    let request = CallerRequest::new(facts());
     let mut router = Router::new(NOW, 1);
     let choice = router.decide(NOW, view(&membership, &configuration), &request).unwrap();
     let Choice::Forward(route) = choice else {
@@ -211,16 +211,16 @@
     };
 
     let tightened = self::configuration(team("crew", "riga"), Residency::Anywhere);
-    let left = route.clone().depart(&tightened, ConfigurationLease::Valid, &request);
-    let lapsed = route.clone().depart(&configuration, ConfigurationLease::Lapsed, &request);
+    let left = route.clone().authorize(&tightened, ConfigurationLease::Valid, &request);
+    let lapsed = route.clone().authorize(&configuration, ConfigurationLease::Lapsed, &request);
 
     assert_matches!(left, Err(ResidencyError::Forbidden { .. }));
     assert_matches!(lapsed, Err(ResidencyError::Unconfirmed { .. }));
-    let crossing = route.depart(&configuration, ConfigurationLease::Valid, &request).unwrap();
-    let header = crossing.header().clone();
-    let received = Forwarded::receive(header.clone(), &tightened, &id("kurzeme"));
+    let authorized = route.authorize(&configuration, ConfigurationLease::Valid, &request).unwrap();
+    let header = authorized.header().clone();
+    let received = ForwardedRequest::receive(header.clone(), &tightened, &id("kurzeme"));
     assert_matches!(received, Err(ResidencyError::Forbidden { .. }));
-    let elsewhere = Forwarded::receive(header, &configuration, &id("latgale"));
+    let elsewhere = ForwardedRequest::receive(header, &configuration, &id("latgale"));
     assert_matches!(elsewhere, Err(ResidencyError::Misdirected { .. }));
 }
 
@@ -229,17 +229,17 @@
     let configuration = configuration(open_team(), Residency::Anywhere);
     let mut membership = membership(Vec::new());
     tell(&mut membership, NOW, "kurzeme");
-    let request = Origin::new(facts());
+    let request = CallerRequest::new(facts());
     let mut router = Router::new(NOW, 1);
     let choice = router.decide(NOW, view(&membership, &configuration), &request);
     let Ok(Choice::Forward(route)) = choice else {
         panic!("no upstream at home, and yet {choice:?}");
     };
-    let crossing = route.depart(&configuration, ConfigurationLease::Valid, &request).unwrap();
+    let authorized = route.authorize(&configuration, ConfigurationLease::Valid, &request).unwrap();
 
-    let bytes = postcard::to_allocvec(crossing.header()).unwrap();
+    let bytes = postcard::to_allocvec(authorized.header()).unwrap();
 
-    assert_eq!(postcard::from_bytes(&bytes).as_ref(), Ok(crossing.header()));
+    assert_eq!(postcard::from_bytes(&bytes).as_ref(), Ok(authorized.header()));
 }
 
 #[test]
@@ -248,8 +248,11 @@
     let membership = membership(vec![upstream("u0")]);
     let late = NOW + Duration::from_secs(3);
 
-    let decision =
-        Router::new(NOW, 1).decide(late, view(&membership, &configuration), &Origin::new(facts()));
+    let decision = Router::new(NOW, 1).decide(
+        late,
+        view(&membership, &configuration),
+        &CallerRequest::new(facts()),
+    );
 
     assert_matches!(decision, Err(Refusal::NoUpstream { .. }));
 }
@@ -260,8 +263,11 @@
     let load = LoadReport { running: 8, waiting: 400, ..LoadReport::default() };
     let membership = membership(vec![Announcement { load, ..upstream("u0") }]);
 
-    let decision =
-        Router::new(NOW, 1).decide(NOW, view(&membership, &configuration), &Origin::new(facts()));
+    let decision = Router::new(NOW, 1).decide(
+        NOW,
+        view(&membership, &configuration),
+        &CallerRequest::new(facts()),
+    );
 
     let refusal = decision.unwrap_err();
     assert_matches!(refusal, Refusal::Deadline { .. });
@@ -275,8 +281,8 @@
     let load = LoadReport { cached: vec![print], ..LoadReport::default() };
     let all = vec![upstream("u0"), Announcement { load, ..upstream("u1") }, upstream("u2")];
     let membership = membership(all);
-    let mut request = Origin::new(facts());
-    request.facts.prefixes = vec![Prefix { print, tokens: Tokens(800) }];
+    let mut request = CallerRequest::new(facts());
+    request.facts.prefixes = vec![Prefix { fingerprint: print, tokens: Tokens(800) }];
 
     let decision = Router::new(NOW, 1).decide(NOW, view(&membership, &configuration), &request);
 
@@ -286,7 +292,7 @@
 /// Sends requests to two idle-looking upstreams, of which `u0` takes `slow` to the first token.
 fn share_of_slow(slow: Duration, requests: usize) -> usize {
     let configuration = configuration(open_team(), Residency::Home);
-    let request = Origin::new(facts());
+    let request = CallerRequest::new(facts());
     let mut membership = membership(Vec::new());
     let mut router = Router::new(NOW, 1);
     let mut now = NOW;
@@ -302,13 +308,13 @@
         };
         let is_slow = route.upstream == id("u0");
         share += usize::from(is_slow);
-        let departure = route.depart(&configuration, &request.facts).unwrap();
-        router.sent(now, &departure, &request.facts);
+        let authorized = route.authorize(&configuration, &request.facts).unwrap();
+        router.record_sent(now, &authorized, &request.facts);
         let took = if is_slow { slow } else { Duration::from_millis(130) };
         now = now + took;
-        let ticket = departure.route().ticket;
-        router.handle(now, Event::FirstToken(ticket));
-        router.handle(now, Event::Ended(ticket));
+        let attempt_id = authorized.route().attempt_id;
+        router.handle(now, Event::FirstToken(attempt_id));
+        router.handle(now, Event::Ended(attempt_id));
     }
     share
 }
@@ -326,7 +332,7 @@
 fn failed_upstream_is_avoided_and_tried_again() {
     let configuration = configuration(open_team(), Residency::Home);
     let membership = membership(vec![upstream("u0"), upstream("u1")]);
-    let request = Origin::new(facts());
+    let request = CallerRequest::new(facts());
     let mut router = Router::new(NOW, 1);
     let route = |now: Time, router: &mut Router| match router.decide(
         now,
@@ -338,9 +344,9 @@
     };
     let first = route(NOW, &mut router);
     let failed = first.upstream.clone();
-    let departure = first.depart(&configuration, &request.facts).unwrap();
-    router.sent(NOW, &departure, &request.facts);
-    router.handle(NOW, Event::Failed(departure.route().ticket));
+    let authorized = first.authorize(&configuration, &request.facts).unwrap();
+    router.record_sent(NOW, &authorized, &request.facts);
+    router.handle(NOW, Event::Failed(authorized.route().attempt_id));
 
     let soon: Vec<_> = (0..20).map(|_| route(NOW, &mut router).upstream).collect();
     let late = NOW + Duration::from_secs(2);
@@ -353,7 +359,7 @@
 /// Sends `count` requests before the first of them ends; gives how many `u1` got.
 fn burst(router: &mut Router, now: Time, membership: &Membership, count: usize) -> usize {
     let configuration = configuration(open_team(), Residency::Home);
-    let request = Origin::new(facts());
+    let request = CallerRequest::new(facts());
     let mut share = 0;
     let mut tickets = Vec::new();
     for _ in 0..count {
@@ -362,9 +368,9 @@
             panic!("two upstreams, and yet {choice:?}");
         };
         share += usize::from(route.upstream == id("u1"));
-        let departure = route.depart(&configuration, &request.facts).unwrap();
-        router.sent(now, &departure, &request.facts);
-        tickets.push(departure.route().ticket);
+        let authorized = route.authorize(&configuration, &request.facts).unwrap();
+        router.record_sent(now, &authorized, &request.facts);
+        tickets.push(authorized.route().attempt_id);
     }
     tickets.into_iter().for_each(|it| router.handle(now, Event::Ended(it)));
     share
--- a/crates/medlarlug-core/tests/testsuite/routing_attempts.rs
+++ b/crates/medlarlug-core/tests/testsuite/routing_attempts.rs
@@ -9,7 +9,7 @@
     ids::Revision,
     membership::{Event as News, Membership},
     release::{Configuration, Item, item::Residency},
-    routing::{Choice, Event, Origin, Prefix, Router, Ticket},
+    routing::{AttemptId, CallerRequest, Choice, Event, Prefix, Router},
     time::Time,
     units::Tokens,
 };
@@ -26,16 +26,16 @@
     Configuration::new(Revision(1), items)
 }
 
-fn send(router: &mut Router, now: Time, membership: &Membership) -> Ticket {
+fn send(router: &mut Router, now: Time, membership: &Membership) -> AttemptId {
     let configuration = configuration();
-    let request = Origin::new(facts());
+    let request = CallerRequest::new(facts());
     let choice = router.decide(now, view(membership, &configuration), &request);
     let Ok(Choice::Serve(route)) = choice else {
         panic!("an idle upstream, and yet {choice:?}");
     };
-    let departure = route.depart(&configuration, &request.facts).unwrap();
-    router.sent(now, &departure, &request.facts);
-    departure.route().ticket
+    let authorized = route.authorize(&configuration, &request.facts).unwrap();
+    router.record_sent(now, &authorized, &request.facts);
+    authorized.route().attempt_id
 }
 
 /// Lets the only upstream announce itself again.
@@ -80,19 +80,19 @@
 }
 
 /// Sends `count` requests before any of them ends; gives those that went to `u0`.
-fn burst(router: &mut Router, now: Time, membership: &Membership, count: usize) -> Vec<Ticket> {
+fn burst(router: &mut Router, now: Time, membership: &Membership, count: usize) -> Vec<AttemptId> {
     let configuration = configuration();
-    let request = Origin::new(facts());
+    let request = CallerRequest::new(facts());
     let mut slow = Vec::new();
     for _ in 0..count {
         let choice = router.decide(now, view(membership, &configuration), &request);
         let Ok(Choice::Serve(route)) = choice else {
             panic!("two upstreams, and yet {choice:?}");
         };
-        let departure = route.depart(&configuration, &request.facts).unwrap();
-        router.sent(now, &departure, &request.facts);
-        if departure.route().upstream == id("u0") {
-            slow.push(departure.route().ticket);
+        let authorized = route.authorize(&configuration, &request.facts).unwrap();
+        router.record_sent(now, &authorized, &request.facts);
+        if authorized.route().upstream == id("u0") {
+            slow.push(authorized.route().attempt_id);
         }
     }
     slow
@@ -124,9 +124,9 @@
     };
     let mut membership = membership(vec![Announcement { load, ..upstream("u0") }]);
     tell(&mut membership, NOW, "kurzeme");
-    let cold = Origin::new(facts());
+    let cold = CallerRequest::new(facts());
     let mut warm = cold.clone();
-    warm.facts.prefixes = vec![Prefix { print, tokens: Tokens(800) }];
+    warm.facts.prefixes = vec![Prefix { fingerprint: print, tokens: Tokens(800) }];
 
     let choices = [cold, warm]
         .map(|it| Router::new(NOW, 1).decide(NOW, view(&membership, &configuration), &it).unwrap());
@@ -143,12 +143,12 @@
     let mut now = NOW;
     for place in 0..ended + running {
         renew(&mut membership, now);
-        let ticket = send(&mut router, now, &membership);
+        let attempt_id = send(&mut router, now, &membership);
         now = now + Duration::from_millis(125);
-        router.handle(now, Event::FirstToken(ticket));
+        router.handle(now, Event::FirstToken(attempt_id));
         if place < ended {
             now = now + hold;
-            router.handle(now, Event::Ended(ticket));
+            router.handle(now, Event::Ended(attempt_id));
         }
     }
     now = now + age;
@@ -156,7 +156,7 @@
     let sequence = 2 + now.as_micros();
     let full = Announcement { sequence, load, ..upstream("u0") };
     membership.handle(now, News::Announced(full), &mut Vec::new());
-    let mut request = Origin::new(facts());
+    let mut request = CallerRequest::new(facts());
     request.facts.deadline = Duration::from_secs(300);
     match router.decide(now, view(&membership, &configuration), &request) {
         Ok(Choice::Serve(route)) => route.predicted.as_secs_f64(),
--- a/crates/medlarlug-core/tests/testsuite/routing_refusals.rs
+++ b/crates/medlarlug-core/tests/testsuite/routing_refusals.rs
@@ -9,7 +9,7 @@
     membership::Membership,
     refusal::Reason,
     release::item::{Residency, Team},
-    routing::{Choice, ConfigurationLease, Origin, Refusal, ResidencyError, Router, View},
+    routing::{CallerRequest, Choice, ConfigurationLease, Refusal, ResidencyError, Router, View},
     units::Tokens,
 };
 use test_support::{id, team};
@@ -25,7 +25,7 @@
     Team { residency: Residency::Regions(regions), ..home_team() }
 }
 
-fn refusal(membership: &Membership, team: Team, request: &Origin) -> Refusal {
+fn refusal(membership: &Membership, team: Team, request: &CallerRequest) -> Refusal {
     let configuration = configuration(team, Residency::Anywhere);
     Router::new(NOW, 1).decide(NOW, view(membership, &configuration), request).unwrap_err()
 }
@@ -36,7 +36,7 @@
     tell(&mut membership, NOW, "latgale");
     tell(&mut membership, NOW, "kurzeme");
 
-    let refusal = refusal(&membership, home_team(), &Origin::new(facts()));
+    let refusal = refusal(&membership, home_team(), &CallerRequest::new(facts()));
 
     let elsewhere: Vec<RegionId> = vec![id("kurzeme"), id("latgale")];
     assert_matches!(&refusal, Refusal::ServedElsewhere { regions, .. } if *regions == elsewhere);
@@ -48,7 +48,7 @@
 fn own_region_counts_as_one_that_serves_the_target_elsewhere() {
     let membership = membership(vec![upstream("u0")]);
 
-    let refusal = refusal(&membership, team_of(&["kurzeme"]), &Origin::new(facts()));
+    let refusal = refusal(&membership, team_of(&["kurzeme"]), &CallerRequest::new(facts()));
 
     assert_matches!(refusal, Refusal::ServedElsewhere { regions, .. } if regions == [id("riga")]);
 }
@@ -58,7 +58,7 @@
     let membership = membership(Vec::new());
     let teams = [home_team(), open_team(), team_of(&["kurzeme"])];
 
-    let reasons = teams.map(|it| refusal(&membership, it, &Origin::new(facts())).reason());
+    let reasons = teams.map(|it| refusal(&membership, it, &CallerRequest::new(facts())).reason());
 
     assert_eq!(reasons, [Reason::NoUpstream; 3]);
 }
@@ -67,7 +67,7 @@
 fn team_without_a_permitted_region_is_refused_by_residency() {
     let membership = membership(Vec::new());
 
-    let refusal = refusal(&membership, team_of(&[]), &Origin::new(facts()));
+    let refusal = refusal(&membership, team_of(&[]), &CallerRequest::new(facts()));
 
     assert_matches!(refusal, Refusal::Residency(ResidencyError::Forbidden { .. }));
 }
@@ -76,7 +76,7 @@
 fn permitted_upstream_that_failed_the_request_is_not_blamed_on_residency() {
     let mut membership = membership(vec![upstream("u0")]);
     tell(&mut membership, NOW, "kurzeme");
-    let mut request = Origin::new(facts());
+    let mut request = CallerRequest::new(facts());
     request.facts.exclude(&id("u0"));
 
     let refusal = refusal(&membership, home_team(), &request);
@@ -92,7 +92,7 @@
     let lease = ConfigurationLease::Lapsed;
     let view = View { lease, ..view(&membership, &configuration) };
 
-    let decision = Router::new(NOW, 1).decide(NOW, view, &Origin::new(facts()));
+    let decision = Router::new(NOW, 1).decide(NOW, view, &CallerRequest::new(facts()));
 
     assert_matches!(decision, Err(Refusal::NoUpstream { .. }));
 }
@@ -101,7 +101,7 @@
 fn permitted_zone_that_is_too_late_is_told_as_such() {
     let mut membership = membership(Vec::new());
     tell(&mut membership, NOW, "kurzeme");
-    let mut request = Origin::new(facts());
+    let mut request = CallerRequest::new(facts());
     request.facts.deadline = Duration::from_millis(10);
 
     let refusal = refusal(&membership, open_team(), &request);
@@ -115,7 +115,7 @@
     let mut membership = membership(vec![Announcement { load, ..upstream("u0") }]);
     tell(&mut membership, NOW, "kurzeme");
 
-    let refusal = refusal(&membership, home_team(), &Origin::new(facts()));
+    let refusal = refusal(&membership, home_team(), &CallerRequest::new(facts()));
 
     assert_matches!(refusal, Refusal::Deadline { .. });
 }
@@ -123,7 +123,7 @@
 #[test]
 fn request_is_taken_in_only_with_a_margin_to_its_deadline() {
     let configuration = configuration(home_team(), Residency::Anywhere);
-    let request = Origin::new(facts());
+    let request = CallerRequest::new(facts());
     let decide = |backlog: u64| {
         let load = LoadReport { backlog: Tokens(backlog), ..LoadReport::default() };
         let membership = membership(vec![Announcement { load, ..upstream("u0") }]);
--- a/crates/medlarlug-core/tests/testsuite/routing_slow.rs
+++ b/crates/medlarlug-core/tests/testsuite/routing_slow.rs
@@ -6,7 +6,7 @@
     announcement::Announcement,
     membership::Event as News,
     release::item::Residency,
-    routing::{Choice, Event, Origin, Router, Ticket},
+    routing::{AttemptId, CallerRequest, Choice, Event, Router},
     time::Time,
 };
 use proptest::{
@@ -27,11 +27,11 @@
 /// Gives the time of each, and whether it went there.
 fn history(slow: &str, factor: u32, end: Time, excluded: Option<&str>) -> Vec<(Time, bool)> {
     let configuration = configuration(open_team(), Residency::Home);
-    let mut request = Origin::new(facts());
+    let mut request = CallerRequest::new(facts());
     request.facts.excluded = excluded.map(id).into_iter().collect();
     let mut membership = membership(Vec::new());
     let mut router = Router::new(NOW, 1);
-    let mut pending: Vec<(Time, Ticket)> = Vec::new();
+    let mut pending: Vec<(Time, AttemptId)> = Vec::new();
     let mut sent = Vec::new();
     let mut now = NOW;
     while now < end {
@@ -39,9 +39,9 @@
             let announcement = Announcement { sequence: now.as_micros() + 1, ..upstream(name) };
             membership.handle(now, News::Announced(announcement), &mut Vec::new());
         }
-        for (at, ticket) in pending.extract_if(.., |it| it.0 <= now) {
-            router.handle(at, Event::FirstToken(ticket));
-            router.handle(at, Event::Ended(ticket));
+        for (at, attempt_id) in pending.extract_if(.., |it| it.0 <= now) {
+            router.handle(at, Event::FirstToken(attempt_id));
+            router.handle(at, Event::Ended(attempt_id));
         }
         let choice = router.decide(now, view(&membership, &configuration), &request);
         let Ok(Choice::Serve(route)) = choice else {
@@ -49,9 +49,9 @@
         };
         let is_slow = route.upstream == id(slow);
         let took = if is_slow { USUAL * factor } else { USUAL };
-        let departure = route.depart(&configuration, &request.facts).unwrap();
-        router.sent(now, &departure, &request.facts);
-        pending.push((now + took, departure.route().ticket));
+        let authorized = route.authorize(&configuration, &request.facts).unwrap();
+        router.record_sent(now, &authorized, &request.facts);
+        pending.push((now + took, authorized.route().attempt_id));
         sent.push((now, is_slow));
         now = now + GAP;
     }
--- a/src/coordination/entry/callers.rs
+++ b/src/coordination/entry/callers.rs
@@ -24,7 +24,7 @@
     record::Outcome,
     refusal::{Reason, Refusal},
     release::{Configuration, ItemKey, item::Team},
-    routing::{Origin, RequestFacts},
+    routing::{CallerRequest, RequestFacts},
     units::Tokens,
 };
 use serde_json::json;
@@ -221,7 +221,7 @@
     let limit = inference::head_limit(&facts);
     let call = inference::call_of(path, content, head.stream, limit);
     let cost = inference::cost_of(&head);
-    let job = Job { origin: JobOrigin::Caller(Origin::new(facts)), call, cost };
+    let job = Job { origin: JobOrigin::Caller(CallerRequest::new(facts)), call, cost };
     // The request goes on to its recorded end when the caller's connection is lost.
     let task = task::spawn_local(inference::serve(entry.clone(), job));
     finish(&entry, &id, task, Outcome::Failed).await
@@ -335,7 +335,7 @@
         reuse,
     };
     let cost = inference::DEFAULT_COST;
-    let job = Job { origin: JobOrigin::Caller(Origin::new(facts)), call, cost };
+    let job = Job { origin: JobOrigin::Caller(CallerRequest::new(facts)), call, cost };
     let home = configuration.home_of(&team.id);
     let epoch = home.map_or(configuration.revision, |it| it.epoch);
     let moved = home.is_some_and(|it| it.from.is_some());
--- a/src/coordination/entry/exchange.rs
+++ b/src/coordination/entry/exchange.rs
@@ -12,7 +12,7 @@
     membership::Target,
     record::Stage,
     retry::Failure,
-    routing::{Crossing, Departure, RequestFacts, Ticket, router},
+    routing::{AttemptId, AuthorizedForward, AuthorizedRoute, RequestFacts, router},
     suspects,
 };
 use smol_str::SmolStr;
@@ -71,7 +71,7 @@
     /// Address of the other side.
     pub address: SocketAddr,
     /// Names the attempt in the router's events.
-    pub ticket: Ticket,
+    pub attempt_id: AttemptId,
     /// The answer.
     pub answer: Response<Incoming>,
     /// The connection over which it comes.
@@ -96,17 +96,17 @@
 /// Fails when no answer that belongs to the request arrives.
 pub async fn send_to_upstream(
     entry: &Entry,
-    departure: Departure,
+    authorized: AuthorizedRoute,
     facts: &RequestFacts,
     call: &Call,
 ) -> Result<Exchange, FailedAttempt> {
-    let route = departure.route().clone();
+    let route = authorized.route().clone();
     let place = Place::Upstream(route.upstream.clone());
     let request = upstream_request(facts, call, route.address);
-    entry.router.borrow_mut().sent(entry.node.now(), &departure, facts);
+    entry.router.borrow_mut().record_sent(entry.node.now(), &authorized, facts);
     entry.note_sent(&facts.id, call.content, &route.upstream);
     entry.step(&facts.id, Stage::Sent { upstream: route.upstream });
-    let destination = Destination { place, address: route.address, ticket: route.ticket };
+    let destination = Destination { place, address: route.address, attempt_id: route.attempt_id };
     send(entry, destination, facts, request, call).await
 }
 
@@ -120,12 +120,12 @@
 /// Fails when no answer that belongs to the request arrives, or when the zone refuses it.
 pub async fn send_to_zone(
     entry: &Entry,
-    crossing: Crossing,
+    authorized: AuthorizedForward,
     facts: &RequestFacts,
     call: &Call,
 ) -> Result<Exchange, FailedAttempt> {
-    let route = crossing.route().clone();
-    entry.router.borrow_mut().crossed(entry.node.now(), &crossing);
+    let route = authorized.route().clone();
+    entry.router.borrow_mut().record_forwarded(entry.node.now(), &authorized);
     entry.step(&facts.id, Stage::Forwarded { zone: route.zone.clone() });
     let peers = forward::receivers(entry, &route.zone, &route.entry);
     let mut failed = FailedAttempt {
@@ -134,12 +134,12 @@
         reason: "the entry instance is not in the cluster file".into(),
     };
     for (id, address) in peers {
-        let Some(request) = forward::request(entry, &crossing, call, address) else {
+        let Some(request) = forward::request(entry, &authorized, call, address) else {
             failed.reason = "the request can't be encoded".into();
             break;
         };
         let place = Place::Zone(route.zone.clone());
-        let destination = Destination { place, address, ticket: route.ticket };
+        let destination = Destination { place, address, attempt_id: route.attempt_id };
         let result = send(entry, destination, facts, request, call).await;
         failed = match forward::check_refusal(entry, result).await {
             Ok(exchange) => return Ok(exchange),
@@ -180,7 +180,7 @@
 struct Destination {
     place: Place,
     address: SocketAddr,
-    ticket: Ticket,
+    attempt_id: AttemptId,
 }
 
 async fn send(
@@ -191,7 +191,7 @@
     call: &Call,
 ) -> Result<Exchange, FailedAttempt> {
     let id = &facts.id;
-    let Destination { place, address, ticket } = destination;
+    let Destination { place, address, attempt_id } = destination;
     let limits = CallLimits { connect: CONNECT_LIMIT, head: call.limit };
     let result = match (&place, &facts.target) {
         (Place::Upstream(_), target @ Target::Model(_)) => {
@@ -203,17 +203,17 @@
     let (answer, connection) = match result {
         Ok(answered) => answered,
         Err(error) => {
-            entry.routed(router::Event::Failed(ticket));
+            entry.routed(router::Event::Failed(attempt_id));
             return Err(failed_call(entry, place, address, id, &error).await);
         }
     };
     if is_foreign(&answer, id) {
         metrics::counter!(CROSSED).increment(1);
-        entry.routed(router::Event::Failed(ticket));
+        entry.routed(router::Event::Failed(attempt_id));
         let reason = "the answer belongs to another request".into();
         return Err(FailedAttempt { place, failure: Failure::Lost, reason });
     }
-    Ok(Exchange { place, address, ticket, answer, connection })
+    Ok(Exchange { place, address, attempt_id, answer, connection })
 }
 
 /// Whether the head of an answer names another request, or none.
--- a/src/coordination/entry/forward.rs
+++ b/src/coordination/entry/forward.rs
@@ -1,8 +1,8 @@
 //! Requests that cross from one zone to another.
 //!
-//! The sender wraps the call and the crossing's header in one postcard document, authenticated by
+//! The sender wraps the call and the authorized's header in one postcard document, authenticated by
 //! the deployment key. The receiver serves it in its own zone or refuses it; what it received is a
-//! [`Forwarded`](medlarlug_core::routing::Forwarded), which can't be handed on.
+//! [`ForwardedRequest`](medlarlug_core::routing::ForwardedRequest), which can't be handed on.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,7 +14,7 @@
     record::Outcome,
     refusal::Reason,
     retry::Failure,
-    routing::{Crossing, ForwardHeader, router},
+    routing::{AuthorizedForward, ForwardHeader, router},
 };
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -63,12 +63,12 @@
 /// The HTTP request that hands a call over; `None` when it can't be encoded.
 pub fn request(
     entry: &Entry,
-    crossing: &Crossing,
+    authorized: &AuthorizedForward,
     call: &Call,
     address: SocketAddr,
 ) -> Option<Request<RequestBody>> {
     let forwarded = ForwardedCall {
-        header: crossing.header().clone(),
+        header: authorized.header().clone(),
         method: call.method.as_str().into(),
         path: call.path.clone(),
         media: call.media.clone(),
@@ -102,7 +102,7 @@
     receivers
 }
 
-/// A crossing that brought no answer.
+/// A authorized that brought no answer.
 pub enum Refused {
     /// The zone refused the request, or what became of it is not known.
     ByZone(FailedAttempt),
@@ -132,7 +132,7 @@
     if !is_not_run {
         return Ok(exchange);
     }
-    entry.routed(router::Event::Failed(exchange.ticket));
+    entry.routed(router::Event::Failed(exchange.attempt_id));
     let reason = "the receiving zone refused it".into();
     let failed = FailedAttempt { place: exchange.place, failure: Failure::ZoneRefused, reason };
     let content = timeout(PROBLEM_LIMIT, body::read(exchange.answer.into_body(), PROBLEM_BYTES));
--- a/src/coordination/entry/inference/choice.rs
+++ b/src/coordination/entry/inference/choice.rs
@@ -49,7 +49,7 @@
     if !barred.is_empty() || !is_without_upstream(&choice) {
         return choice;
     }
-    open.readmit();
+    open.clear_excluded();
     choose(entry, &open)
 }
 
@@ -97,13 +97,13 @@
     };
     let result = match (choice, &job.origin) {
         (Choice::Serve(route), _) => {
-            let departure = route.depart(&configuration, facts).map_err(not_permitted)?;
-            exchange::send_to_upstream(entry, departure, facts, &job.call).await
+            let authorized = route.authorize(&configuration, facts).map_err(not_permitted)?;
+            exchange::send_to_upstream(entry, authorized, facts, &job.call).await
         }
         (Choice::Forward(route), JobOrigin::Caller(origin)) => {
-            let crossing =
-                route.depart(&configuration, entry.lease(), origin).map_err(not_permitted)?;
-            exchange::send_to_zone(entry, crossing, facts, &job.call).await
+            let authorized =
+                route.authorize(&configuration, entry.lease(), origin).map_err(not_permitted)?;
+            exchange::send_to_zone(entry, authorized, facts, &job.call).await
         }
         (Choice::Forward(_), JobOrigin::Zone(_)) => {
             return Err(AttemptEnd::Refused(entry.refusal(Reason::NoUpstream, Duration::ZERO)));
--- a/src/coordination/entry/inference/delivery.rs
+++ b/src/coordination/entry/inference/delivery.rs
@@ -47,10 +47,11 @@
     slot: &mut Option<Slot>,
 ) -> Result<Answer, AttemptEnd> {
     let (id, target) = (job.facts().id.clone(), job.facts().target.clone());
-    let (place, ticket, address) = (exchange.place.clone(), exchange.ticket, exchange.address);
+    let (place, attempt_id, address) =
+        (exchange.place.clone(), exchange.attempt_id, exchange.address);
     let mut relay = Relay::new(entry.clone(), id.clone(), exchange);
     if let Err(refusal) = relay.begin().await {
-        entry.routed(router::Event::Failed(ticket));
+        entry.routed(router::Event::Failed(attempt_id));
         let reason = refusal.reason.title().into();
         if let Place::Upstream(upstream) = &place {
             entry.examine_loss(&id, upstream, address).await;
@@ -71,7 +72,7 @@
             entry.examine_loss(&id, upstream, address).await;
         }
         let own = matches!(place, Place::Upstream(_)).then_some(&target);
-        finish(&entry, &id, own, ticket, end);
+        finish(&entry, &id, own, attempt_id, end);
     });
     Ok(answer)
 }
@@ -81,16 +82,18 @@
     entry: &Entry,
     id: &RequestId,
     own: Option<&Target>,
-    ticket: routing::Ticket,
+    attempt_id: routing::AttemptId,
     end: StreamEnd,
 ) {
     let (event, outcome, reason) = match &end {
-        StreamEnd::Complete => (router::Event::Ended(ticket), Outcome::Answered, "whole answer"),
+        StreamEnd::Complete => {
+            (router::Event::Ended(attempt_id), Outcome::Answered, "whole answer")
+        }
         StreamEnd::CallerGone => {
-            (router::Event::Ended(ticket), Outcome::Failed, "the caller went away")
+            (router::Event::Ended(attempt_id), Outcome::Failed, "the caller went away")
         }
         StreamEnd::Failed(refusal) => {
-            (router::Event::Failed(ticket), refusal.outcome, refusal.reason.title())
+            (router::Event::Failed(attempt_id), refusal.outcome, refusal.reason.title())
         }
     };
     entry.routed(event);
@@ -116,12 +119,12 @@
     exchange: Exchange,
 ) -> Result<Answer, AttemptEnd> {
     let facts = job.facts();
-    let (place, ticket) = (exchange.place, exchange.ticket);
+    let (place, attempt_id) = (exchange.place, exchange.attempt_id);
     let (head, incoming) = exchange.answer.into_parts();
     entry.step(&facts.id, Stage::FirstByte);
     let failed = |failure, reason| {
         entry.suspect(suspects::Event::Ended { request: facts.id.clone() });
-        entry.routed(router::Event::Failed(ticket));
+        entry.routed(router::Event::Failed(attempt_id));
         let place = place.clone();
         Err(AttemptEnd::Failed(FailedAttempt { place, failure, reason }))
     };
@@ -139,8 +142,8 @@
         return failed(Failure::Error, reason);
     }
     entry.client.give_back(exchange.connection);
-    entry.routed(router::Event::FirstToken(ticket));
-    entry.routed(router::Event::Ended(ticket));
+    entry.routed(router::Event::FirstToken(attempt_id));
+    entry.routed(router::Event::Ended(attempt_id));
     pay_for_retries(entry, &facts.target, &place, status);
     entry.suspect(suspects::Event::Answered { request: facts.id.clone() });
     entry.end(&facts.id, Outcome::Answered, "whole answer");
--- a/src/coordination/entry/inference/job.rs
+++ b/src/coordination/entry/inference/job.rs
@@ -7,7 +7,7 @@
 use medlarlug_core::{
     fingerprint::Fingerprint,
     ids::UpstreamId,
-    routing::{Forwarded, Origin, Prefix, RequestFacts},
+    routing::{CallerRequest, ForwardedRequest, Prefix, RequestFacts},
     units::Tokens,
 };
 use smol_str::SmolStr;
@@ -37,9 +37,9 @@
 #[derive(Debug, Clone)]
 pub enum JobOrigin {
     /// From a caller of this instance.
-    Caller(Origin),
+    Caller(CallerRequest),
     /// From another zone; it is served here or refused.
-    Zone(Forwarded),
+    Zone(ForwardedRequest),
 }
 
 impl Job {
@@ -57,15 +57,15 @@
             JobOrigin::Caller(origin) => {
                 origin.facts.deadline = origin.facts.deadline.saturating_sub(waited);
             }
-            JobOrigin::Zone(forwarded) => forwarded.spend(waited),
+            JobOrigin::Zone(forwarded) => forwarded.deduct_wait(waited),
         }
     }
 
     /// Lets the request be sent to every upstream again.
-    pub(super) fn readmit(&mut self) {
+    pub(super) fn clear_excluded(&mut self) {
         match &mut self.origin {
             JobOrigin::Caller(origin) => origin.facts.excluded.clear(),
-            JobOrigin::Zone(forwarded) => forwarded.readmit(),
+            JobOrigin::Zone(forwarded) => forwarded.clear_excluded(),
         }
     }
 
@@ -100,7 +100,7 @@
     let block = medlarlug_core::fingerprint::PREFIX_BLOCK_BYTES as u64 / BYTES_PER_TOKEN;
     let numbered = head.prefixes.iter().zip(1u64..);
     let mut prefixes: Vec<Prefix> = numbered
-        .map(|(print, count)| Prefix { print: *print, tokens: Tokens(count * block) })
+        .map(|(print, count)| Prefix { fingerprint: *print, tokens: Tokens(count * block) })
         .collect();
     prefixes.reverse();
     prefixes
--- a/src/coordination/entry/inference/mod.rs
+++ b/src/coordination/entry/inference/mod.rs
@@ -105,7 +105,7 @@
 pub fn exclude(job: &mut Job, failed: &FailedAttempt) {
     match (&failed.place, &mut job.origin) {
         (Place::Upstream(upstream), _) => job.exclude(&upstream.clone()),
-        (Place::Zone(zone), JobOrigin::Caller(origin)) => origin.refuse(zone.clone()),
+        (Place::Zone(zone), JobOrigin::Caller(origin)) => origin.exclude_zone(zone.clone()),
         (Place::Zone(_), JobOrigin::Zone(_)) => {}
     }
 }
--- a/src/coordination/entry/internal.rs
+++ b/src/coordination/entry/internal.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, Request, StatusCode, body::Incoming};
 use medlarlug_core::{
     announcement::Announcement, fingerprint::Fingerprint, record::Outcome, refusal::Reason,
-    routing::Forwarded,
+    routing::ForwardedRequest,
 };
 use tokio::{net::TcpListener, sync::watch, task};
 
@@ -120,7 +120,7 @@
         return refuse_as(Reason::NoConfiguration, Reason::NoConfiguration.title());
     };
     let region = &entry.node.region;
-    let forwarded = match Forwarded::receive(header, &configuration, region) {
+    let forwarded = match ForwardedRequest::receive(header, &configuration, region) {
         Ok(forwarded) => forwarded,
         Err(error) => return refuse_as(Reason::NotPermitted, &error.to_string()),
     };
--- a/src/coordination/entry/orders.rs
+++ b/src/coordination/entry/orders.rs
@@ -101,7 +101,7 @@
         for task in self.planner.plan(&configuration, &engines, &under_way) {
             let engine = engines.iter().find(|it| it.id == task.upstream);
             let fencing = engine.is_some_and(|it| it.fencing);
-            self.handle(Event::Wanted { task, fencing });
+            self.handle(Event::Requested { task, fencing });
         }
     }
 
@@ -126,7 +126,7 @@
                 task::spawn_local(acquire(entry, events, token, duration));
             }
             Effect::Send(order) => self.send(order),
-            Effect::GivenUp(order) => {
+            Effect::TimedOut(order) => {
                 tracing::warn!(fence = %order.fence, upstream = %order.task.upstream,
                     "order given up without an answer");
             }
@@ -160,7 +160,7 @@
     let action = Action::Lease { holder, duration };
     let event = match calls::act(node, &node.region, action, LEASE_LIMIT).await {
         Ok(Reply::LeaseGranted { term, duration }) => Event::Granted { token, term, duration },
-        Ok(_) => Event::Held,
+        Ok(_) => Event::HeldElsewhere,
         Err(error) => return tracing::debug!(%error, "lease of the issuer not asked for"),
     };
     // The desk is gone when the instance is about to stop.
--- a/src/coordination/entry/relay.rs
+++ b/src/coordination/entry/relay.rs
@@ -14,7 +14,7 @@
     ids::RequestId,
     record::{Outcome, Stage},
     refusal::Refusal,
-    routing::{Ticket, router},
+    routing::{AttemptId, router},
     stream::{Chunk, ConnectionNumber, Effect, Event, StreamPolicy, StreamTracker},
 };
 use tokio::{sync::mpsc, task, time::sleep};
@@ -81,7 +81,7 @@
     entry: Rc<Entry>,
     id: RequestId,
     address: SocketAddr,
-    ticket: Ticket,
+    attempt_id: AttemptId,
     is_upstream: bool,
     tracker: StreamTracker,
     source: Option<Source>,
@@ -109,7 +109,7 @@
             entry,
             id,
             address: exchange.address,
-            ticket: exchange.ticket,
+            attempt_id: exchange.attempt_id,
             is_upstream,
             tracker,
             source: Some(source),
@@ -249,7 +249,7 @@
         }
         self.has_begun = true;
         self.entry.step(&self.id, Stage::FirstByte);
-        self.entry.routed(router::Event::FirstToken(self.ticket));
+        self.entry.routed(router::Event::FirstToken(self.attempt_id));
     }
 
     async fn carry_out(&mut self, effects: Vec<Effect>) {
--- a/src/coordination/entry/services.rs
+++ b/src/coordination/entry/services.rs
@@ -247,13 +247,13 @@
     exchange: Exchange,
 ) -> Result<Served, FailedAttempt> {
     let request = facts.id.clone();
-    let (place, ticket) = (exchange.place, exchange.ticket);
+    let (place, attempt_id) = (exchange.place, exchange.attempt_id);
     let (head, incoming) = exchange.answer.into_parts();
     let content = match tokio::time::timeout(ANSWER_LIMIT, body::read(incoming, ANSWER_BYTES)).await
     {
         Ok(Ok(content)) => content,
         _ => {
-            entry.routed(router::Event::Failed(ticket));
+            entry.routed(router::Event::Failed(attempt_id));
             entry.suspect(suspects::Event::Ended { request });
             let reason = "the answer was cut before its end".into();
             return Err(FailedAttempt { place, failure: Failure::Lost, reason });
@@ -261,12 +261,12 @@
     };
     entry.suspect(suspects::Event::Answered { request });
     if inference::says_not_started(head.status, &content) {
-        entry.routed(router::Event::Failed(ticket));
+        entry.routed(router::Event::Failed(attempt_id));
         let reason = "the service did not begin it".into();
         return Err(FailedAttempt { place, failure: Failure::NotSent, reason });
     }
-    entry.routed(router::Event::FirstToken(ticket));
-    entry.routed(router::Event::Ended(ticket));
+    entry.routed(router::Event::FirstToken(attempt_id));
+    entry.routed(router::Event::Ended(attempt_id));
     let media = head.headers.get(header::CONTENT_TYPE).and_then(|it| it.to_str().ok());
     if head.headers.get(headers::OUTCOME).is_some_and(|it| it == "unknown") {
         let reason = "the receiving zone does not know the outcome".into();
--- a/src/coordination/keeper/duties/owners.rs
+++ b/src/coordination/keeper/duties/owners.rs
@@ -8,7 +8,7 @@
 use medlarlug_core::{
     home::{self, Owner},
     ids::{InstanceId, RegionId},
-    membership::{LostPeer, PeerState},
+    membership::{DeadPeer, PeerState},
     time::Time,
 };
 use tokio::{sync::watch, task, time::interval};
@@ -60,15 +60,15 @@
 
 fn is_gone(keeper: &Keeper, owner: &Owner) -> bool {
     let members = keeper.node.members.borrow();
-    let is_lost = |it: &LostPeer| it.id == owner.instance && it.incarnation >= owner.incarnation;
-    if members.lost().iter().any(is_lost) {
+    let is_lost = |it: &DeadPeer| it.id == owner.instance && it.incarnation >= owner.incarnation;
+    if members.reported_dead().iter().any(is_lost) {
         return true;
     }
     members.peer(&owner.instance).is_some_and(|peer| {
         let is_late = keeper.node.now() >= Time::ZERO + UNHEARD_LIMIT;
         match peer.state {
             PeerState::Dead { .. } => true,
-            PeerState::Unheard => is_late,
+            PeerState::NeverSeen => is_late,
             PeerState::Up | PeerState::Reconnecting { .. } => peer.incarnation > owner.incarnation,
         }
     })
@@ -88,7 +88,7 @@
     let incarnation = {
         let members = keeper.node.members.borrow();
         let peer = members.peer(instance);
-        let lost = members.lost().iter().find(|it| it.id == *instance);
+        let lost = members.reported_dead().iter().find(|it| it.id == *instance);
         peer.map(|it| it.incarnation).or(lost.map(|it| it.incarnation))
     };
     let Some(incarnation) = incarnation else { return };
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -11,7 +11,7 @@
     fingerprint::Fingerprint,
     follower::{self, Follower, Sources, Storage},
     ids::{Incarnation, InstanceId, RegionId, Revision, TeamId},
-    membership::{self, Awaited, InstanceKind, Membership, Notice, Seed, Status},
+    membership::{self, InstanceKind, Membership, Notice, PendingResponses, Seed, Status},
     release::{Configuration, item::Team},
     time::Time,
 };
@@ -53,7 +53,7 @@
     pub follower: RefCell<Follower>,
     links: RefCell<Links>,
     // Peers that aren't watched by heartbeats and owe an answer.
-    awaited: RefCell<Awaited>,
+    awaited: RefCell<PendingResponses>,
     revision: watch::Sender<Revision>,
     unsaved: watch::Sender<Option<Box<Configuration>>>,
     current: RefCell<Option<Rc<InForce>>>,
@@ -147,7 +147,7 @@
     /// Sends a message; tells whether it was handed to the link.
     pub fn send(&self, to: &InstanceId, message: Message) -> bool {
         if calls_for_answer(&message) && self.members.borrow().peer(to).is_none() {
-            self.awaited.borrow_mut().asked(self.now(), to);
+            self.awaited.borrow_mut().expect_response(self.now(), to);
         }
         match self.links.borrow_mut().send(to, message) {
             Ok(()) => true,
@@ -207,7 +207,7 @@
 
     /// Lets time pass in the common cores.
     pub fn tick(&self) -> Vec<Notice> {
-        let silent = self.awaited.borrow_mut().silent(self.now());
+        let silent = self.awaited.borrow_mut().take_unresponsive(self.now());
         silent.iter().for_each(|it| self.reconnect(it));
         self.run_follower(follower::Event::Tick);
         self.run_membership(membership::Event::Tick)
@@ -230,7 +230,7 @@
 
     /// Handles what is common to all processes; gives back what is not, and notices.
     pub fn receive(&self, from: InstanceId, message: Message) -> Received {
-        self.awaited.borrow_mut().heard(&from);
+        self.awaited.borrow_mut().response_received(&from);
         match message {
             Message::Membership(message) => {
                 Received::Notices(self.run_membership(membership::Event::Message { from, message }))
--- a/src/coordination/operators/status.rs
+++ b/src/coordination/operators/status.rs
@@ -41,7 +41,7 @@
 
 fn state_name(state: PeerState) -> &'static str {
     match state {
-        PeerState::Unheard => "unheard",
+        PeerState::NeverSeen => "unheard",
         PeerState::Up => "up",
         PeerState::Reconnecting { .. } => "reconnecting",
         PeerState::Dead { .. } => "dead",
@@ -63,7 +63,7 @@
             running: announcement.load.running,
             waiting: announcement.load.waiting,
             leaving: announcement.leaving,
-            age_ms: millis(now - it.heard),
+            age_ms: millis(now - it.received_at),
         }
     });
     upstreams.collect()
@@ -84,7 +84,7 @@
                 "target": it.summary.target.key().to_string(),
                 "upstreams": it.summary.upstreams,
                 "free": it.summary.free,
-                "age_ms": millis(now - it.made),
+                "age_ms": millis(now - it.created_at),
             })
         });
         let rows: Vec<Value> = rows.collect();
--- a/src/standin/orders.rs
+++ b/src/standin/orders.rs
@@ -3,7 +3,7 @@
 use medlarlug_core::{
     announcement::LoadedModel,
     ids::{Incarnation, ModelId},
-    orders::{Fence, Order, OrderKind, Role},
+    orders::{FencingToken, Order, OrderKind, Role},
 };
 use smol_str::SmolStr;
 use thiserror::Error;
@@ -15,9 +15,9 @@
     #[error("the order's fencing number {old} is not above {newest}")]
     Stale {
         /// Number of the refused order.
-        old: Fence,
+        old: FencingToken,
         /// The newest number that was taken.
-        newest: Fence,
+        newest: FencingToken,
     },
     /// The order is meant for another incarnation.
     #[error("the order is meant for incarnation {meant}, this is {own}")]
@@ -35,11 +35,11 @@
 /// use medlarlug::standin::orders::OrderBook;
 /// use medlarlug_core::{
 ///     ids::{Incarnation, Term},
-///     orders::{Fence, Order, OrderKind, Role, Task},
+///     orders::{FencingToken, Order, OrderKind, Role, Task},
 /// };
 ///
 /// let order = |term, role| Order {
-///     fence: Fence { term: Term(term), sequence: 1 },
+///     fence: FencingToken { term: Term(term), sequence: 1 },
 ///     task: Task {
 ///         upstream: "engine-1".parse().unwrap(),
 ///         incarnation: Incarnation(1),
--- a/tests/testsuite/budget.rs
+++ b/tests/testsuite/budget.rs
@@ -16,8 +16,8 @@
     ids::{Incarnation, LogIndex, Revision, Term},
     limits::{DemandEntry, DemandLevel, DemandReport, LimitPolicy, TeamKey},
     membership::{
-        EntryLoad, Heartbeat, LoadNews, Message as Membership, Millis, QueueTime, Scope, Sketch,
-        Status, Summaries, Target, TargetSummary, UpstreamKey, UpstreamNews, ZoneNews,
+        EntryLoad, Heartbeat, LoadUpdate, Message as Membership, Millis, QueueTime, Scope, Sketch,
+        Status, Summaries, Target, TargetSummary, UpstreamKey, UpstreamUpdate, ZoneUpdate,
     },
     record::{Outcome, RequestRecord, Stage, Step},
     release::{Item, ItemKey, RawNote},
@@ -47,7 +47,7 @@
     frame::encode(&keys, &envelope).expect("a frame").len()
 }
 
-fn zone_news(zone: usize) -> ZoneNews {
+fn zone_news(zone: usize) -> ZoneUpdate {
     let entry = |number| EntryLoad { id: id(&format!("entry-{number:03}")), load: 300 };
     let row = |number| TargetSummary {
         target: Target::Model(id(&format!("model-{number:02}"))),
@@ -57,7 +57,7 @@
         speed: 20_000,
         warm: Sketch::default(),
     };
-    ZoneNews {
+    ZoneUpdate {
         zone: id(&GOAL.zone_name(zone)),
         speaker: id("entry-001"),
         age: Millis(700),
@@ -76,7 +76,7 @@
 fn heartbeats_of_a_zone_take_a_quarter_of_the_budget() {
     let status = Status { load: 300, revision: Revision(100_000), leaving: false, settling: false };
     let incarnation = Incarnation(1_764_720_000_000);
-    let beat = Heartbeat { incarnation, status, digest: u32::MAX, news: Vec::new() };
+    let beat = Heartbeat { incarnation, status, digest: u32::MAX, updates: Vec::new() };
 
     let bytes = frame_bytes(Message::Membership(Membership::Heartbeat(beat)));
 
@@ -86,11 +86,11 @@
 
 #[test]
 fn renewals_of_a_zone_take_two_fifths_of_the_budget() {
-    let renewal = |number: u64| UpstreamNews::Renewal {
+    let renewal = |number: u64| UpstreamUpdate::Renewal {
         key: UpstreamKey([255; 4]),
         sequence: 100_000,
         age: Millis(400),
-        load: LoadNews::from(&scale::load(number)),
+        load: LoadUpdate::from(&scale::load(number)),
     };
     let news = (0..ZONE_ENGINES as u64).map(renewal).collect();
 
@@ -103,7 +103,7 @@
 
 #[test]
 fn summaries_of_all_zones_fit_their_refresh() {
-    let refresh = medlarlug_core::membership::timing::FAR_LIFETIME.as_secs() as usize;
+    let refresh = medlarlug_core::membership::timing::CROSS_REGION_LIFETIME.as_secs() as usize;
 
     let bytes = frame_bytes(summaries(GOAL.zones));
 
@@ -116,7 +116,7 @@
 fn a_changed_row_takes_a_hundredth_of_the_budget() {
     let whole = zone_news(3);
     let rows = whole.rows[..1].to_vec();
-    let news = ZoneNews { rows, ..whole };
+    let news = ZoneUpdate { rows, ..whole };
     let summaries = Summaries { scope: Scope::Zone, zones: vec![news] };
 
     let one = frame_bytes(Message::Membership(Membership::Summaries(summaries)));
--- a/tests/testsuite/processes/orders.rs
+++ b/tests/testsuite/processes/orders.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use medlarlug_core::{
-    orders::{Fence, Order, OrderKind},
+    orders::{FencingToken, Order, OrderKind},
     release::{
         Item, RawNote,
         item::{Model, Residency},
@@ -62,8 +62,8 @@
     matches!(&order.task.kind, OrderKind::Load { version, .. } if version.as_str() == name)
 }
 
-fn wait_load(deployment: &Deployment, name: &str) -> Fence {
-    let mut fence = Fence::default();
+fn wait_load(deployment: &Deployment, name: &str) -> FencingToken {
+    let mut fence = FencingToken::default();
     wait_for("the order to load", || {
         let taken = taken(deployment);
         let found = taken.iter().find(|it| is_load(it, name));
--- a/tests/testsuite/standin.rs
+++ b/tests/testsuite/standin.rs
@@ -16,7 +16,7 @@
 };
 use medlarlug_core::{
     ids::{Incarnation, Term},
-    orders::{Fence, Order, OrderKind, Role, Task},
+    orders::{FencingToken, Order, OrderKind, Role, Task},
 };
 use serde_json::{Value, json};
 use tempfile::TempDir;
@@ -105,7 +105,7 @@
         let incarnation = Incarnation(state["incarnation"].as_u64().unwrap());
         let kind = OrderKind::ChangeRole(role);
         let task = Task { upstream: id("engine"), incarnation, kind };
-        let order = Order { fence: Fence { term: Term(term), sequence: 1 }, task };
+        let order = Order { fence: FencingToken { term: Term(term), sequence: 1 }, task };
         let body = serde_json::to_value(order).unwrap();
         self.call(self.engine, request(Method::POST, "/v1/orders", &body)).await.unwrap().status
     }
