--- a/crates/medlarlug-gateway/src/entry/answers.rs
+++ b/crates/medlarlug-gateway/src/entry/answers.rs
@@ -14,19 +14,19 @@
 use tokio::{sync::Semaphore, time::timeout};
 
 /// Longest whole answer, in bytes; twice the longest request body that the first deployments allow.
-const LONGEST: usize = 8 << 20;
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 /// Size above which an answer is long, in bytes; the answers of the first deployments are below 10 KB.
-const SHORT: usize = 128 << 10;
+const SHORT_ANSWER_BYTES: usize = 128 << 10;
 /// Long answers of each kind that are read at a time: with their buffers a fifth of the memory of the smallest machine
 /// of an entry instance, 160 MB.
-const LONG_ANSWERS: usize = 2;
+const MAX_LONG_ANSWERS: usize = 2;
 
 /// Why an answer was not read to its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Unread {
+pub(super) enum ReadError {
     /// The connection ended before it was whole.
     Cut,
-    /// It is longer than [`LONGEST`].
+    /// It is longer than [`MAX_ANSWER_BYTES`].
     TooLong,
     /// It was not whole in time.
     Late,
@@ -34,41 +34,45 @@
 
 /// Turns for reading long answers.
 #[derive(Debug)]
-pub(super) struct Answers {
+pub(super) struct AnswerReader {
     /// Those that tell their length.
-    measured: Semaphore,
+    with_length: Semaphore,
     /// Those that don't.
-    open: Semaphore,
+    without_length: Semaphore,
 }
 
-impl Default for Answers {
-    fn default() -> Answers {
-        Answers { measured: Semaphore::new(LONG_ANSWERS), open: Semaphore::new(LONG_ANSWERS) }
+impl Default for AnswerReader {
+    fn default() -> AnswerReader {
+        AnswerReader {
+            with_length: Semaphore::new(MAX_LONG_ANSWERS),
+            without_length: Semaphore::new(MAX_LONG_ANSWERS),
+        }
     }
 }
 
-impl Answers {
+impl AnswerReader {
     /// Reads an answer to its end within `limit`.
-    pub(super) async fn read(&self, body: Incoming, limit: Duration) -> Result<Bytes, Unread> {
-        timeout(limit, self.read_on(body)).await.unwrap_or(Err(Unread::Late))
+    pub(super) async fn read(&self, body: Incoming, limit: Duration) -> Result<Bytes, ReadError> {
+        timeout(limit, self.read_unbounded(body)).await.unwrap_or(Err(ReadError::Late))
     }
 
-    async fn read_on(&self, mut body: Incoming) -> Result<Bytes, Unread> {
+    async fn read_unbounded(&self, mut body: Incoming) -> Result<Bytes, ReadError> {
         let length = body.size_hint().exact().map(|it| usize::try_from(it).unwrap_or(usize::MAX));
-        if length.is_some_and(|length| length > LONGEST) {
-            return Err(Unread::TooLong);
+        if length.is_some_and(|length| length > MAX_ANSWER_BYTES) {
+            return Err(ReadError::TooLong);
         }
-        let turns = if length.is_some() { &self.measured } else { &self.open };
-        let mut content = BytesMut::with_capacity(length.unwrap_or_default().min(SHORT));
-        let mut turn = None;
+        let permits = if length.is_some() { &self.with_length } else { &self.without_length };
+        let mut content =
+            BytesMut::with_capacity(length.unwrap_or_default().min(SHORT_ANSWER_BYTES));
+        let mut permit = None;
         while let Some(frame) = body.frame().await {
-            let Ok(data) = frame.map_err(|_| Unread::Cut)?.into_data() else { continue };
+            let Ok(data) = frame.map_err(|_| ReadError::Cut)?.into_data() else { continue };
             let size = content.len() + data.len();
-            if size > LONGEST {
-                return Err(Unread::TooLong);
+            if size > MAX_ANSWER_BYTES {
+                return Err(ReadError::TooLong);
             }
-            if size > SHORT && turn.is_none() {
-                turn = Some(turns.acquire().await.expect("it is never closed"));
+            if size > SHORT_ANSWER_BYTES && permit.is_none() {
+                permit = Some(permits.acquire().await.expect("it is never closed"));
                 content.reserve(length.map_or(0, |length| length - content.len()));
             }
             content.extend_from_slice(&data);
--- a/crates/medlarlug-gateway/src/entry/attempt.rs
+++ b/crates/medlarlug-gateway/src/entry/attempt.rs
@@ -26,40 +26,40 @@
 
 use super::{
     Entry,
-    answers::Unread,
+    answers::ReadError,
     call::Call,
     choice::Hop,
-    crashes::{Flight, RequestEnd},
+    crashes::{InFlight, RequestEnd},
     forwarded,
 };
 use crate::{link::Message, metrics as names};
 
 /// Time for a connection to an upstream to open: a lost packet is repeated on a new one sooner
 /// than by the system.
-const UPSTREAM_CONNECT: Duration = Duration::from_millis(300);
+const UPSTREAM_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for a connection to another region to open.
-const PEER_CONNECT: Duration = Duration::from_millis(700);
+const REGION_CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Longest stream, in bytes: ten times the longest answer of the first deployments, with 200 events of
 /// 4 KB.
-const LONGEST_STREAM: usize = 8 << 20;
+const MAX_STREAM_BYTES: usize = 8 << 20;
 /// Rank of calls at engines when the table's ranks are exhausted; engines know 0 to 9.
 const LOWEST_RANK: u8 = 9;
 
 /// What the attempts of a call have in common.
-pub(super) struct Attempted<'a> {
+pub(super) struct AttemptContext<'a> {
     pub(super) call: &'a Call,
     pub(super) kind: RouteKind,
     pub(super) priority: u8,
     /// Tells the next instance about the route, if the call may be handed over.
     pub(super) forwarded: Option<header::HeaderValue>,
     /// When the call has to be answered.
-    pub(super) end: Time,
+    pub(super) answer_by: Time,
     /// When the caller stops waiting.
     pub(super) deadline: Time,
     /// Last event that the caller has.
     pub(super) last_event: Option<u64>,
     /// Longest time until the head of the answer or the first event.
-    pub(super) patience: Duration,
+    pub(super) answer_timeout: Duration,
 }
 
 /// What came of an attempt.
@@ -85,9 +85,9 @@
             Outcome::NotRun(NotRun::Misdirected) => "misdirected",
             Outcome::NotRun(NotRun::Unreachable) => "unreachable",
             Outcome::NotRun(NotRun::Withdrawn) => "withdrawn",
-            Outcome::Unknown(Unknown::Lost) => "lost",
-            Outcome::Unknown(Unknown::Silent) => "silent",
-            Outcome::Unknown(Unknown::Foreign) => "foreign",
+            Outcome::Unknown(Unknown::ConnectionLost) => "lost",
+            Outcome::Unknown(Unknown::TimedOut) => "silent",
+            Outcome::Unknown(Unknown::ForeignAnswer) => "foreign",
         }
     }
 }
@@ -112,67 +112,68 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Unknown {
     /// The connection ended before the answer was whole.
-    Lost,
+    ConnectionLost,
     /// Nothing came in time.
-    Silent,
+    TimedOut,
     /// What came belongs to another call, or is no answer of an upstream.
-    Foreign,
+    ForeignAnswer,
 }
 
 /// Counts a call at its upstream, or as handed over, for as long as it lives.
-pub(super) struct Slot {
+pub(super) struct LoadSlot {
     entry: Rc<Entry>,
-    place: Place,
+    counted_at: CountedAt,
     began: Time,
-    is_read: bool,
+    has_first_token: bool,
     /// The request to the upstream, and how it has ended if nothing else happens.
-    flight: Option<Flight>,
+    in_flight: Option<InFlight>,
     request_end: RequestEnd,
 }
 
 /// Where a call is counted.
-enum Place {
+enum CountedAt {
     Upstream(Choice),
     /// Handed over to a region, with the tokens of its prompt.
-    Away(RegionId, u64),
+    Region(RegionId, u64),
 }
 
-impl Slot {
+impl LoadSlot {
     /// The first token or the answer has come.
     fn answered(&mut self) {
-        if !self.is_read {
-            self.is_read = true;
+        if !self.has_first_token {
+            self.has_first_token = true;
             let now = self.entry.now();
-            match &self.place {
-                Place::Upstream(choice) => {
+            match &self.counted_at {
+                CountedAt::Upstream(choice) => {
                     self.entry.loads.borrow_mut().answered(now, choice, now - self.began);
-                    tell_at_once(&self.entry, choice);
+                    report_at_once(&self.entry, choice);
                 }
-                Place::Away(region, tokens) => {
-                    self.entry.change_away(region, |unread| unread.saturating_sub(*tokens));
+                CountedAt::Region(region, tokens) => {
+                    self.entry
+                        .update_forwarded_tokens(region, |unread| unread.saturating_sub(*tokens));
                 }
             }
         }
     }
 }
 
-impl Drop for Slot {
+impl Drop for LoadSlot {
     fn drop(&mut self) {
         let now = self.entry.now();
-        if let Some(flight) = self.flight.take() {
-            self.entry.request_ended(flight, self.request_end);
+        if let Some(in_flight) = self.in_flight.take() {
+            self.entry.request_ended(in_flight, self.request_end);
         }
-        match &self.place {
-            Place::Upstream(choice) => {
-                self.entry.loads.borrow_mut().ended(now, choice, self.is_read);
-                if !self.is_read {
-                    tell_at_once(&self.entry, choice);
+        match &self.counted_at {
+            CountedAt::Upstream(choice) => {
+                self.entry.loads.borrow_mut().ended(now, choice, self.has_first_token);
+                if !self.has_first_token {
+                    report_at_once(&self.entry, choice);
                 }
             }
-            Place::Away(region, tokens) if !self.is_read => {
-                self.entry.change_away(region, |unread| unread.saturating_sub(*tokens));
+            CountedAt::Region(region, tokens) if !self.has_first_token => {
+                self.entry.update_forwarded_tokens(region, |unread| unread.saturating_sub(*tokens));
             }
-            Place::Away(..) => {}
+            CountedAt::Region(..) => {}
         }
     }
 }
@@ -186,7 +187,7 @@
     /// Bytes that have come so far.
     received: usize,
     connection: Option<Connection>,
-    slot: Slot,
+    slot: LoadSlot,
     hop: Hop,
     /// Whole events that have arrived and were not taken yet.
     ready: Option<Bytes>,
@@ -214,7 +215,7 @@
                     let Ok(data) = frame.into_data() else { continue };
                     self.splitter.push(&data);
                     self.received += data.len();
-                    if self.splitter.is_overfull() || self.received > LONGEST_STREAM {
+                    if self.splitter.is_overfull() || self.received > MAX_STREAM_BYTES {
                         tracing::warn!(
                             received = self.received,
                             "stream cut, it or an event is too long"
@@ -248,7 +249,7 @@
     }
 
     /// The stream fell silent, and another hop goes on with it.
-    pub(super) fn give_up(&mut self) {
+    pub(super) fn abandon(&mut self) {
         self.slot.request_end = RequestEnd::Unanswered;
     }
 
@@ -264,12 +265,12 @@
 /// in `attempts` what that may have run.
 pub(super) async fn send(
     entry: &Rc<Entry>,
-    attempted: &Attempted<'_>,
+    context: &AttemptContext<'_>,
     hop: &Hop,
     attempts: &mut Attempts,
 ) -> Outcome {
     let mut report = None;
-    let outcome = exchange(entry, attempted, hop, &mut report).await;
+    let outcome = attempt(entry, context, hop, &mut report).await;
     match (&outcome, hop) {
         (Outcome::NotRun(NotRun::Unreachable | NotRun::Withdrawn), _) => {}
         (_, Hop::Peer { .. }) => match report {
@@ -283,66 +284,66 @@
 }
 
 /// Sends a call to a hop. What another instance reports of it goes to `report`.
-async fn exchange(
+async fn attempt(
     entry: &Rc<Entry>,
-    attempted: &Attempted<'_>,
+    context: &AttemptContext<'_>,
     hop: &Hop,
     report: &mut Option<Report>,
 ) -> Outcome {
     let now = entry.now();
-    let left = attempted.end - now;
-    let patience = attempted.patience.min(left);
+    let left = context.answer_by - now;
+    let answer_timeout = context.answer_timeout.min(left);
     // An upstream may leave a late answer on a connection, or close it as a call goes out, so a call
     // that runs at most once takes a new one. Instances don't, and a new connection to another
     // region takes as long as the call.
-    let reuse = match (hop, attempted.kind.is_repeatable()) {
+    let reuse = match (hop, context.kind.is_repeatable()) {
         (Hop::Upstream { .. }, false) => Reuse::Never,
         _ => Reuse::Allowed,
     };
     let (address, connect) = match hop {
-        Hop::Upstream { address, .. } => (*address, UPSTREAM_CONNECT),
-        Hop::Peer { address, .. } => (*address, PEER_CONNECT),
+        Hop::Upstream { address, .. } => (*address, UPSTREAM_CONNECT_TIMEOUT),
+        Hop::Peer { address, .. } => (*address, REGION_CONNECT_TIMEOUT),
     };
-    let Some(request) = build(entry, attempted, hop, now) else {
-        return Outcome::Unknown(Unknown::Foreign);
+    let Some(request) = build_request(entry, context, hop, now) else {
+        return Outcome::Unknown(Unknown::ForeignAnswer);
     };
-    let mut slot = begin(entry, attempted, hop, now);
-    let limits = CallLimits { connect: connect.min(patience), head: patience };
+    let mut slot = open_slot(entry, context, hop, now);
+    let limits = CallLimits { connect: connect.min(answer_timeout), head: answer_timeout };
     let is_wanted = || match hop {
-        Hop::Upstream { choice, birth, .. } => entry.still_takes(&choice.id, *birth),
+        Hop::Upstream { choice, birth, .. } => entry.still_accepts(&choice.id, *birth),
         Hop::Peer { .. } => true,
     };
     let called = entry.client.call_while(address, request, reuse, limits, is_wanted).await;
     let (answer, connection) = match called {
         Ok(answered) => answered,
         Err(error) => {
-            tracing::debug!(request = %attempted.call.id, %error, "attempt failed");
+            tracing::debug!(request = %context.call.id, %error, "attempt failed");
             if !error.is_unsent() {
                 slot.request_end = RequestEnd::Unanswered;
             }
-            return failed(entry, hop, &error);
+            return judge_failure(entry, hop, &error);
         }
     };
     match hop {
         Hop::Peer { .. } => *report = forwarded::report(answer.headers()),
         Hop::Upstream { choice, birth, address, .. } => {
-            entry.hear_availability(attempted.call, &choice.id, *birth, *address, &answer);
+            entry.record_availability(context.call, &choice.id, *birth, *address, &answer);
             if answer.status() != StatusCode::MISDIRECTED_REQUEST {
-                entry.hear_limit(attempted.call, now, &choice.id, *birth, answer.headers());
+                entry.record_limit(context.call, now, &choice.id, *birth, answer.headers());
             }
         }
     }
-    if let Some(outcome) = judge_head(entry, attempted, hop, &answer, *report) {
+    if let Some(outcome) = judge_head(entry, context, hop, &answer, *report) {
         return outcome;
     }
-    let is_stream = attempted.kind.is_stream() && answer.status().is_success();
+    let is_stream = context.kind.is_stream() && answer.status().is_success();
     let (parts, body) = answer.into_parts();
     if !is_stream {
-        let left = attempted.end - entry.now();
+        let left = context.answer_by - entry.now();
         let read = entry.answers.read(body, left).await;
-        if let Err(unread) = read {
+        if let Err(error) = read {
             slot.request_end = RequestEnd::Unanswered;
-            tracing::info!(request = %attempted.call.id, ?unread, "answer not read to its end");
+            tracing::info!(request = %context.call.id, unread = ?error, "answer not read to its end");
         }
         return match read {
             Ok(bytes) => {
@@ -352,21 +353,21 @@
                     true => CallEnd::Failed,
                     false => CallEnd::Answered,
                 };
-                ended(entry, hop, end);
+                record_health(entry, hop, end);
                 entry.client.give_back_among(connection, hop.idle());
                 Outcome::Answer(Response::from_parts(parts, bytes))
             }
-            Err(Unread::Cut) => {
-                ended(entry, hop, CallEnd::Broken);
-                Outcome::Unknown(Unknown::Lost)
+            Err(ReadError::Cut) => {
+                record_health(entry, hop, CallEnd::Broken);
+                Outcome::Unknown(Unknown::ConnectionLost)
             }
-            Err(Unread::TooLong) => {
-                ended(entry, hop, CallEnd::Failed);
-                Outcome::Unknown(Unknown::Foreign)
+            Err(ReadError::TooLong) => {
+                record_health(entry, hop, CallEnd::Failed);
+                Outcome::Unknown(Unknown::ForeignAnswer)
             }
-            Err(Unread::Late) => {
-                ended(entry, hop, CallEnd::Failed);
-                Outcome::Unknown(Unknown::Silent)
+            Err(ReadError::Late) => {
+                record_health(entry, hop, CallEnd::Failed);
+                Outcome::Unknown(Unknown::TimedOut)
             }
         };
     }
@@ -381,95 +382,102 @@
         hop: hop.clone(),
         ready: None,
     };
-    let left = (now + patience) - entry.now();
+    let left = (now + answer_timeout) - entry.now();
     match timeout(left, stream.next()).await {
         Ok(Piece::Events(events)) => {
             stream.ready = Some(events);
-            ended(entry, hop, CallEnd::Answered);
+            record_health(entry, hop, CallEnd::Answered);
             Outcome::Stream(Box::new(stream))
         }
         // An empty stream is whole.
         Ok(Piece::End) => Outcome::Stream(Box::new(stream)),
         Ok(Piece::Broken) => {
-            ended(entry, hop, CallEnd::Broken);
-            Outcome::Unknown(Unknown::Lost)
+            record_health(entry, hop, CallEnd::Broken);
+            Outcome::Unknown(Unknown::ConnectionLost)
         }
         Err(_) => {
-            stream.give_up();
-            Outcome::Unknown(Unknown::Silent)
+            stream.abandon();
+            Outcome::Unknown(Unknown::TimedOut)
         }
     }
 }
 
-fn tell_at_once(entry: &Entry, choice: &Choice) {
+fn report_at_once(entry: &Entry, choice: &Choice) {
     if choice.is_told() {
-        entry.exchange().note(&choice.id);
+        entry.exchange().report_at_once(&choice.id);
     }
 }
 
 /// Counts the call where it goes.
-fn begin(entry: &Rc<Entry>, attempted: &Attempted, hop: &Hop, now: Time) -> Slot {
-    let demand = &attempted.call.demand;
-    let place = match hop {
+fn open_slot(entry: &Rc<Entry>, context: &AttemptContext, hop: &Hop, now: Time) -> LoadSlot {
+    let demand = &context.call.demand;
+    let counted_at = match hop {
         Hop::Upstream { choice, birth, memory, cold_rate, .. } => {
             entry.loads.borrow_mut().sent(now, choice, demand, *memory);
-            tell_at_once(entry, choice);
+            report_at_once(entry, choice);
             if let Some(rate) = cold_rate {
                 entry.cold.borrow_mut().sent(now, &choice.id, *rate);
                 let instances = entry.region_entries().len();
                 let up_ms = entry.uptime().as_millis() as u64;
-                metrics::counter!(names::COLD_SENDS).increment(1);
-                tracing::info!(request = %attempted.call.id, upstream = %choice.id, rate, instances, up_ms, "sending to a cold upstream");
+                metrics::counter!(names::COLD_REQUESTS).increment(1);
+                tracing::info!(request = %context.call.id, upstream = %choice.id, rate, instances, up_ms, "sending to a cold upstream");
             }
             if let Some(limit) = entry.use_permit(&choice.id, *birth) {
-                metrics::counter!(names::LIMITED_SENDS).increment(1);
-                tracing::info!(request = %attempted.call.id, upstream = %choice.id, %limit, "sending to an upstream with a limit");
+                metrics::counter!(names::LIMITED_REQUESTS).increment(1);
+                tracing::info!(request = %context.call.id, upstream = %choice.id, %limit, "sending to an upstream with a limit");
             }
-            Place::Upstream(choice.clone())
+            CountedAt::Upstream(choice.clone())
         }
         Hop::Peer { region, .. } => {
             let tokens = u64::from(demand.prompt);
-            entry.change_away(region, |unread| unread + tokens);
-            Place::Away(region.clone(), tokens)
+            entry.update_forwarded_tokens(region, |unread| unread + tokens);
+            CountedAt::Region(region.clone(), tokens)
         }
     };
-    let flight = match hop {
+    let in_flight = match hop {
         Hop::Upstream { choice, birth, .. } => {
-            Some(entry.request_sent(attempted.call.content, &choice.id, *birth))
+            Some(entry.request_sent(context.call.content, &choice.id, *birth))
         }
         Hop::Peer { .. } => None,
     };
     let request_end = RequestEnd::Other;
-    Slot { entry: entry.clone(), place, began: now, is_read: false, flight, request_end }
+    LoadSlot {
+        entry: entry.clone(),
+        counted_at,
+        began: now,
+        has_first_token: false,
+        in_flight,
+        request_end,
+    }
 }
 
 /// The request as it goes to the hop.
-fn build(
+fn build_request(
     entry: &Entry,
-    attempted: &Attempted,
+    context: &AttemptContext,
     hop: &Hop,
     now: Time,
 ) -> Option<Request<Full<Bytes>>> {
-    let call = attempted.call;
+    let call = context.call;
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.target.parse::<Uri>().ok()?;
     let mut headers = call.headers.clone();
     let names = &entry.names;
-    let left = u64::try_from((attempted.deadline - now).as_millis()).unwrap_or(u64::MAX);
+    let left = u64::try_from((context.deadline - now).as_millis()).unwrap_or(u64::MAX);
     headers.insert(names.deadline.clone(), left.into());
-    if let Some(last) = attempted.last_event {
+    if let Some(last) = context.last_event {
         headers.insert(names.last_event.clone(), last.into());
     }
     match hop {
         Hop::Upstream { choice, .. } => {
             let id = header::HeaderValue::from_str(choice.id.as_str()).ok()?;
             headers.insert(names.expected_upstream.clone(), id);
-            let rank = attempted.priority.min(LOWEST_RANK);
+            let rank = context.priority.min(LOWEST_RANK);
             headers.insert(names.rank.clone(), u64::from(rank).into());
         }
         Hop::Peer { .. } => {
-            headers.insert(forwarded::HEADER, attempted.forwarded.clone()?);
+            headers.insert(forwarded::HANDOVER_HEADER, context.forwarded.clone()?);
         }
     }
     *request.headers_mut() = headers;
@@ -478,7 +486,7 @@
 
 impl Entry {
     /// Takes in what the head of an answer says about whether its upstream wants requests.
-    fn hear_availability(
+    fn record_availability(
         &self,
         call: &Call,
         id: &UpstreamId,
@@ -490,7 +498,7 @@
         let headers = answer.headers();
         let is_leaving = headers.get(&self.names.leaving).is_some_and(|value| value == "1");
         if is_leaving && self.availabilities.borrow_mut().leaves(now, id, birth) {
-            metrics::counter!(names::LEAVING).increment(1);
+            metrics::counter!(names::LEAVING_UPSTREAMS).increment(1);
             tracing::info!(request = %call.id, upstream = %id, birth = birth.0, "upstream leaves, by its answer");
             self.client.forget(address);
             self.links.send_all(&Message::Leaving { upstream: id.clone(), birth });
@@ -502,10 +510,11 @@
         match value.to_str().unwrap_or_default().parse::<Rest>() {
             Ok(rest) => {
                 let spread = rand::rng().random();
-                let news = self.availabilities.borrow_mut().rests(now, id, birth, rest, spread);
-                if let Some(left) = news {
-                    let for_ms = left.as_millis() as u64;
-                    metrics::counter!(names::RESTS).increment(1);
+                let remaining =
+                    self.availabilities.borrow_mut().rests(now, id, birth, rest, spread);
+                if let Some(remaining) = remaining {
+                    let for_ms = remaining.as_millis() as u64;
+                    metrics::counter!(names::BACKOFFS).increment(1);
                     tracing::info!(request = %call.id, upstream = %id, birth = birth.0, %rest, for_ms, "upstream rests");
                 }
             }
@@ -519,7 +528,7 @@
 /// Judges an answer by its head; `None` if the body counts as well.
 fn judge_head(
     entry: &Rc<Entry>,
-    attempted: &Attempted,
+    context: &AttemptContext,
     hop: &Hop,
     answer: &Response<Incoming>,
     report: Option<Report>,
@@ -527,25 +536,25 @@
     let names = &entry.names;
     let headers = answer.headers();
     let id = headers.get(&names.call_id).and_then(|id| id.to_str().ok());
-    if id.is_some_and(|id| id != attempted.call.id) {
-        return Some(Outcome::Unknown(Unknown::Foreign));
+    if id.is_some_and(|id| id != context.call.id) {
+        return Some(Outcome::Unknown(Unknown::ForeignAnswer));
     }
     if report.is_some_and(|report| report.is_refused) {
         return Some(Outcome::NotRun(NotRun::Refused { after: retry_after(headers) }));
     }
     if headers.contains_key(&names.not_run) {
-        ended(entry, hop, CallEnd::Refused);
+        record_health(entry, hop, CallEnd::Refused);
         return Some(Outcome::NotRun(NotRun::Refused { after: retry_after(headers) }));
     }
     if answer.status() == StatusCode::MISDIRECTED_REQUEST {
-        ended(entry, hop, CallEnd::Unreachable);
+        record_health(entry, hop, CallEnd::Unreachable);
         return Some(Outcome::NotRun(NotRun::Misdirected));
     }
     let is_signed = headers.contains_key(&names.signature);
     let is_encoded = headers.contains_key(header::CONTENT_ENCODING);
     if answer.status().is_success() && (!is_signed || is_encoded) {
-        ended(entry, hop, CallEnd::Failed);
-        return Some(Outcome::Unknown(Unknown::Foreign));
+        record_health(entry, hop, CallEnd::Failed);
+        return Some(Outcome::Unknown(Unknown::ForeignAnswer));
     }
     None
 }
@@ -557,7 +566,7 @@
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-fn failed(entry: &Rc<Entry>, hop: &Hop, error: &CallError) -> Outcome {
+fn judge_failure(entry: &Rc<Entry>, hop: &Hop, error: &CallError) -> Outcome {
     match error {
         CallError::Connect { source, .. } => {
             let is_refused = |error: &std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
@@ -566,31 +575,31 @@
             {
                 entry.refused_connection(&choice.id);
             }
-            ended(entry, hop, CallEnd::Unreachable);
+            record_health(entry, hop, CallEnd::Unreachable);
             Outcome::NotRun(NotRun::Unreachable)
         }
         CallError::Withdrawn { .. } => Outcome::NotRun(NotRun::Withdrawn),
         CallError::Lost { .. } => {
-            ended(entry, hop, CallEnd::Broken);
-            Outcome::Unknown(Unknown::Lost)
+            record_health(entry, hop, CallEnd::Broken);
+            Outcome::Unknown(Unknown::ConnectionLost)
         }
         CallError::Silent { address, .. } => {
-            ended(entry, hop, CallEnd::Failed);
+            record_health(entry, hop, CallEnd::Failed);
             entry.client.forget(*address);
-            Outcome::Unknown(Unknown::Silent)
+            Outcome::Unknown(Unknown::TimedOut)
         }
     }
 }
 
 /// Takes in what a call shows of the health of its upstream.
-pub(super) fn ended(entry: &Rc<Entry>, hop: &Hop, end: CallEnd) {
+pub(super) fn record_health(entry: &Rc<Entry>, hop: &Hop, end: CallEnd) {
     let Hop::Upstream { choice, address, cold_rate, .. } = hop else { return };
     let end = match end {
         CallEnd::Answered if cold_rate.is_some() => CallEnd::AnsweredCold,
         end => end,
     };
     if end == CallEnd::Broken {
-        entry.examine(&choice.id, *address);
+        entry.start_crash_check(&choice.id, *address);
     }
     let avoided = entry.healths.borrow_mut().ended(entry.now(), &choice.id, end);
     if let Some(pause) = avoided {
--- a/crates/medlarlug-gateway/src/entry/call.rs
+++ b/crates/medlarlug-gateway/src/entry/call.rs
@@ -43,7 +43,7 @@
         let host = host.to_ascii_lowercase().into();
         let id = text(&names.call_id).into();
         let deadline = text(&names.deadline).trim().parse().ok().map(Duration::from_millis);
-        let demand = read_demand(text(&names.prompt_parts), text(&names.token_counts));
+        let demand = parse_demand(text(&names.prompt_parts), text(&names.token_counts));
         let target = uri.path_and_query().map_or("/", |target| target.as_str()).into();
         strip(&mut headers, names);
         Call {
@@ -60,7 +60,7 @@
     }
 
     /// Takes in the body, which comes after the head.
-    pub(super) fn take_body(&mut self, body: Bytes) {
+    pub(super) fn set_body(&mut self, body: Bytes) {
         let key = self.headers.get(header::AUTHORIZATION);
         let fields = [
             self.method.as_str().as_bytes(),
@@ -92,7 +92,7 @@
     headers.remove(&names.deadline);
     headers.remove(&names.expected_upstream);
     headers.remove(&names.rank);
-    headers.remove(super::forwarded::HEADER);
+    headers.remove(super::forwarded::HANDOVER_HEADER);
     for name in &names.reserved {
         headers.remove(name);
     }
@@ -127,7 +127,7 @@
 }
 
 /// What a call asks of an engine; parts that can't be read count as unknown.
-fn read_demand(parts: &str, counts: &str) -> Demand {
+fn parse_demand(parts: &str, counts: &str) -> Demand {
     let parts = parts.split(',').filter_map(|part| {
         let (id, tokens) = part.trim().split_once(':')?;
         let id = u64::from_str_radix(id, 16).ok()?;
--- a/crates/medlarlug-gateway/src/entry/choice.rs
+++ b/crates/medlarlug-gateway/src/entry/choice.rs
@@ -21,17 +21,17 @@
 use super::{Entry, plan::Plan};
 
 /// Time from one region to another and back, and the work of the instance there.
-const REGION_TRIP: Duration = Duration::from_millis(130);
+const REGION_ROUND_TRIP: Duration = Duration::from_millis(130);
 /// Time that an upstream in another availability zone of the region costs: a new connection and the
 /// request there and back, with about 4 ms one way.
-const ZONE_TRIP: Duration = Duration::from_millis(16);
+const ZONE_CROSSING_COST: Duration = Duration::from_millis(16);
 /// Part of the local cost that the cost elsewhere has to stay below: news from there is old, and
 /// every call that crosses is paid for.
-const AWAY_SHARE: f64 = 0.8;
+const FORWARD_COST_RATIO: f64 = 0.8;
 /// Part of the latency objective below which a local cost is good enough.
-const NEAR_SHARE: f64 = 0.2;
+const LOCAL_WAIT_SHARE: f64 = 0.2;
 /// Idle connections that are kept to an instance of another region.
-const PEER_IDLE: usize = 32;
+const MAX_IDLE_PEER_CONNECTIONS: usize = 32;
 
 /// Where to send a call.
 #[derive(Debug, Clone)]
@@ -58,7 +58,7 @@
     pub(super) fn idle(&self) -> usize {
         match self {
             Hop::Upstream { idle, .. } => *idle,
-            Hop::Peer { .. } => PEER_IDLE,
+            Hop::Peer { .. } => MAX_IDLE_PEER_CONNECTIONS,
         }
     }
 
@@ -96,13 +96,15 @@
             false => None,
         };
         let cost = local.as_ref().map(|local| self.cost(local));
-        let is_near = cost.is_some_and(|cost| cost <= route.objective.mul_f64(NEAR_SHARE));
-        let away = match plan.may_leave && !is_near {
+        let is_near = cost.is_some_and(|cost| cost <= route.objective.mul_f64(LOCAL_WAIT_SHARE));
+        let away = match plan.may_forward && !is_near {
             true => self.choose_peer(route, service, demand, &tried.peers),
             false => None,
         };
         match (local, away) {
-            (Some(local), Some(away)) if away.wait() < self.cost(&local).mul_f64(AWAY_SHARE) => {
+            (Some(local), Some(away))
+                if away.wait() < self.cost(&local).mul_f64(FORWARD_COST_RATIO) =>
+            {
                 Some(away)
             }
             (Some(local), _) => self.local_hop(table, service, local),
@@ -167,7 +169,7 @@
                 failures: healths.failures(&known.upstream.id),
                 distance: match known.upstream.zone == own_zone {
                     true => Duration::ZERO,
-                    false => ZONE_TRIP,
+                    false => ZONE_CROSSING_COST,
                 },
             })
             .collect();
@@ -189,7 +191,7 @@
 
     /// Time until the first of the region's upstreams of a service has rested; `None` if none that could
     /// serve rests.
-    pub(super) fn rest_left(&self, service: &ServiceName) -> Option<Duration> {
+    pub(super) fn backoff_remaining(&self, service: &ServiceName) -> Option<Duration> {
         let now = self.now();
         let settings = self.settings.borrow();
         let own = Some(&settings.card.region);
@@ -214,11 +216,11 @@
         cold_rate: f64,
         entries: &OnceCell<Vec<InstanceId>>,
     ) -> bool {
-        self.is_permitted(now, known) && self.is_open(now, known, cold_rate, entries)
+        self.is_permitted(now, known) && self.is_usable_with_permit(now, known, cold_rate, entries)
     }
 
     /// The same but for the limit that the upstream may have named.
-    pub(super) fn is_open(
+    pub(super) fn is_usable_with_permit(
         &self,
         now: Time,
         known: &Known,
@@ -226,7 +228,8 @@
         entries: &OnceCell<Vec<InstanceId>>,
     ) -> bool {
         let upstream = &known.upstream;
-        if !self.takes(now, known) || self.healths.borrow().is_avoided(now, &upstream.id) {
+        if !self.accepts_requests(now, known) || self.healths.borrow().is_avoided(now, &upstream.id)
+        {
             return false;
         }
         if cold_rate <= 0.0 || !self.is_cold(now, known) {
@@ -241,7 +244,7 @@
 
     /// Whether an upstream of the region takes new requests, by its announcements, its answers and the
     /// evacuated zones.
-    fn takes(&self, now: Time, known: &Known) -> bool {
+    fn accepts_requests(&self, now: Time, known: &Known) -> bool {
         let upstream = &known.upstream;
         let settings = self.settings.borrow();
         upstream.state == UpstreamState::Ready
@@ -251,10 +254,10 @@
     }
 
     /// Whether an incarnation that a request was decided for takes it still.
-    pub(super) fn still_takes(&self, id: &UpstreamId, birth: Birth) -> bool {
+    pub(super) fn still_accepts(&self, id: &UpstreamId, birth: Birth) -> bool {
         let upstreams = self.upstreams.borrow();
         let known = upstreams.get(id).filter(|known| known.upstream.birth == birth);
-        known.is_some_and(|known| self.takes(self.now(), known))
+        known.is_some_and(|known| self.accepts_requests(self.now(), known))
     }
 
     /// The entry instance of another region that can serve the call soonest.
@@ -279,7 +282,7 @@
         let cost = |region: &RegionId| {
             let at = waits.binary_search_by(|it| (&it.region, &it.service).cmp(&(region, service)));
             let told = Duration::from_millis(waits[at.ok()?].wait_ms.into());
-            let unread = self.away_unread(region);
+            let unread = self.forwarded_tokens(region);
             let upstreams = self.upstreams_in(region, service);
             Some(away::cost(away::Region { told, unread, upstreams }, demand))
         };
@@ -297,27 +300,27 @@
             id: card.id.clone(),
             region: card.region.clone(),
             address: card.internal,
-            wait: wait + REGION_TRIP,
+            wait: wait + REGION_ROUND_TRIP,
         })
     }
 
     /// Prompt tokens that were handed over to a region and are not answered yet.
-    fn away_unread(&self, region: &RegionId) -> u64 {
-        let away = self.away.borrow();
-        away.binary_search_by(|it| it.0.cmp(region)).map_or(0, |at| away[at].1)
+    fn forwarded_tokens(&self, region: &RegionId) -> u64 {
+        let by_region = self.forwarded_tokens.borrow();
+        by_region.binary_search_by(|it| it.0.cmp(region)).map_or(0, |at| by_region[at].1)
     }
 
     /// Counts prompt tokens that are handed over to a region, or were answered there.
-    pub(super) fn change_away(&self, region: &RegionId, change: impl Fn(u64) -> u64) {
-        let mut away = self.away.borrow_mut();
-        let at = match away.binary_search_by(|it| it.0.cmp(region)) {
+    pub(super) fn update_forwarded_tokens(&self, region: &RegionId, change: impl Fn(u64) -> u64) {
+        let mut by_region = self.forwarded_tokens.borrow_mut();
+        let at = match by_region.binary_search_by(|it| it.0.cmp(region)) {
             Ok(at) => at,
             Err(at) => {
-                away.insert(at, (region.clone(), 0));
+                by_region.insert(at, (region.clone(), 0));
                 at
             }
         };
-        away[at].1 = change(away[at].1);
+        by_region[at].1 = change(by_region[at].1);
     }
 
     /// Ready upstreams of a service in a region.
--- a/crates/medlarlug-gateway/src/entry/crashes.rs
+++ b/crates/medlarlug-gateway/src/entry/crashes.rs
@@ -28,17 +28,17 @@
 use crate::{link::Message, metrics as names};
 
 /// Time in which the other connections to an upstream end, if it has crashed.
-const CRASH_TIME: Duration = Duration::from_millis(30);
+const CRASH_SETTLE_TIME: Duration = Duration::from_millis(30);
 /// Time for a connection to open to an upstream that may have crashed.
-const PROBE_LIMIT: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for which a call that ended without an answer stays noted: a crashed upstream restarts and
 /// announces itself within a few seconds.
-const LOST_FOR: Duration = Duration::from_secs(15);
+const UNANSWERED_LIFETIME: Duration = Duration::from_secs(15);
 
 /// Time in which a call that has the trial of its content sends it: its turn at an engine, or a permit.
-const RESERVED_FOR: Duration = Duration::from_secs(1);
+const TRIAL_RESERVATION: Duration = Duration::from_secs(1);
 /// Time to come back while a trial is under way or due: until it has ended and all have heard of it.
-const TRIAL_TIME: Duration = Duration::from_secs(1);
+const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What an instance knows of contents that crash upstreams.
 #[derive(Default)]
@@ -47,16 +47,16 @@
     /// Requests to upstreams so far.
     sequence: u64,
     /// Requests that ended without an answer, and when.
-    unanswered: Vec<(Flight, Time)>,
+    unanswered: Vec<(InFlight, Time)>,
     /// Upstreams that are being looked at.
-    examined: Vec<LossKey>,
+    under_check: Vec<LossKey>,
     /// Trials of quarantined contents at this instance.
-    tries: Vec<Tries>,
+    trials: Vec<ContentTrials>,
 }
 
 /// The trials of one content at this instance.
 #[derive(Debug, Clone)]
-struct Tries {
+struct ContentTrials {
     content: Fingerprint,
     /// Requests that went out.
     attempts: u32,
@@ -68,7 +68,7 @@
 
 /// A request to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Flight {
+pub(super) struct InFlight {
     request: RequestId,
     key: LossKey,
 }
@@ -94,16 +94,21 @@
         RequestId { region, instance, incarnation: Incarnation(0), sequence: self.sequence }
     }
 
-    fn tries_of(&mut self, content: Fingerprint) -> &mut Tries {
-        let at = self.tries.iter().position(|it| it.content == content).unwrap_or_else(|| {
-            self.tries.push(Tries { content, attempts: 0, tried: None, reserved: Time::ZERO });
-            self.tries.len() - 1
+    fn trials_of(&mut self, content: Fingerprint) -> &mut ContentTrials {
+        let at = self.trials.iter().position(|it| it.content == content).unwrap_or_else(|| {
+            self.trials.push(ContentTrials {
+                content,
+                attempts: 0,
+                tried: None,
+                reserved: Time::ZERO,
+            });
+            self.trials.len() - 1
         });
-        &mut self.tries[at]
+        &mut self.trials[at]
     }
 
     fn has_unanswered(&self, key: &LossKey) -> bool {
-        self.unanswered.iter().any(|(flight, _)| flight.key == *key)
+        self.unanswered.iter().any(|(in_flight, _)| in_flight.key == *key)
     }
 }
 
@@ -123,23 +128,23 @@
         }
         let now = self.now();
         let mut crashes = self.crashes.borrow_mut();
-        let tries = crashes.tries.iter().find(|it| it.content == content).cloned();
+        let tries = crashes.trials.iter().find(|it| it.content == content).cloned();
         let (attempts, tried) = tries.as_ref().map_or((0, None), |it| (it.attempts, it.tried));
         let next = trials.next(attempts, tried);
         let is_reserved = tries.is_some_and(|it| it.reserved > now);
         let is_free = now >= next && !is_reserved && !crashes.suspects.is_tried(content);
-        if !plan.is_trial && is_free && self.is_tester(content, plan) {
-            crashes.tries_of(content).reserved = now + RESERVED_FOR;
-            (plan.is_trial, plan.may_leave) = (true, false);
+        if !plan.is_trial && is_free && self.runs_trial(content, plan) {
+            crashes.trials_of(content).reserved = now + TRIAL_RESERVATION;
+            (plan.is_trial, plan.may_forward) = (true, false);
             let failed = trials.failed;
             tracing::info!(request = %call.id, %content, failed, attempts, "trying quarantined content");
             return None;
         }
-        Some((next - now).max(TRIAL_TIME))
+        Some((next - now).max(TRIAL_RETRY_AFTER))
     }
 
     /// Whether this instance tries a content, of all that could.
-    fn is_tester(&self, content: Fingerprint, plan: &Plan) -> bool {
+    fn runs_trial(&self, content: Fingerprint, plan: &Plan) -> bool {
         let now = self.now();
         let settings = self.settings.borrow();
         let own = &settings.card;
@@ -162,7 +167,7 @@
         content: Fingerprint,
         upstream: &UpstreamId,
         birth: Birth,
-    ) -> Flight {
+    ) -> InFlight {
         let key = key(upstream, birth);
         let (region, instance) = {
             let settings = self.settings.borrow();
@@ -171,31 +176,33 @@
         let is_trial = self.is_quarantined(content);
         let mut crashes = self.crashes.borrow_mut();
         if is_trial {
-            let tries = crashes.tries_of(content);
+            let tries = crashes.trials_of(content);
             (tries.attempts, tries.tried) = (tries.attempts + 1, Some(self.now()));
         }
         let request = crashes.next_request(region, instance);
         drop(crashes);
-        self.suspect(Event::Sent {
+        self.handle_event(Event::Sent {
             request: request.clone(),
             fingerprint: content,
             upstream: upstream.clone(),
             incarnation: key.incarnation,
         });
-        Flight { request, key }
+        InFlight { request, key }
     }
 
     /// Notes how a request to an upstream ended.
-    pub(super) fn request_ended(&self, flight: Flight, request_end: RequestEnd) {
+    pub(super) fn request_ended(&self, in_flight: InFlight, request_end: RequestEnd) {
         match request_end {
-            RequestEnd::Answered => self.suspect(Event::Answered { request: flight.request }),
-            RequestEnd::Other => self.suspect(Event::Ended { request: flight.request }),
+            RequestEnd::Answered => {
+                self.handle_event(Event::Answered { request: in_flight.request })
+            }
+            RequestEnd::Other => self.handle_event(Event::Ended { request: in_flight.request }),
             RequestEnd::Unanswered => {
                 let now = self.now();
                 let mut crashes = self.crashes.borrow_mut();
                 // The loss of its upstream may have been noted before.
-                if crashes.suspects.incarnation_of(&flight.request).is_some() {
-                    crashes.unanswered.push((flight, now));
+                if crashes.suspects.incarnation_of(&in_flight.request).is_some() {
+                    crashes.unanswered.push((in_flight, now));
                 }
             }
         }
@@ -203,102 +210,105 @@
 
     /// An upstream refuses connections: it has crashed if requests there ended without an answer.
     pub(super) fn refused_connection(&self, upstream: &UpstreamId) {
-        let Some(key) = self.newest(upstream) else { return };
+        let Some(key) = self.newest_incarnation(upstream) else { return };
         if self.crashes.borrow().has_unanswered(&key) {
-            self.lose(key, "it refuses connections");
+            self.record_crash(key, "it refuses connections");
         }
     }
 
     /// The newest incarnation of an upstream.
-    fn newest(&self, upstream: &UpstreamId) -> Option<LossKey> {
+    fn newest_incarnation(&self, upstream: &UpstreamId) -> Option<LossKey> {
         let upstreams = self.upstreams.borrow();
         upstreams.get(upstream).map(|it| key(upstream, it.upstream.birth))
     }
 
     /// Finds out whether an upstream has crashed, after a connection to it broke.
-    pub(super) fn examine(self: &Rc<Self>, upstream: &UpstreamId, address: SocketAddr) {
-        let Some(key) = self.newest(upstream) else { return };
+    pub(super) fn start_crash_check(self: &Rc<Self>, upstream: &UpstreamId, address: SocketAddr) {
+        let Some(key) = self.newest_incarnation(upstream) else { return };
         let mut crashes = self.crashes.borrow_mut();
-        if !crashes.examined.contains(&key) {
-            crashes.examined.push(key.clone());
-            task::spawn_local(look_for_crash(self.clone(), key, address));
+        if !crashes.under_check.contains(&key) {
+            crashes.under_check.push(key.clone());
+            task::spawn_local(check_for_crash(self.clone(), key, address));
         }
     }
 
     /// An upstream announces itself: an older one with its id or address has crashed, unless it
     /// said that it was leaving.
-    pub(super) fn replaced_by(&self, upstream: &Upstream) {
+    pub(super) fn on_replacement(&self, upstream: &Upstream) {
         let replaced = self.upstreams.borrow().crashed_before(upstream);
         for (id, birth) in replaced {
             let key = key(&id, birth);
             if self.crashes.borrow().has_unanswered(&key) {
-                self.lose(key, "another incarnation announced itself");
+                self.record_crash(key, "another incarnation announced itself");
             }
         }
     }
 
     /// Takes in what others know of contents that crash upstreams.
-    pub(super) fn learn_facts(&self, facts: Vec<Fact>) {
+    pub(super) fn apply_facts(&self, facts: Vec<Fact>) {
         let now = self.now();
         let lost = facts.iter().filter_map(|fact| match fact {
             Fact::Lost(report) => Some((report.key.clone(), now.saturating_sub(report.age))),
             Fact::Cleared { .. } => None,
         });
         let lost: Vec<(LossKey, Time)> = lost.collect();
-        self.change_suspects(|suspects, now, out| suspects.learn_all(now, &facts, out));
+        self.update_suspects(|suspects, now, out| suspects.learn_all(now, &facts, out));
         for (key, when) in lost {
             // It is cold when it comes back.
-            if self.newest(&key.upstream).as_ref() == Some(&key) {
+            if self.newest_incarnation(&key.upstream).as_ref() == Some(&key) {
                 self.healths.borrow_mut().crashed(when, &key.upstream);
             }
             if self.crashes.borrow().has_unanswered(&key) {
-                self.lose(key, "another instance reports it");
+                self.record_crash(key, "another instance reports it");
             }
         }
     }
 
     /// What a keeper that may have lost its memory has to know.
-    pub(super) fn facts_to_keep(&self) -> Vec<Fact> {
+    pub(super) fn facts_to_resend(&self) -> Vec<Fact> {
         self.crashes.borrow().suspects.ledger().repeated_losses(self.now())
     }
 
     /// Forgets what is too old.
     pub(super) fn expire_crashes(&self) {
         let now = self.now();
-        let is_old = |it: &mut (Flight, Time)| now - it.1 > LOST_FOR;
-        let old: Vec<Flight> = {
+        let is_old = |it: &mut (InFlight, Time)| now - it.1 > UNANSWERED_LIFETIME;
+        let old: Vec<InFlight> = {
             let mut crashes = self.crashes.borrow_mut();
             crashes.unanswered.extract_if(.., is_old).map(|it| it.0).collect()
         };
         {
             let mut crashes = self.crashes.borrow_mut();
-            let Crashes { suspects, tries, .. } = &mut *crashes;
-            tries.retain(|it| suspects.ledger().trials(it.content).is_some());
+            let Crashes { suspects, trials, .. } = &mut *crashes;
+            trials.retain(|it| suspects.ledger().trials(it.content).is_some());
         }
-        for flight in old {
-            self.suspect(Event::Ended { request: flight.request });
+        for in_flight in old {
+            self.handle_event(Event::Ended { request: in_flight.request });
         }
-        self.suspect(Event::Tick);
+        self.handle_event(Event::Tick);
     }
 
     /// An upstream was lost with all requests that were in flight there.
-    fn lose(&self, key: LossKey, evidence: &'static str) {
-        self.crashes.borrow_mut().unanswered.retain(|(flight, _)| flight.key != key);
-        metrics::counter!(names::CRASHES).increment(1);
+    fn record_crash(&self, key: LossKey, evidence: &'static str) {
+        self.crashes.borrow_mut().unanswered.retain(|(in_flight, _)| in_flight.key != key);
+        metrics::counter!(names::UPSTREAM_CRASHES).increment(1);
         tracing::warn!(upstream = %key.upstream, birth = key.incarnation.0, evidence, "upstream crashed");
-        self.suspect(Event::UpstreamLost { upstream: key.upstream, incarnation: key.incarnation });
+        self.handle_event(Event::UpstreamLost {
+            upstream: key.upstream,
+            incarnation: key.incarnation,
+        });
     }
 
     /// Feeds an event to the suspects.
-    fn suspect(&self, event: Event) {
-        self.change_suspects(|suspects, now, out| suspects.handle(now, event, out));
+    fn handle_event(&self, event: Event) {
+        self.update_suspects(|suspects, now, out| suspects.handle(now, event, out));
     }
 
     /// Changes the suspects, logs the contents that are quarantined since, and tells the keepers what
     /// follows.
-    fn change_suspects(&self, change: impl FnOnce(&mut Suspects, Time, &mut Vec<Effect>)) {
+    fn update_suspects(&self, change: impl FnOnce(&mut Suspects, Time, &mut Vec<Effect>)) {
         let mut effects = Vec::new();
-        self.watch_quarantines(|suspects, now| change(suspects, now, &mut effects));
+        self.log_new_quarantines(|suspects, now| change(suspects, now, &mut effects));
         let facts = effects.into_iter().filter_map(|effect| match effect {
             Effect::Share(fact) => Some(fact),
             // Suspects share upstreams here, which run a hundred requests at once.
@@ -319,7 +329,7 @@
     }
 
     /// Changes the suspects and logs the contents that are quarantined since.
-    fn watch_quarantines(&self, change: impl FnOnce(&mut Suspects, Time)) {
+    fn log_new_quarantines(&self, change: impl FnOnce(&mut Suspects, Time)) {
         let now = self.now();
         let suspects = &mut self.crashes.borrow_mut().suspects;
         let before = suspects.ledger().quarantines(now);
@@ -338,17 +348,17 @@
 
 /// Takes an upstream for crashed if none of its connections outlasts one that broke, and counts
 /// what was in flight there as suspect if it takes no new connection either.
-async fn look_for_crash(entry: Rc<Entry>, key: LossKey, address: SocketAddr) {
+async fn check_for_crash(entry: Rc<Entry>, key: LossKey, address: SocketAddr) {
     let began = entry.now();
-    sleep(CRASH_TIME).await;
+    sleep(CRASH_SETTLE_TIME).await;
     let running = entry.loads.borrow().report_of(&key.upstream).running;
     let idle = entry.client.idle(address);
     if running == 0 && idle == 0 {
         tracing::warn!(upstream = %key.upstream, "no connection outlasted a broken one, the upstream may have crashed");
         entry.healths.borrow_mut().crashed(began, &key.upstream);
-        if http_client::is_refused(address, PROBE_LIMIT).await {
-            entry.lose(key.clone(), "it refuses connections");
+        if http_client::is_refused(address, PROBE_TIMEOUT).await {
+            entry.record_crash(key.clone(), "it refuses connections");
         }
     }
-    entry.crashes.borrow_mut().examined.retain(|it| *it != key);
+    entry.crashes.borrow_mut().under_check.retain(|it| *it != key);
 }
--- a/crates/medlarlug-gateway/src/entry/limited.rs
+++ b/crates/medlarlug-gateway/src/entry/limited.rs
@@ -27,17 +27,17 @@
 use tokio::{net::UdpSocket, sync::Notify, time::timeout};
 
 use super::{Entry, call::Call, plan::Plan};
-use crate::{loads, metrics as names};
+use crate::{load_exchange, metrics as names};
 
 /// Time between two rounds of the allotter while instances wait for permits: the way of a datagram between
 /// availability zones.
-const ROUND: Duration = Duration::from_millis(10);
+const ALLOTMENT_INTERVAL: Duration = Duration::from_millis(10);
 /// Longest time for which a call waits for a permit: a question, its answer, and a lost datagram.
-const PERMIT_WAIT: Duration = Duration::from_millis(250);
+const MAX_PERMIT_WAIT: Duration = Duration::from_millis(250);
 
 /// Pause between two looks at whether a call has got a permit: the way of a datagram between availability
 /// zones.
-pub(super) const PERMIT_PAUSE: Duration = Duration::from_millis(5);
+pub(super) const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A message between entry instances of a region about limits that upstreams name.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -60,13 +60,13 @@
 
 /// What an instance knows of such limits.
 #[derive(Default)]
-pub(super) struct Limited {
+pub(super) struct LimitState {
     limits: RefCell<NamedLimits>,
     permits: RefCell<Permits>,
     allotter: RefCell<Allotter>,
     /// News that are to be sent.
-    news: RefCell<Vec<LimitMessage>>,
-    noted: Notify,
+    updates: RefCell<Vec<LimitMessage>>,
+    wake: Notify,
     /// Calls that wait for a permit.
     waiting: Cell<usize>,
 }
@@ -82,7 +82,7 @@
     /// that this instance can expect in time.
     pub(super) fn begin(entry: &Rc<Entry>, limited: &[LimitedUpstream]) -> Option<PermitWait> {
         let interval = entry.permit_interval(limited)?;
-        let served = PERMIT_WAIT.as_secs_f64() / interval.as_secs_f64();
+        let served = MAX_PERMIT_WAIT.as_secs_f64() / interval.as_secs_f64();
         let waiting = entry.limited.waiting.get();
         if waiting as f64 >= served.max(1.0) {
             return None;
@@ -93,7 +93,7 @@
 
     /// Whether it has waited for long enough.
     pub(super) fn is_over(&self) -> bool {
-        self.entry.now() - self.began >= PERMIT_WAIT
+        self.entry.now() - self.began >= MAX_PERMIT_WAIT
     }
 }
 
@@ -105,7 +105,7 @@
 }
 
 /// What the head of an answer says about a limit.
-fn read(headers: &HeaderMap, name: &HeaderName) -> Said {
+fn parse_limit(headers: &HeaderMap, name: &HeaderName) -> Said {
     let Some(value) = headers.get(name) else { return Said::None };
     let limit: Result<NamedLimit, LimitError> = value.to_str().unwrap_or_default().parse();
     match limit {
@@ -120,7 +120,7 @@
 impl Entry {
     /// Takes in what the head of an answer says about the limit of its upstream; the request went out at
     /// `sent`.
-    pub(super) fn hear_limit(
+    pub(super) fn record_limit(
         &self,
         call: &Call,
         sent: Time,
@@ -128,7 +128,7 @@
         birth: Birth,
         headers: &HeaderMap,
     ) {
-        let said = read(headers, &self.names.limit);
+        let said = parse_limit(headers, &self.names.limit);
         // What ends a limit has to come from the upstream itself.
         if said == Said::None && !headers.contains_key(&self.names.signature) {
             return;
@@ -147,9 +147,9 @@
                 tracing::info!(request = %call.id, upstream = %id, birth = birth.0, "limit of an upstream has ended");
             }
         }
-        let news = LimitMessage::Limit { upstream: id.clone(), birth, limit };
-        self.limited.news.borrow_mut().push(news);
-        self.limited.noted.notify_one();
+        let updates = LimitMessage::Limit { upstream: id.clone(), birth, limit };
+        self.limited.updates.borrow_mut().push(updates);
+        self.limited.wake.notify_one();
     }
 
     /// Whether the limit of an upstream, if it has one, leaves room for a request now.
@@ -167,7 +167,7 @@
     }
 
     /// Asks for permits for upstreams with a limit that have none here. Returns whether there are such.
-    pub(super) fn want_permits(&self, limited: &[LimitedUpstream], is_first: bool) -> bool {
+    pub(super) fn request_permits(&self, limited: &[LimitedUpstream], is_first: bool) -> bool {
         let now = self.now();
         let mut permits = self.limited.permits.borrow_mut();
         let mut is_asked = false;
@@ -178,7 +178,7 @@
             }
         }
         if is_asked {
-            self.limited.noted.notify_one();
+            self.limited.wake.notify_one();
         }
         is_asked
     }
@@ -201,7 +201,7 @@
         let upstreams = self.upstreams.borrow();
         let open = upstreams.of(&plan.service).filter(|known| {
             !plan.tried.upstreams.contains(&known.upstream.id)
-                && self.is_open(now, known, spec.cold_rate, &entries)
+                && self.is_usable_with_permit(now, known, spec.cold_rate, &entries)
         });
         let limited = open.map(|known| &known.upstream).filter_map(|upstream| {
             let (id, birth) = (upstream.id.clone(), upstream.birth);
@@ -217,7 +217,7 @@
     }
 
     /// Takes a message of another instance in.
-    pub(crate) fn hear_limit_message(&self, from: SocketAddr, message: LimitMessage) {
+    pub(crate) fn on_limit_message(&self, from: SocketAddr, message: LimitMessage) {
         let now = self.now();
         match message {
             LimitMessage::Limit { upstream, birth, limit } => {
@@ -233,7 +233,7 @@
                 let limit = own.map_or(limit, |own| if own < limit { own } else { limit });
                 let want = Want { from, upstream, birth, calls };
                 self.limited.allotter.borrow_mut().ask(now, want, Pace::whole(limit), 0.0);
-                self.limited.noted.notify_one();
+                self.limited.wake.notify_one();
             }
             LimitMessage::Grant { upstream, birth, permits } => {
                 self.limited.permits.borrow_mut().hold(now, &upstream, birth, permits);
@@ -282,7 +282,7 @@
     }
 
     /// One round: the messages that go out, by the instance that gets them, and whether there will be more.
-    fn limit_round(&self) -> (Vec<(SocketAddr, LimitMessage)>, bool) {
+    fn allotment_round(&self) -> (Vec<(SocketAddr, LimitMessage)>, bool) {
         let now = self.now();
         let (mut messages, has_more) = self.ask_for_permits(now);
         let own = self.id();
@@ -295,9 +295,9 @@
                 messages.push((to, LimitMessage::Grant { upstream, birth, permits }));
             }
         }
-        let news = std::mem::take(&mut *self.limited.news.borrow_mut());
+        let updates = std::mem::take(&mut *self.limited.updates.borrow_mut());
         let has_more = has_more || self.limited.allotter.borrow().is_asked();
-        if messages.is_empty() && news.is_empty() {
+        if messages.is_empty() && updates.is_empty() {
             return (Vec::new(), has_more);
         }
         let (_, members) = self.region_members();
@@ -305,21 +305,24 @@
         let addressed =
             messages.into_iter().filter_map(|(to, message)| Some((address(&to)?, message)));
         let others = members.iter().filter(|it| it.0.id != own);
-        let told = others.flat_map(|it| news.iter().map(|message| (it.1, message.clone())));
-        (addressed.chain(told).collect(), has_more)
+        let updates_to_peers =
+            others.flat_map(|it| updates.iter().map(|message| (it.1, message.clone())));
+        (addressed.chain(updates_to_peers).collect(), has_more)
     }
 }
 
 /// Sends what there is to say about limits for as long as the process runs.
 pub(super) async fn run(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     loop {
-        let (messages, has_more) = entry.limit_round();
-        messages.into_iter().for_each(|(to, message)| loads::send_limit(&socket, message, to));
-        let noted = entry.limited.noted.notified();
+        let (messages, has_more) = entry.allotment_round();
+        messages
+            .into_iter()
+            .for_each(|(to, message)| load_exchange::send_limit(&socket, message, to));
+        let wake = entry.limited.wake.notified();
         match has_more {
             // A round comes in any case.
-            true => drop(timeout(ROUND, noted).await),
-            false => noted.await,
+            true => drop(timeout(ALLOTMENT_INTERVAL, wake).await),
+            false => wake.await,
         }
     }
 }
--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -64,16 +64,16 @@
 };
 
 pub(crate) use self::limited::LimitMessage;
-use self::{answers::Answers, crashes::Crashes, limited::Limited};
-pub use serve::Ended;
+use self::{answers::AnswerReader, crashes::Crashes, limited::LimitState};
+pub use serve::CallOutcome;
 
 use crate::{
-    follower::{Links, Owner, chain},
     headers::HeaderNames,
-    link::{Head, Message, News},
-    loads::{self, Exchange},
+    keeper_links::{LinkOwner, Links, error_chain},
+    link::{Message, PublicationHead, Update},
+    load_exchange::{self, Exchange},
     metrics as names,
-    settings::{LONGEST_AGE, NodeSettings},
+    settings::{MAX_UPDATE_AGE, NodeSettings},
 };
 
 /// Time between two rounds of upkeep.
@@ -82,7 +82,7 @@
 const FETCH_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time for which callers still come after this instance has said that it is leaving: until most
 /// have asked for the directory again, and early enough for streams to end within the grace period.
-const LINGER: Duration = Duration::from_millis(2_500);
+const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(2_500);
 /// Silence after which an instance is forgotten: longer than with keepers, which tell only of
 /// changes, so that an instance that returns after a long silence is told of anew.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
@@ -91,17 +91,17 @@
 /// Part of the grace period after which calls that still run are cut.
 const GRACE_SHARE: f64 = 0.92;
 /// Pause between two looks at whether calls still run.
-const DRAIN_PAUSE: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time in which the last bytes of answers go out.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
 /// Time after the start in which the table and the upstreams become known: upstreams announce
 /// themselves every second or so, also to keepers that have just started.
-const STARTING_TIME: Duration = Duration::from_secs(4);
+const STARTUP_TIME: Duration = Duration::from_secs(4);
 /// Connections of callers and other instances; the system's own limit on descriptors is lower.
-const CONNECTIONS: usize = 3_000;
+const MAX_CONNECTIONS: usize = 3_000;
 /// Time for which a connection may be idle or send a head. Callers are told in the table how long
 /// they may reuse a connection, which is less.
-const CONNECTION_IDLE: Duration = Duration::from_secs(120);
+const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A running entry instance.
 pub struct Entry {
@@ -111,9 +111,9 @@
     started: Time,
     table: RefCell<Option<Rc<RouteTable>>>,
     /// Newest replicated state that was heard of; the table may still be on its way.
-    head: RefCell<Head>,
+    head: RefCell<PublicationHead>,
     /// The version that was asked for, and when.
-    fetching: Cell<Option<(TableVersion, Time)>>,
+    fetch_in_flight: Cell<Option<(TableVersion, Time)>>,
     upstreams: RefCell<Upstreams>,
     contacts: RefCell<Contacts>,
     /// Which keepers this instance hears.
@@ -123,7 +123,7 @@
     turn_waits: RefCell<TurnWaits>,
     healths: RefCell<Healths>,
     availabilities: RefCell<Availabilities>,
-    limited: Limited,
+    limited: LimitState,
     cold: RefCell<ColdSends>,
     crashes: RefCell<Crashes>,
     suspicions: RefCell<Suspicions>,
@@ -132,12 +132,12 @@
     /// What this instance could take over, and when that was predicted.
     spare: RefCell<(Option<Time>, Vec<Spare>)>,
     /// Prompt tokens handed over to each region and not answered yet, sorted by region.
-    away: RefCell<Vec<(RegionId, u64)>>,
+    forwarded_tokens: RefCell<Vec<(RegionId, u64)>>,
     /// Calls and repeats of each service, sorted by service.
-    windows: RefCell<Vec<(ServiceName, RetryWindow)>>,
+    retry_windows: RefCell<Vec<(ServiceName, RetryWindow)>>,
     links: Links,
     client: HttpClient,
-    answers: Answers,
+    answers: AnswerReader,
     is_draining: Cell<bool>,
     running: Cell<usize>,
 }
@@ -155,7 +155,7 @@
         stop: watch::Receiver<bool>,
     ) -> Result<Rc<Entry>, ServerError> {
         let internal = http_server::listen("peers", settings.card.internal).await?;
-        let clock = Clock::start_after(LONGEST_AGE);
+        let clock = Clock::start_after(MAX_UPDATE_AGE);
         let entry = Rc::new(Entry {
             settings: RefCell::new(settings),
             names,
@@ -163,7 +163,7 @@
             clock,
             table: RefCell::default(),
             head: RefCell::default(),
-            fetching: Cell::default(),
+            fetch_in_flight: Cell::default(),
             upstreams: RefCell::default(),
             contacts: RefCell::default(),
             view: RefCell::default(),
@@ -172,38 +172,41 @@
             turn_waits: RefCell::default(),
             healths: RefCell::default(),
             availabilities: RefCell::default(),
-            limited: Limited::default(),
+            limited: LimitState::default(),
             cold: RefCell::default(),
             crashes: RefCell::default(),
             suspicions: RefCell::default(),
             waits: RefCell::default(),
             spare: RefCell::default(),
-            away: RefCell::default(),
-            windows: RefCell::default(),
+            forwarded_tokens: RefCell::default(),
+            retry_windows: RefCell::default(),
             links: Links::default(),
             client: HttpClient::default(),
-            answers: Answers::default(),
+            answers: AnswerReader::default(),
             is_draining: Cell::new(false),
             running: Cell::new(0),
         });
-        entry.links.follow(&entry);
+        entry.links.connect_new(&entry);
         task::spawn_local(upkeep(entry.clone()));
         let address = entry.card().internal;
-        let socket = loads::open(address).await.map_err(|source| ServerError::Listen {
+        let socket = load_exchange::open(address).await.map_err(|source| ServerError::Listen {
             role: "load reports",
             address,
             source,
         })?;
         let socket = Rc::new(socket);
-        task::spawn_local(loads::tell(entry.clone(), socket.clone()));
-        task::spawn_local(loads::tell_changes(entry.clone(), socket.clone()));
-        task::spawn_local(loads::pass_changes_on(entry.clone(), socket.clone()));
+        task::spawn_local(load_exchange::send_reports(entry.clone(), socket.clone()));
+        task::spawn_local(load_exchange::send_changes(entry.clone(), socket.clone()));
+        task::spawn_local(load_exchange::forward_changes(entry.clone(), socket.clone()));
         task::spawn_local(limited::run(entry.clone(), socket.clone()));
-        task::spawn_local(loads::hear(entry.clone(), socket));
+        task::spawn_local(load_exchange::receive_datagrams(entry.clone(), socket));
         let this = entry.clone();
-        task::spawn_local(http_server::serve(internal, limits(), stop, move |request, _| {
-            serve::forwarded(this.clone(), request)
-        }));
+        task::spawn_local(http_server::serve(
+            internal,
+            server_limits(),
+            stop,
+            move |request, _| serve::forwarded(this.clone(), request),
+        ));
         Ok(entry)
     }
 
@@ -220,14 +223,14 @@
         let listener = http_server::listen("callers", front).await?;
         let this = self.clone();
         let handler = move |request, _| serve::from_caller(this.clone(), request);
-        http_server::serve(listener, limits(), stop, handler).await;
+        http_server::serve(listener, server_limits(), stop, handler).await;
         Ok(())
     }
 
     /// Takes changed settings over: other contacts and bounds.
     pub fn reload(self: &Rc<Entry>, settings: NodeSettings) {
         *self.settings.borrow_mut() = settings;
-        self.links.follow(self);
+        self.links.connect_new(self);
     }
 
     /// Whether callers may be sent here: a table is in force, and the instance stays.
@@ -243,10 +246,10 @@
         let grace = self.settings.borrow().grace;
         let began = self.now();
         let latest = began + grace.mul_f64(GRACE_SHARE);
-        sleep(LINGER.min(grace / 2)).await;
+        sleep(DRAIN_ACCEPT_TIME.min(grace / 2)).await;
         close.send_replace(true);
         while self.running.get() > 0 && self.now() < latest {
-            sleep(DRAIN_PAUSE).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
         tracing::info!(running = self.running.get(), "drained");
         sleep(FLUSH_TIME).await;
@@ -263,7 +266,7 @@
 
     /// Whether the instance has started so recently that news may be on its way to it.
     fn is_starting(&self) -> bool {
-        self.uptime() < STARTING_TIME
+        self.uptime() < STARTUP_TIME
     }
 
     /// Whether the instance can judge calls: it has a table, and has heard all keepers but one since it
@@ -322,40 +325,40 @@
     }
 
     /// What all instances of the region but one have under way, and how many they are.
-    pub(crate) fn sum_for(&self, to: &InstanceId) -> (usize, Vec<LoadReport>) {
+    pub(crate) fn aggregate_for(&self, to: &InstanceId) -> (usize, Vec<LoadReport>) {
         self.loads.borrow().sum_for(to)
     }
 
     /// The own zone, what its instances have under way, and how many they are.
-    pub(crate) fn zone_sum(&self) -> (ZoneId, usize, Vec<LoadReport>) {
+    pub(crate) fn zone_aggregate(&self) -> (ZoneId, usize, Vec<LoadReport>) {
         let (instances, loads) = self.loads.borrow().zone_sum();
         (self.settings.borrow().card.zone.clone(), instances, loads)
     }
 
     /// Drops reports of peers that count no more.
-    pub(crate) fn forget_silent(&self) {
+    pub(crate) fn expire_peer_loads(&self) {
         self.loads.borrow_mut().forget_silent(self.now());
     }
 
     /// Takes in what other instances have under way at some upstreams.
-    pub(crate) fn hear_changes(&self, from: &Source, changes: Vec<LoadReport>) {
+    pub(crate) fn apply_load_changes(&self, from: &Source, changes: Vec<LoadReport>) {
         let mut loads = self.loads.borrow_mut();
         changes.into_iter().for_each(|change| loads.hear_change(from, change));
     }
 
     /// Takes in what other instances have under way.
-    pub(crate) fn hear_loads(&self, from: Source, instances: usize, loads: Vec<LoadReport>) {
+    pub(crate) fn apply_loads(&self, from: Source, instances: usize, loads: Vec<LoadReport>) {
         self.loads.borrow_mut().hear(self.now(), from, instances, loads);
     }
 
-    fn on_news(&self, from: SocketAddr, news: News) {
+    fn on_update(&self, from: SocketAddr, update: Update) {
         let now = self.now();
-        for (upstream, age) in news.upstreams {
+        for (upstream, age) in update.upstreams {
             let age = Duration::from_millis(age.into());
             let (id, state) = (upstream.id.clone(), upstream.state);
             let (birth, sequence) = (upstream.birth.0, upstream.sequence);
             let before = self.upstreams.borrow().get(&id).map(|it| it.upstream.birth);
-            self.replaced_by(&upstream);
+            self.on_replacement(&upstream);
             let effect = match state {
                 UpstreamState::Gone => self.upstreams.borrow_mut().leave_unknown(now, upstream),
                 _ => self.upstreams.borrow_mut().announce(now, upstream, age),
@@ -371,23 +374,23 @@
                 self.loads.borrow_mut().forget(&id);
             }
         }
-        self.take_contacts(now, news.contacts, news.pulses);
-        if let Some(pulse) = &news.pulse {
+        self.apply_contacts(now, update.contacts, update.pulses);
+        if let Some(pulse) = &update.pulse {
             self.upstreams.borrow_mut().take_pulse(now, from, pulse);
         }
-        if !news.waits.is_empty() {
-            *self.waits.borrow_mut() = news.waits;
+        if !update.waits.is_empty() {
+            *self.waits.borrow_mut() = update.waits;
         }
-        if let Some(head) = news.head {
-            self.on_head(from, head, &news.restored);
+        if let Some(head) = update.head {
+            self.on_head(from, head, &update.restored);
         }
-        if !news.facts.is_empty() {
-            self.learn_facts(news.facts);
+        if !update.facts.is_empty() {
+            self.apply_facts(update.facts);
         }
-        self.links.send(from, &Message::Seen(news.number));
+        self.links.send(from, &Message::Acknowledged(update.number));
     }
 
-    fn take_contacts(
+    fn apply_contacts(
         &self,
         now: Time,
         changed: Vec<(Card, bool, u32)>,
@@ -405,7 +408,7 @@
     }
 
     /// Takes in which keepers there are now, for the view.
-    fn look(&self) {
+    fn update_view(&self) {
         let stalled = self.view.borrow_mut().look(self.now(), &self.keepers());
         if let Some(time) = stalled {
             let stalled_ms = time.as_millis() as u64;
@@ -418,7 +421,7 @@
 
     /// The keepers with an open link that are nearest; as many tell renewals, besides changes, which
     /// all keepers tell.
-    fn primaries(&self) -> Vec<SocketAddr> {
+    fn primary_keepers(&self) -> Vec<SocketAddr> {
         let own = self.card();
         let contacts = self.contacts.borrow();
         let distance = |address: &SocketAddr| {
@@ -429,13 +432,13 @@
                 _ => 2,
             })
         };
-        let mut open = self.links.open_to();
+        let mut open = self.links.connected();
         open.sort_by_key(|address| (distance(address), *address));
         open.truncate(SOURCES);
         open
     }
 
-    fn on_head(&self, from: SocketAddr, head: Head, restored: &[(ZoneId, u32)]) {
+    fn on_head(&self, from: SocketAddr, head: PublicationHead, restored: &[(ZoneId, u32)]) {
         let mut own = self.head.borrow_mut();
         if head.round > own.round {
             let now = self.now();
@@ -465,11 +468,11 @@
         let now = self.now();
         let own = self.version();
         let is_asked = self
-            .fetching
+            .fetch_in_flight
             .get()
             .is_some_and(|(asked, when)| asked >= version && now - when < FETCH_TIMEOUT);
         if version > own && !is_asked && self.links.send(from, &Message::Fetch(version)) {
-            self.fetching.set(Some((version, now)));
+            self.fetch_in_flight.set(Some((version, now)));
         }
     }
 
@@ -491,7 +494,7 @@
                 *self.table.borrow_mut() = Some(Rc::new(table));
             }
             Err(error) => {
-                tracing::error!(version = version.0, error = %chain(&error), %from, "table refused");
+                tracing::error!(version = version.0, error = %error_chain(&error), %from, "table refused");
             }
         }
     }
@@ -520,16 +523,16 @@
     }
 }
 
-fn limits() -> ServerLimits {
+fn server_limits() -> ServerLimits {
     ServerLimits {
         header_bytes: 64 * 1024,
-        header_time: CONNECTION_IDLE,
-        connections: CONNECTIONS,
+        header_time: CONNECTION_IDLE_TIMEOUT,
+        connections: MAX_CONNECTIONS,
         requests: u32::MAX,
     }
 }
 
-impl Owner for Entry {
+impl LinkOwner for Entry {
     fn card(&self) -> Card {
         self.settings.borrow().card.clone()
     }
@@ -539,7 +542,7 @@
     }
 
     fn is_primary(&self, address: SocketAddr) -> bool {
-        self.primaries().contains(&address)
+        self.primary_keepers().contains(&address)
     }
 
     fn keepers(&self) -> Vec<SocketAddr> {
@@ -552,9 +555,9 @@
         all
     }
 
-    fn opened(&self, address: SocketAddr) {
+    fn link_opened(&self, address: SocketAddr) {
         self.upstreams.borrow_mut().forget_teller(address);
-        let facts = self.facts_to_keep();
+        let facts = self.facts_to_resend();
         if !facts.is_empty() {
             self.links.send(address, &Message::Facts(facts));
         }
@@ -564,9 +567,9 @@
         let now = self.now();
         self.contacts.borrow_mut().renew_at(now, from);
         self.view.borrow_mut().hear(now, from);
-        self.look();
+        self.update_view();
         match message {
-            Message::News(news) => self.on_news(from, news),
+            Message::Update(update) => self.on_update(from, update),
             Message::Document { version, bytes } => self.on_document(from, version, &bytes),
             Message::Pong => {}
             _ => tracing::warn!(keeper = %from, "unexpected message"),
@@ -586,17 +589,17 @@
             entry.forget_limit(&id);
             tracing::info!(upstream = %id, "upstream forgotten");
         }
-        entry.links.follow(&entry);
-        entry.look();
+        entry.links.connect_new(&entry);
+        entry.update_view();
         let wanted = entry.head.borrow().version;
         if wanted > entry.version() {
             for keeper in entry.keepers() {
                 entry.fetch(keeper, wanted);
             }
         }
-        metrics::gauge!(names::LINKS).set(entry.links.open() as f64);
+        metrics::gauge!(names::OPEN_LINKS).set(entry.links.open_count() as f64);
         let upstreams = entry.upstreams.borrow();
         let ready = upstreams.all().iter().filter(|it| it.upstream.state == UpstreamState::Ready);
-        metrics::gauge!(names::UPSTREAMS).set(ready.count() as f64);
+        metrics::gauge!(names::READY_UPSTREAMS).set(ready.count() as f64);
     }
 }
--- a/crates/medlarlug-gateway/src/entry/plan.rs
+++ b/crates/medlarlug-gateway/src/entry/plan.rs
@@ -17,12 +17,12 @@
 
 use super::{
     Entry,
-    attempt::{self, Attempted, NotRun, Outcome},
+    attempt::{self, AttemptContext, NotRun, Outcome},
     call::Call,
     choice::{Hop, Tried},
     forwarded,
     limited::PermitWait,
-    serve::Ended,
+    serve::CallOutcome,
 };
 use crate::metrics as names;
 
@@ -37,10 +37,10 @@
     /// When the call arrived.
     pub(super) began: Time,
     /// When it has to be answered: its caller's deadline or its route's timeout.
-    pub(super) end: Time,
+    pub(super) answer_by: Time,
     pub(super) deadline: Time,
     /// Whether another region may serve it.
-    pub(super) may_leave: bool,
+    pub(super) may_forward: bool,
     /// Whether it is the trial of a quarantined content.
     pub(super) is_trial: bool,
     pub(super) last_event: Option<u64>,
@@ -55,46 +55,46 @@
     /// rests on, and what came of it, for the log.
     pub(super) path: Vec<String>,
     /// The upstream whose turn it waits for.
-    pub(super) waiting: Option<Waiting>,
+    pub(super) admission_wait: Option<AdmissionWait>,
     /// Whether it has asked for permits of upstreams with a limit.
-    pub(super) has_asked: bool,
+    pub(super) has_requested_permits: bool,
     /// Set while it waits for one.
-    pub(super) permit: Option<PermitWait>,
-    pub(super) _running: Running,
+    pub(super) permit_wait: Option<PermitWait>,
+    pub(super) _running: RunningCall,
 }
 
 /// Counts a call that waits for its turn at an upstream, for as long as it does.
-pub(super) struct Waiting {
+pub(super) struct AdmissionWait {
     entry: Rc<Entry>,
     choice: Choice,
 }
 
-impl Waiting {
-    fn begin(entry: &Rc<Entry>, choice: &Choice) -> Waiting {
+impl AdmissionWait {
+    fn begin(entry: &Rc<Entry>, choice: &Choice) -> AdmissionWait {
         entry.loads.borrow_mut().waits(choice);
-        entry.exchange.note(&choice.id);
-        Waiting { entry: entry.clone(), choice: choice.clone() }
+        entry.exchange.report_at_once(&choice.id);
+        AdmissionWait { entry: entry.clone(), choice: choice.clone() }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for AdmissionWait {
     fn drop(&mut self) {
         self.entry.loads.borrow_mut().waits_no_longer(&self.choice);
-        self.entry.exchange.note(&self.choice.id);
+        self.entry.exchange.report_at_once(&self.choice.id);
     }
 }
 
 /// Counts a call that runs.
-pub(super) struct Running(Rc<Entry>);
+pub(super) struct RunningCall(Rc<Entry>);
 
-impl Running {
-    pub(super) fn begin(entry: &Rc<Entry>) -> Running {
+impl RunningCall {
+    pub(super) fn begin(entry: &Rc<Entry>) -> RunningCall {
         entry.running.set(entry.running.get() + 1);
-        Running(entry.clone())
+        RunningCall(entry.clone())
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningCall {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
     }
@@ -108,7 +108,7 @@
             return None;
         }
         // The call does not stand in its own way.
-        let own = self.waiting.as_ref().map(|it| &it.choice);
+        let own = self.admission_wait.as_ref().map(|it| &it.choice);
         if let Some(choice) = own {
             entry.loads.borrow_mut().waits_no_longer(choice);
         }
@@ -123,33 +123,33 @@
     /// hop, and those that wait already can expect theirs in time.
     pub(super) fn waits_for_permit(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> bool {
         let limited = entry.limited_upstreams(self);
-        let is_asked = entry.want_permits(&limited, !self.has_asked);
-        self.has_asked |= is_asked;
+        let is_asked = entry.request_permits(&limited, !self.has_requested_permits);
+        self.has_requested_permits |= is_asked;
         if hop.is_some() || !is_asked || !self.attempts.may_send() {
-            self.permit = None;
+            self.permit_wait = None;
             return false;
         }
-        if let Some(wait) = &self.permit {
+        if let Some(wait) = &self.permit_wait {
             return !wait.is_over();
         }
-        self.permit = PermitWait::begin(entry, &limited);
-        self.permit.is_some()
+        self.permit_wait = PermitWait::begin(entry, &limited);
+        self.permit_wait.is_some()
     }
 
     /// Whether the call goes to a hop now; only first attempts at engines wait for their turn.
-    pub(super) fn turn(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> Turn {
-        let turn = self.next_turn(entry, hop);
-        self.waiting = match hop {
+    pub(super) fn admission(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> Turn {
+        let turn = self.next_admission(entry, hop);
+        self.admission_wait = match hop {
             Some(Hop::Upstream { choice, .. }) if turn == Turn::Wait => {
-                let same = self.waiting.take().filter(|it| it.choice.id == choice.id);
-                same.or_else(|| Some(Waiting::begin(entry, choice)))
+                let current = self.admission_wait.take().filter(|it| it.choice.id == choice.id);
+                current.or_else(|| Some(AdmissionWait::begin(entry, choice)))
             }
             _ => None,
         };
         turn
     }
 
-    fn next_turn(&self, entry: &Entry, hop: Option<&Hop>) -> Turn {
+    fn next_admission(&self, entry: &Entry, hop: Option<&Hop>) -> Turn {
         let Some(Hop::Upstream { choice, .. }) = hop else { return Turn::Go };
         if self.attempts.arrivals() > 0 || !choice.is_long() {
             return Turn::Go;
@@ -186,12 +186,12 @@
     }
 
     /// Whether another request may go out that repeats an earlier one, and counts it.
-    pub(super) fn may_repeat(&mut self, entry: &Entry, call: &Call) -> bool {
+    pub(super) fn may_send(&mut self, entry: &Entry, call: &Call) -> bool {
         if !self.attempts.may_send() {
             return false;
         }
         if !self.spending.is_covered() {
-            if !entry.take_repeat(call, &self.service) {
+            if !entry.take_retry(call, &self.service) {
                 return false;
             }
             self.spending.pay();
@@ -212,11 +212,11 @@
                 self.tried.peers.push(id.clone());
                 let wait = hop.wait().as_millis();
                 self.path.push(format!("{id}(wait={wait}ms)"));
-                metrics::counter!(names::FORWARDED).increment(1);
+                metrics::counter!(names::FORWARDED_CALLS).increment(1);
             }
         }
-        let left = self.end - entry.now();
-        let patience = patience::limit(patience::Attempt {
+        let left = self.answer_by - entry.now();
+        let answer_timeout = patience::limit(patience::Attempt {
             source: hop.source(),
             wait: hop.wait(),
             objective: self.route.objective,
@@ -232,18 +232,18 @@
             }),
             Hop::Upstream { .. } => None,
         };
-        let attempted = Attempted {
+        let context = AttemptContext {
             call,
             kind: self.route.kind,
             priority: self.route.priority,
             forwarded,
-            end: self.end,
+            answer_by: self.answer_by,
             deadline: self.deadline,
             last_event: self.last_event,
-            patience,
+            answer_timeout,
         };
         let before = self.attempts.arrivals();
-        let outcome = attempt::send(entry, &attempted, hop, &mut self.attempts).await;
+        let outcome = attempt::send(entry, &context, hop, &mut self.attempts).await;
         if let Some(hop) = self.path.last_mut() {
             hop.push('=');
             hop.push_str(outcome.name());
@@ -257,16 +257,16 @@
                 self.unreachable += 1;
             }
             // The other region is as busy.
-            (Outcome::NotRun(NotRun::Refused { .. }), Hop::Peer { .. }) => self.may_leave = false,
+            (Outcome::NotRun(NotRun::Refused { .. }), Hop::Peer { .. }) => self.may_forward = false,
             _ => {}
         }
         outcome
     }
 
     /// Logs and counts the end of the call.
-    pub(super) fn end(&self, entry: &Entry, call: &Call, ended: Ended) {
+    pub(super) fn record_outcome(&self, entry: &Entry, call: &Call, ended: CallOutcome) {
         let took = entry.now() - self.began;
-        metrics::counter!(names::CALLS, "outcome" => ended.to_string()).increment(1);
+        metrics::counter!(names::CALLS_ENDED, "outcome" => ended.to_string()).increment(1);
         tracing::info!(
             request = %call.id,
             route = %self.route.name,
--- a/crates/medlarlug-gateway/src/entry/relay.rs
+++ b/crates/medlarlug-gateway/src/entry/relay.rs
@@ -18,9 +18,9 @@
     attempt::{self, EventStream, Outcome, Piece},
     call::Call,
     choice::Hop,
-    limited::PERMIT_PAUSE,
+    limited::PERMIT_POLL_INTERVAL,
     plan::Plan,
-    serve::Ended,
+    serve::CallOutcome,
 };
 
 /// What has become of a stream.
@@ -50,19 +50,19 @@
             Step::Done => {
                 stream.finish(&entry);
                 let _ = sender.send(Part::End).await;
-                return plan.end(&entry, &call, Ended::Answered);
+                return plan.record_outcome(&entry, &call, CallOutcome::Answered);
             }
-            Step::Left => return plan.end(&entry, &call, Ended::Left),
-            Step::Late => return plan.end(&entry, &call, Ended::TimedOut),
+            Step::Left => return plan.record_outcome(&entry, &call, CallOutcome::Left),
+            Step::Late => return plan.record_outcome(&entry, &call, CallOutcome::TimedOut),
             Step::Broken => {}
         }
-        attempt::ended(&entry, stream.hop(), CallEnd::Broken);
+        attempt::record_health(&entry, stream.hop(), CallEnd::Broken);
         plan.count_broken(stream.hop());
         // Closes the connection before another upstream goes on.
         drop(stream);
         match resume(&entry, &call, &mut plan, &sender).await {
             Some(next) => stream = next,
-            None => return plan.end(&entry, &call, Ended::BrokenOff),
+            None => return plan.record_outcome(&entry, &call, CallOutcome::BrokenOff),
         }
     }
 }
@@ -76,7 +76,7 @@
 ) -> Step {
     let silence = plan.silence_limit(stream.hop());
     loop {
-        let left = plan.end - entry.now();
+        let left = plan.answer_by - entry.now();
         if left.is_zero() {
             return Step::Late;
         }
@@ -88,9 +88,9 @@
             Ok(Piece::Events(events)) => events,
             Ok(Piece::End) => return Step::Done,
             Ok(Piece::Broken) => return Step::Broken,
-            Err(_) if entry.now() >= plan.end => return Step::Late,
+            Err(_) if entry.now() >= plan.answer_by => return Step::Late,
             Err(_) => {
-                stream.give_up();
+                stream.abandon();
                 return Step::Broken;
             }
         };
@@ -114,7 +114,7 @@
         if !plan.waits_for_permit(entry, hop.as_ref()) {
             return hop;
         }
-        sleep(PERMIT_PAUSE).await;
+        sleep(PERMIT_POLL_INTERVAL).await;
     }
 }
 
@@ -130,7 +130,7 @@
             hop = permitted_hop(entry, call, plan) => hop?,
             () = sender.closed() => return None,
         };
-        if !plan.may_repeat(entry, call) {
+        if !plan.may_send(entry, call) {
             return None;
         }
         let outcome = tokio::select! {
--- a/crates/medlarlug-gateway/src/entry/serve.rs
+++ b/crates/medlarlug-gateway/src/entry/serve.rs
@@ -27,33 +27,33 @@
     call::{Call, strip_connection},
     choice::{Hop, Tried},
     forwarded::{self, Reported},
-    limited::PERMIT_PAUSE,
-    plan::{MAX_ARRIVALS, Plan, Running},
+    limited::PERMIT_POLL_INTERVAL,
+    plan::{MAX_ARRIVALS, Plan, RunningCall},
     relay,
 };
 use crate::metrics as names;
 
 /// Time left below which nothing is sent any more.
-const MIN_LEFT: Duration = Duration::from_millis(20);
+const MIN_REMAINING: Duration = Duration::from_millis(20);
 /// Connections that may fail before a call is given up.
 const MAX_UNREACHABLE: u32 = 4;
 /// Time to come back when there is no table yet: an election and the way of the table.
-const NO_TABLE_AFTER: Duration = Duration::from_secs(1);
+const NO_TABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Mean pause between two looks at whether it is a call's turn: a few steps of an engine. It varies
 /// so that not all instances look at the same moment.
-const TURN_PAUSE: Duration = Duration::from_millis(12);
+const ADMISSION_POLL_INTERVAL: Duration = Duration::from_millis(12);
 /// Part of its time that a call may wait for an instance that is starting.
 const START_SHARE: f64 = 0.35;
 /// Longest time that a call may wait for an instance that is starting.
 const START_WAIT: Duration = Duration::from_millis(1_500);
 /// Pause between two looks at whether the instance has started.
-const START_PAUSE: Duration = Duration::from_millis(20);
+const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time that a call has if neither its caller nor its route sets one.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum CallOutcome {
     /// With an answer of an upstream.
     Answered,
     /// Refused; it was not run.
@@ -70,30 +70,30 @@
     Rejected,
 }
 
-impl fmt::Display for Ended {
+impl fmt::Display for CallOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Ended::Answered => "answered",
-            Ended::Refused => "refused",
-            Ended::Failed => "failed",
-            Ended::TimedOut => "timed_out",
-            Ended::BrokenOff => "broken_off",
-            Ended::Left => "left",
-            Ended::Rejected => "rejected",
+            CallOutcome::Answered => "answered",
+            CallOutcome::Refused => "refused",
+            CallOutcome::Failed => "failed",
+            CallOutcome::TimedOut => "timed_out",
+            CallOutcome::BrokenOff => "broken_off",
+            CallOutcome::Left => "left",
+            CallOutcome::Rejected => "rejected",
         })
     }
 }
 
 impl Entry {
     /// Takes one repeat of `call` out of the budget of a service.
-    pub(super) fn take_repeat(&self, call: &Call, service: &ServiceName) -> bool {
+    pub(super) fn take_retry(&self, call: &Call, service: &ServiceName) -> bool {
         let bounds = self.settings.borrow().retries;
         let now = self.now();
         let share = self.share();
         let (is_taken, balance) = self.with_window(service, |window| {
             (window.take(now, bounds, share), window.balance(bounds, share))
         });
-        let name = if is_taken { names::REPEATS } else { names::REPEATS_DENIED };
+        let name = if is_taken { names::RETRIES } else { names::RETRIES_DENIED };
         metrics::counter!(name).increment(1);
         let Balance { calls, repeats, left } = balance;
         let (share, instances) = (share.of(bounds), share.instances);
@@ -104,10 +104,10 @@
 
     /// When to come back if what keeps upstreams of a service from taking a call is a rest or a limit of
     /// their own.
-    fn time_back(&self, plan: &Plan, left: Duration) -> Option<Duration> {
+    fn upstream_retry_after(&self, plan: &Plan, left: Duration) -> Option<Duration> {
         let spread = rand::rng().random();
         let interval = self.permit_interval(&self.limited_upstreams(plan));
-        match (self.rest_left(&plan.service), interval) {
+        match (self.backoff_remaining(&plan.service), interval) {
             (_, Some(interval)) => Some(refusing::after(interval, left, spread)),
             (Some(rest), None) => Some(refusing::after_rest(rest, spread)),
             (None, None) => None,
@@ -135,7 +135,7 @@
         service: &ServiceName,
         act: impl FnOnce(&mut medlarlug_core::gateway::budget::RetryWindow) -> T,
     ) -> T {
-        let mut windows = self.windows.borrow_mut();
+        let mut windows = self.retry_windows.borrow_mut();
         let at = match windows.binary_search_by(|it| it.0.cmp(service)) {
             Ok(at) => at,
             Err(at) => {
@@ -165,7 +165,7 @@
         None => {
             tracing::warn!("a call from another instance without a readable route, refused");
             let call = Call::read(request.into_parts().0, &entry.names);
-            refusal(&entry, &call, NO_TABLE_AFTER, Report::REFUSED)
+            refusal(&entry, &call, NO_TABLE_RETRY_AFTER, Report::REFUSED)
         }
     };
     reported.for_instance()
@@ -181,25 +181,25 @@
     let mut call = Call::read(parts, &entry.names);
     let is_forwarded = forwarded.is_some();
     wait_for_start(entry, &call, began, |entry| entry.is_informed()).await;
-    let mut plan = match plan(entry, &call, forwarded, began) {
+    let mut plan = match plan_call(entry, &call, forwarded, began) {
         Ok(plan) => plan,
         Err(reported) => return *reported,
     };
     call.demand.rank = plan.route.priority;
     let limit = plan.table.limits().body_bytes;
-    match timeout(plan.end - entry.now(), body::read(incoming, limit)).await {
-        Ok(Ok(bytes)) => call.take_body(bytes),
+    match timeout(plan.answer_by - entry.now(), body::read(incoming, limit)).await {
+        Ok(Ok(bytes)) => call.set_body(bytes),
         Err(_) => {
-            plan.end(entry, &call, Ended::TimedOut);
+            plan.record_outcome(entry, &call, CallOutcome::TimedOut);
             let answer = plain(StatusCode::REQUEST_TIMEOUT, "the body took too long; not run");
             return Reported { answer, report: Report::REFUSED };
         }
         Ok(Err(BodyError::TooLong { .. })) => {
-            plan.end(entry, &call, Ended::Rejected);
+            plan.record_outcome(entry, &call, CallOutcome::Rejected);
             return rejected(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
         }
         Ok(Err(BodyError::Cut)) => {
-            plan.end(entry, &call, Ended::Left);
+            plan.record_outcome(entry, &call, CallOutcome::Left);
             return rejected(StatusCode::BAD_REQUEST, "the body was cut");
         }
     }
@@ -212,7 +212,7 @@
             || !entry.limited_upstreams(&plan).is_empty()
     })
     .await;
-    let result = attempts(entry, &call, &mut plan).await;
+    let result = run_attempts(entry, &call, &mut plan).await;
     finish(entry, call, plan, result)
 }
 
@@ -227,12 +227,12 @@
     let deadline = call.deadline.unwrap_or(DEFAULT_DEADLINE);
     let latest = began + deadline.mul_f64(START_SHARE).min(START_WAIT);
     while entry.is_starting() && entry.now() < latest && !holds(entry) {
-        sleep(START_PAUSE).await;
+        sleep(START_POLL_INTERVAL).await;
     }
 }
 
 /// The route of a call and its times.
-fn plan(
+fn plan_call(
     entry: &Rc<Entry>,
     call: &Call,
     forwarded: Option<Handover>,
@@ -241,7 +241,7 @@
     let table = entry.table.borrow().clone();
     let Some(table) = table else {
         tracing::info!(request = %call.id, outcome = "refused", "no table yet");
-        return Err(Box::new(refusal(entry, call, NO_TABLE_AFTER, Report::REFUSED)));
+        return Err(Box::new(refusal(entry, call, NO_TABLE_RETRY_AFTER, Report::REFUSED)));
     };
     let is_forwarded = forwarded.is_some();
     let most_arrivals = forwarded.as_ref().map_or(MAX_ARRIVALS, |it| it.arrivals);
@@ -265,9 +265,9 @@
         table,
         service,
         began,
-        end: began + limit,
+        answer_by: began + limit,
         deadline: began + deadline,
-        may_leave: !is_forwarded,
+        may_forward: !is_forwarded,
         is_trial: false,
         last_event: last.and_then(|last| last.trim().parse().ok()),
         tried: Tried::default(),
@@ -275,16 +275,16 @@
         spending: Spending::default(),
         unreachable: 0,
         path: Vec::new(),
-        waiting: None,
-        has_asked: false,
-        permit: None,
+        admission_wait: None,
+        has_requested_permits: false,
+        permit_wait: None,
         route,
-        _running: Running::begin(entry),
+        _running: RunningCall::begin(entry),
     })
 }
 
 /// The last outcome of a call.
-enum Last {
+enum Resolution {
     Answer(Response<Bytes>),
     Stream(Box<attempt::EventStream>),
     Refuse { after: Duration },
@@ -292,34 +292,35 @@
 }
 
 /// Tries hops until the call is answered, or nothing more may be tried.
-async fn attempts(entry: &Rc<Entry>, call: &Call, plan: &mut Plan) -> Last {
+async fn run_attempts(entry: &Rc<Entry>, call: &Call, plan: &mut Plan) -> Resolution {
     let mut answer: Option<Response<Bytes>> = None;
     let mut unknown: Option<Unknown> = None;
     let mut after: Option<Duration> = None;
     loop {
         let now = entry.now();
-        let left = plan.end - now;
+        let left = plan.answer_by - now;
         let quarantine = entry.quarantine(call, plan);
-        let hop = match plan.unreachable < MAX_UNREACHABLE && left > MIN_LEFT {
+        let hop = match plan.unreachable < MAX_UNREACHABLE && left > MIN_REMAINING {
             true => plan.next_hop(entry, call),
             false => None,
         };
         if quarantine.is_none()
-            && left > MIN_LEFT
+            && left > MIN_REMAINING
             && plan.unreachable < MAX_UNREACHABLE
             && plan.waits_for_permit(entry, hop.as_ref())
         {
-            sleep(PERMIT_PAUSE).await;
+            sleep(PERMIT_POLL_INTERVAL).await;
             continue;
         }
         let wait = hop.as_ref().map(Hop::wait);
         let objective = plan.is_on_engines().then_some(plan.route.objective);
         let mut verdict = refusing::judge(Outlook { wait, left, objective }, rand::rng().random());
         if verdict == Verdict::Serve {
-            match plan.turn(entry, hop.as_ref()) {
+            match plan.admission(entry, hop.as_ref()) {
                 Turn::Go => {}
                 Turn::Wait => {
-                    sleep(TURN_PAUSE.mul_f64(rand::rng().random_range(0.5..1.5))).await;
+                    sleep(ADMISSION_POLL_INTERVAL.mul_f64(rand::rng().random_range(0.5..1.5)))
+                        .await;
                     continue;
                 }
                 Turn::Refuse => {
@@ -329,27 +330,27 @@
             }
         }
         let hop = match (hop, verdict) {
-            (Some(hop), Verdict::Serve) if plan.may_repeat(entry, call) => hop,
+            (Some(hop), Verdict::Serve) if plan.may_send(entry, call) => hop,
             (hop, verdict) => {
                 if let Some(answer) = answer {
-                    return Last::Answer(answer);
+                    return Resolution::Answer(answer);
                 }
                 if let Some(why) = unknown {
                     let status = match why {
-                        Unknown::Silent => StatusCode::GATEWAY_TIMEOUT,
-                        Unknown::Lost | Unknown::Foreign => StatusCode::BAD_GATEWAY,
+                        Unknown::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+                        Unknown::ConnectionLost | Unknown::ForeignAnswer => StatusCode::BAD_GATEWAY,
                     };
-                    return Last::Fail { status, why };
+                    return Resolution::Fail { status, why };
                 }
                 if let Some(after) = quarantine {
                     let (content, for_s) = (call.content, after.as_secs());
-                    metrics::counter!(names::QUARANTINED).increment(1);
+                    metrics::counter!(names::QUARANTINED_CALLS).increment(1);
                     tracing::info!(request = %call.id, %content, for_s, "refusing quarantined content");
-                    return Last::Refuse { after };
+                    return Resolution::Refuse { after };
                 }
                 let own = match verdict {
                     Verdict::Refuse { after } => match hop {
-                        None => entry.time_back(plan, left).unwrap_or(after),
+                        None => entry.upstream_retry_after(plan, left).unwrap_or(after),
                         Some(_) => after,
                     },
                     Verdict::Serve => refusing::after(Duration::ZERO, left, rand::rng().random()),
@@ -363,29 +364,29 @@
                     tried = %plan.path.join(","),
                     "refusing"
                 );
-                return Last::Refuse { after: after.unwrap_or(own) };
+                return Resolution::Refuse { after: after.unwrap_or(own) };
             }
         };
         match plan.attempt(entry, call, &hop).await {
             Outcome::Answer(found) => {
                 let is_failure = found.status().is_server_error();
                 if !is_failure || !plan.route.kind.is_repeatable() {
-                    return Last::Answer(found);
+                    return Resolution::Answer(found);
                 }
                 tracing::debug!(request = %call.id, status = found.status().as_u16(), "upstream failed");
                 answer = Some(found);
             }
-            Outcome::Stream(stream) => return Last::Stream(stream),
-            Outcome::NotRun(NotRun::Refused { after: told, .. }) => after = told.or(after),
+            Outcome::Stream(stream) => return Resolution::Stream(stream),
+            Outcome::NotRun(NotRun::Refused { after: named, .. }) => after = named.or(after),
             Outcome::NotRun(NotRun::Misdirected | NotRun::Unreachable | NotRun::Withdrawn) => {}
             Outcome::Unknown(why) => {
                 unknown = Some(why);
                 if !plan.route.kind.is_repeatable() {
                     let status = match why {
-                        Unknown::Silent => StatusCode::GATEWAY_TIMEOUT,
-                        Unknown::Lost | Unknown::Foreign => StatusCode::BAD_GATEWAY,
+                        Unknown::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+                        Unknown::ConnectionLost | Unknown::ForeignAnswer => StatusCode::BAD_GATEWAY,
                     };
-                    return Last::Fail { status, why };
+                    return Resolution::Fail { status, why };
                 }
             }
         }
@@ -393,18 +394,18 @@
 }
 
 /// Turns the last outcome into the answer.
-fn finish(entry: &Rc<Entry>, call: Call, plan: Plan, last: Last) -> Reported {
+fn finish(entry: &Rc<Entry>, call: Call, plan: Plan, last: Resolution) -> Reported {
     let report = plan.attempts.report(false);
-    metrics::histogram!(names::HEAD_TIME).record((entry.now() - plan.began).as_secs_f64());
+    metrics::histogram!(names::HEAD_SECONDS).record((entry.now() - plan.began).as_secs_f64());
     match last {
-        Last::Answer(found) => {
-            plan.end(entry, &call, Ended::Answered);
+        Resolution::Answer(found) => {
+            plan.record_outcome(entry, &call, CallOutcome::Answered);
             let (mut parts, bytes) = found.into_parts();
             strip_connection(&mut parts.headers);
             parts.headers.remove(header::CONTENT_LENGTH);
             Reported { answer: Response::from_parts(parts, body::whole(bytes)), report }
         }
-        Last::Stream(stream) => {
+        Resolution::Stream(stream) => {
             let (sender, content) = body::streamed();
             let mut answer = Response::new(content);
             *answer.status_mut() = stream.status;
@@ -415,16 +416,16 @@
             task::spawn_local(relay::run(entry.clone(), call, plan, stream, sender));
             Reported { answer, report }
         }
-        Last::Refuse { after } => {
-            plan.end(entry, &call, Ended::Refused);
+        Resolution::Refuse { after } => {
+            plan.record_outcome(entry, &call, CallOutcome::Refused);
             refusal(entry, &call, after, plan.attempts.report(true))
         }
-        Last::Fail { status, why } => {
+        Resolution::Fail { status, why } => {
             let ended = match why {
-                Unknown::Silent => Ended::TimedOut,
-                Unknown::Lost | Unknown::Foreign => Ended::Failed,
+                Unknown::TimedOut => CallOutcome::TimedOut,
+                Unknown::ConnectionLost | Unknown::ForeignAnswer => CallOutcome::Failed,
             };
-            plan.end(entry, &call, ended);
+            plan.record_outcome(entry, &call, ended);
             let mut answer = plain(status, "the upstream's answer was lost; the call may have run");
             echo_id(entry, &call, &mut answer);
             Reported { answer, report }
--- a/crates/medlarlug-gateway/src/keeper/facts.rs
+++ b/crates/medlarlug-gateway/src/keeper/facts.rs
@@ -20,15 +20,15 @@
 use serde::{Deserialize, Serialize};
 
 /// Name of the facts in the journal.
-const NAME: &str = "contents-that-crash";
+const JOURNAL_NAME: &str = "contents-that-crash";
 /// The only entry that the journal keeps of them.
-const INDEX: LogIndex = LogIndex(1);
+const ENTRY_INDEX: LogIndex = LogIndex(1);
 /// Contents that are kept at most; those of the oldest losses go first. At 19 bytes each, a write takes 40 KB.
-const MAX_CONTENTS_KEPT: usize = 2_048;
+const MAX_STORED_CONTENTS: usize = 2_048;
 
 /// What stands on the disk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Kept {
+struct StoredFacts {
     /// When it was written, in Unix milliseconds.
     written_ms: u64,
     facts: Vec<Fact>,
@@ -36,14 +36,14 @@
 
 /// What was written last.
 #[derive(Debug, Default)]
-pub(super) struct KeptFacts {
+pub(super) struct FactStore {
     sequence: u64,
     /// Facts without their ages.
     facts: Vec<Fact>,
 }
 
 pub(super) fn name() -> GroupName {
-    let Ok(name) = NAME.parse();
+    let Ok(name) = JOURNAL_NAME.parse();
     name
 }
 
@@ -58,16 +58,16 @@
     let Some(Payload::Command(bytes)) = restored.entries.last().map(|it| &it.payload) else {
         return Vec::new();
     };
-    match postcard::from_bytes::<Kept>(bytes) {
-        Ok(kept) => {
-            let down = Duration::from_millis(unix_ms().saturating_sub(kept.written_ms));
+    match postcard::from_bytes::<StoredFacts>(bytes) {
+        Ok(stored) => {
+            let down = Duration::from_millis(unix_ms().saturating_sub(stored.written_ms));
             let down_s = down.as_secs();
             tracing::info!(
-                facts = kept.facts.len(),
+                facts = stored.facts.len(),
                 down_s,
                 "contents that crash upstreams restored"
             );
-            kept.facts.iter().map(|fact| fact.after(down)).collect()
+            stored.facts.iter().map(|fact| fact.after(down)).collect()
         }
         Err(error) => {
             tracing::error!(%error, "what was kept of contents that crash upstreams can't be read, other keepers have to tell it");
@@ -76,27 +76,27 @@
     }
 }
 
-impl KeptFacts {
+impl FactStore {
     /// The batch to write if `facts` differ from what was written last.
     pub(super) fn batch(&mut self, mut facts: Vec<Fact>) -> Option<Persist> {
-        bound(&mut facts);
-        let ageless: Vec<Fact> = facts.iter().map(Fact::ageless).collect();
-        if ageless == self.facts {
+        drop_oldest(&mut facts);
+        let without_ages: Vec<Fact> = facts.iter().map(Fact::ageless).collect();
+        if without_ages == self.facts {
             return None;
         }
-        let bytes = match postcard::to_stdvec(&Kept { written_ms: unix_ms(), facts }) {
+        let bytes = match postcard::to_stdvec(&StoredFacts { written_ms: unix_ms(), facts }) {
             Ok(bytes) => bytes,
             Err(error) => {
                 tracing::error!(%error, "failed to encode contents that crash upstreams");
                 return None;
             }
         };
-        self.facts = ageless;
+        self.facts = without_ages;
         self.sequence += 1;
-        let entry = Entry { index: INDEX, term: Term(0), payload: Payload::Command(bytes) };
+        let entry = Entry { index: ENTRY_INDEX, term: Term(0), payload: Payload::Command(bytes) };
         Some(Persist {
             sequence: self.sequence,
-            cut: Some(INDEX),
+            cut: Some(ENTRY_INDEX),
             entries: vec![entry],
             ..Persist::default()
         })
@@ -104,11 +104,11 @@
 }
 
 /// Drops the oldest losses beyond what is kept.
-fn bound(facts: &mut Vec<Fact>) {
+fn drop_oldest(facts: &mut Vec<Fact>) {
     facts.sort_by_key(Fact::age);
     let mut contents = 0;
     facts.retain(|fact| {
         contents += fact.contents();
-        contents <= MAX_CONTENTS_KEPT
+        contents <= MAX_STORED_CONTENTS
     });
 }
--- a/crates/medlarlug-gateway/src/keeper/loops.rs
+++ b/crates/medlarlug-gateway/src/keeper/loops.rs
@@ -14,16 +14,16 @@
 
 use super::Keeper;
 use crate::{
-    follower::chain,
+    keeper_links::error_chain,
     link::{self, LinkReceiver},
 };
 
 /// Time between two ticks of the replica, a part of its heartbeat.
-pub(super) const TICK: Duration = Duration::from_millis(50);
+pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between two rounds of news; changes that matter are told at once.
-const NEWS_INTERVAL: Duration = Duration::from_millis(250);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 /// Time for which the disk may be behind before a leader hands over.
-const DISK_PATIENCE: Duration = Duration::from_millis(600);
+const DISK_LAG_LIMIT: Duration = Duration::from_millis(600);
 
 pub(super) async fn accept_links(keeper: Rc<Keeper>, listener: TcpListener) {
     loop {
@@ -33,7 +33,7 @@
             }
             Err(error) => {
                 tracing::warn!(%error, "failed to accept a link");
-                sleep(TICK).await;
+                sleep(TICK_INTERVAL).await;
             }
         }
     }
@@ -43,7 +43,7 @@
     let (card, sender, mut receiver): (Card, _, LinkReceiver) = match link::accept(stream).await {
         Ok(accepted) => accepted,
         Err(error) => {
-            tracing::debug!(error = %chain(&error), "a link didn't begin");
+            tracing::debug!(error = %error_chain(&error), "a link didn't begin");
             return;
         }
     };
@@ -51,20 +51,20 @@
     let is_new = keeper.contacts.borrow_mut().hear(now, card.clone(), None, Duration::ZERO);
     tracing::info!(instance = %card.id, part = ?card.part, is_new, "link accepted");
     let link = keeper.subscribers.borrow_mut().add(card.id.clone(), card.part, sender);
-    keeper.links.follow(&keeper);
+    keeper.links.connect_new(&keeper);
     keeper.push();
     let error = loop {
         match receiver.receive().await {
-            Ok(message) => keeper.on_subscriber(link, &card, message),
+            Ok(message) => keeper.on_subscriber_message(link, &card, message),
             Err(error) => break error,
         }
     };
     keeper.subscribers.borrow_mut().remove(link);
-    tracing::info!(instance = %card.id, error = %chain(&error), "link ended");
+    tracing::info!(instance = %card.id, error = %error_chain(&error), "link ended");
 }
 
 pub(super) async fn tick(keeper: Rc<Keeper>) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -76,19 +76,19 @@
                 "process was stalled, announcements that queued count as old"
             );
         }
-        keeper.run(|group, now, out| group.tick(now, out));
+        keeper.drive_group(|group, now, out| group.tick(now, out));
         let now = keeper.now();
         let is_behind =
-            keeper.unsynced.borrow().first().is_some_and(|it| now - it.1 > DISK_PATIENCE);
+            keeper.unsynced.borrow().first().is_some_and(|it| now - it.1 > DISK_LAG_LIMIT);
         if is_behind && keeper.is_leader() {
             tracing::warn!("the disk is behind, handing leadership over");
-            keeper.run(|group, now, out| group.transfer(now, out));
+            keeper.drive_group(|group, now, out| group.transfer(now, out));
         }
     }
 }
 
-pub(super) async fn tell_news(keeper: Rc<Keeper>) {
-    let mut ticks = interval(NEWS_INTERVAL);
+pub(super) async fn push_updates(keeper: Rc<Keeper>) {
+    let mut ticks = interval(UPDATE_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -98,8 +98,8 @@
             tracing::info!(upstream = %id, silent_s = upstreams::FORGET_AFTER.as_secs(), "upstream forgotten");
         }
         keeper.facts.borrow_mut().expire(now);
-        keeper.keep_facts();
+        keeper.store_facts();
         keeper.push();
-        keeper.links.follow(&keeper);
+        keeper.links.connect_new(&keeper);
     }
 }
--- a/crates/medlarlug-gateway/src/keeper/mod.rs
+++ b/crates/medlarlug-gateway/src/keeper/mod.rs
@@ -51,12 +51,12 @@
 
 pub use requests::Unavailable;
 
-use self::facts::KeptFacts;
+use self::facts::FactStore;
 use crate::{
-    follower::{Links, Owner, chain},
-    link::{Head, Message, News},
-    settings::{LONGEST_AGE, NO_TABLE, NodeSettings, address_of, instance_at},
-    subscribers::{Knowledge, Subscribers},
+    keeper_links::{LinkOwner, Links, error_chain},
+    link::{Message, PublicationHead, Update},
+    settings::{MAX_UPDATE_AGE, NO_TABLE, NodeSettings, address_of, instance_at},
+    subscribers::{KeeperState, Subscribers},
 };
 
 /// Heartbeat of the leader. Voters wait for four to eight of them, several round trips between
@@ -99,13 +99,13 @@
     /// Requests of this process that wait for their answer, sorted by number.
     calls: RefCell<Vec<(u64, oneshot::Sender<GroupReply>)>>,
     last_call: Cell<u64>,
-    head: RefCell<Head>,
+    head: RefCell<PublicationHead>,
     /// When evacuations of zones were withdrawn.
     suspicions: RefCell<Suspicions>,
     /// What entry instances have learned of contents that crash upstreams.
     facts: RefCell<FactLog>,
     /// What of that is on the disk, or on its way there.
-    kept: RefCell<KeptFacts>,
+    stored_facts: RefCell<FactStore>,
     /// The membership that was logged last.
     membership: RefCell<Option<Membership>>,
     table: RefCell<Option<Rc<RouteTable>>>,
@@ -124,16 +124,16 @@
     ///
     /// The durable state can't be used, or the internal address can't be listened at.
     pub async fn start(settings: NodeSettings) -> Result<Rc<Keeper>, KeeperError> {
-        let clock = Clock::start_after(LONGEST_AGE);
+        let clock = Clock::start_after(MAX_UPDATE_AGE);
         let path = settings.data.clone().ok_or(KeeperError::NoFolder)?;
         let folder = DataFolder::open(&path, &settings.card.id)?;
         let journal = Journal::open(&folder)?;
         let group = new_group(&settings, &folder, &journal, clock.now())?;
-        let mut known = FactLog::default();
+        let mut facts = FactLog::default();
         for fact in facts::restore(&journal) {
-            known.learn(clock.now(), &fact);
+            facts.learn(clock.now(), &fact);
         }
-        let (writer, mut reports) = Writer::start_persistent(journal)?;
+        let (writer, mut sync_reports) = Writer::start_persistent(journal)?;
         let listener = http_server::listen("peers", settings.card.internal).await?;
         let keeper = Rc::new(Keeper {
             settings: RefCell::new(settings),
@@ -150,8 +150,8 @@
             last_call: Cell::new(0),
             head: RefCell::default(),
             suspicions: RefCell::default(),
-            facts: RefCell::new(known),
-            kept: RefCell::default(),
+            facts: RefCell::new(facts),
+            stored_facts: RefCell::default(),
             membership: RefCell::default(),
             table: RefCell::default(),
             stall: RefCell::new(Stall::new(STALL_LIMIT)),
@@ -159,21 +159,21 @@
             failure: RefCell::default(),
         });
         keeper.refresh_head();
-        keeper.links.follow(&keeper);
+        keeper.links.connect_new(&keeper);
         task::spawn_local(loops::accept_links(keeper.clone(), listener));
         let this = keeper.clone();
         task::spawn_local(async move {
-            while let Some(report) = reports.recv().await {
+            while let Some(report) = sync_reports.recv().await {
                 match report {
                     // Nobody waits for the facts.
                     Ok(synced) if synced.group == facts::name() => {}
                     Ok(synced) => this.on_synced(synced.sequence),
-                    Err(error) => tracing::warn!(error = %chain(&error), "disk failed"),
+                    Err(error) => tracing::warn!(error = %error_chain(&error), "disk failed"),
                 }
             }
         });
         task::spawn_local(loops::tick(keeper.clone()));
-        task::spawn_local(loops::tell_news(keeper.clone()));
+        task::spawn_local(loops::push_updates(keeper.clone()));
         Ok(keeper)
     }
 
@@ -186,16 +186,16 @@
         loop {
             tokio::select! {
                 _ = stop.wait_for(|stop| *stop) => break,
-                () = sleep(loops::TICK) => {}
+                () = sleep(loops::TICK_INTERVAL) => {}
             }
             if let Some(error) = self.failure.borrow_mut().take() {
                 return Err(error.into());
             }
         }
-        let deadline = self.now() + HANDOVER_TIME;
+        let deadline = self.now() + HANDOVER_TIMEOUT;
         while self.is_leader() && self.now() < deadline {
-            self.run(|group, now, out| group.transfer(now, out));
-            sleep(HANDOVER_PAUSE).await;
+            self.drive_group(|group, now, out| group.transfer(now, out));
+            sleep(HANDOVER_POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -203,7 +203,7 @@
     /// Takes changed settings over: other contacts.
     pub fn reload(self: &Rc<Keeper>, settings: NodeSettings) {
         *self.settings.borrow_mut() = settings;
-        self.links.follow(self);
+        self.links.connect_new(self);
     }
 
     /// The keeper's availability zone.
@@ -221,18 +221,18 @@
 
     fn on_synced(&self, sequence: u64) {
         self.unsynced.borrow_mut().retain(|it| it.0 > sequence);
-        self.run(|group, now, out| group.persisted(now, sequence, out));
+        self.drive_group(|group, now, out| group.persisted(now, sequence, out));
     }
 
     /// Feeds the group and carries out what it asks for.
-    fn run<F>(&self, feed: F)
+    fn drive_group<F>(&self, feed: F)
     where
         F: FnOnce(&mut Group, Time, &mut Vec<Output>) -> Result<(), MachineError>,
     {
         let mut out = Vec::new();
         let result = feed(&mut self.group.borrow_mut(), self.now(), &mut out);
         if let Err(error) = result {
-            tracing::error!(error = %chain(&error), "the replicated state can't be decoded");
+            tracing::error!(error = %error_chain(&error), "the replicated state can't be decoded");
             *self.failure.borrow_mut() = Some(error);
         }
         let mut is_changed = false;
@@ -287,7 +287,7 @@
 
     fn reply(&self, caller: Caller, reply: GroupReply) {
         if caller.instance == self.settings.borrow().card.id {
-            return self.answer(caller.call, reply);
+            return self.complete_call(caller.call, reply);
         }
         let message = Message::Reply { call: caller.call, reply };
         self.subscribers.borrow().send(&caller.instance, &message);
@@ -297,7 +297,7 @@
     fn refresh_head(&self) {
         let group = self.group.borrow();
         let Some(publication) = group.machine().publication() else { return };
-        let head = Head {
+        let head = PublicationHead {
             version: publication.version(),
             round: publication.round(),
             evacuated: publication.evacuated().to_vec(),
@@ -316,7 +316,7 @@
             match read(publication.document()) {
                 Ok(table) => *self.table.borrow_mut() = Some(Rc::new(table)),
                 Err(error) => {
-                    tracing::error!(error = %chain(&error), "the table in force can't be read");
+                    tracing::error!(error = %error_chain(&error), "the table in force can't be read");
                 }
             }
         }
@@ -338,26 +338,26 @@
         let upstreams = self.upstreams.borrow();
         let contacts = self.contacts.borrow();
         let suspicions = self.suspicions.borrow();
-        let knowledge = Knowledge {
+        let state = KeeperState {
             upstreams: &upstreams,
             contacts: &contacts,
             head: &head,
             suspicions: &suspicions,
             facts: &self.facts.borrow(),
         };
-        subscribers.push(self.now(), knowledge);
+        subscribers.push(self.now(), state);
     }
 
-    fn on_news(&self, from: SocketAddr, news: News) {
+    fn on_update(&self, from: SocketAddr, update: Update) {
         let now = self.now();
         // News that queued during a stall are older than they say.
-        let late = self.stall.borrow().age(now);
+        let queued = self.stall.borrow().age(now);
         let mut is_changed = false;
         {
             let mut upstreams = self.upstreams.borrow_mut();
-            for (upstream, age) in news.upstreams {
-                let age = Duration::from_millis(age.into()) + late;
-                let upstream = upstream.read_late(late);
+            for (upstream, age) in update.upstreams {
+                let age = Duration::from_millis(age.into()) + queued;
+                let upstream = upstream.read_late(queued);
                 let is_gone = upstream.state == UpstreamState::Gone;
                 let id = upstream.id.clone();
                 let effect = match is_gone {
@@ -369,48 +369,48 @@
                     is_changed = true;
                 }
             }
-            let late_ms = u32::try_from(late.as_millis()).unwrap_or(u32::MAX);
-            for renewal in news.renewals {
-                let age_ms = renewal.age_ms.saturating_add(late_ms);
+            let queued_ms = u32::try_from(queued.as_millis()).unwrap_or(u32::MAX);
+            for renewal in update.renewals {
+                let age_ms = renewal.age_ms.saturating_add(queued_ms);
                 upstreams.renew(now, &Renewal { age_ms, ..renewal });
             }
             let mut contacts = self.contacts.borrow_mut();
-            let keepers = news.contacts.into_iter().filter(|it| it.0.part == Part::Keeper);
+            let keepers = update.contacts.into_iter().filter(|it| it.0.part == Part::Keeper);
             for (card, _, age) in keepers {
                 let age = Duration::from_millis(age.into());
                 contacts.hear(now, card, None, age);
             }
         }
-        is_changed |= self.learn_facts(&news.facts);
-        self.links.send(from, &Message::Seen(news.number));
+        is_changed |= self.apply_facts(&update.facts);
+        self.links.send(from, &Message::Acknowledged(update.number));
         if is_changed {
             self.push();
         }
     }
 
     /// Takes in what is known of contents that crash upstreams; tells whether any of it is new.
-    fn learn_facts(&self, facts: &[Fact]) -> bool {
+    fn apply_facts(&self, facts: &[Fact]) -> bool {
         let now = self.now();
         let mut known = self.facts.borrow_mut();
         let new = facts.iter().filter(|fact| known.learn(now, fact));
         let is_new = new.count() > 0;
         drop(known);
         if is_new {
-            self.keep_facts();
+            self.store_facts();
         }
         is_new
     }
 
     /// Writes down what has to outlive a loss of power, if it has changed.
-    fn keep_facts(&self) {
+    fn store_facts(&self) {
         let facts = self.facts.borrow().repeated_losses(self.now());
-        if let Some(batch) = self.kept.borrow_mut().batch(facts) {
+        if let Some(batch) = self.stored_facts.borrow_mut().batch(facts) {
             self.writer.persist(facts::name(), batch);
         }
     }
 
     /// A message that came over a link that the peer opened.
-    fn on_subscriber(&self, link: u64, card: &Card, message: Message) {
+    fn on_subscriber_message(&self, link: u64, card: &Card, message: Message) {
         let now = self.now();
         match message {
             Message::Ping { status, is_primary } => {
@@ -423,7 +423,9 @@
                 contacts.hear(now, card.clone(), Some(status), Duration::ZERO);
                 self.subscribers.borrow().send(&card.id, &Message::Pong);
             }
-            Message::Seen(number) => self.subscribers.borrow_mut().seen(link, number),
+            Message::Acknowledged(number) => {
+                self.subscribers.borrow_mut().acknowledged(link, number)
+            }
             Message::Fetch(version) => {
                 let group = self.group.borrow();
                 let Some(publication) = group.machine().publication() else { return };
@@ -437,7 +439,7 @@
             }
             Message::Replication(message) => {
                 let from = card.id.clone();
-                self.run(|group, now, out| group.receive(now, from, message, out));
+                self.drive_group(|group, now, out| group.receive(now, from, message, out));
             }
             Message::Leaving { upstream, birth } => {
                 let effect = self.upstreams.borrow_mut().leaves(&upstream, birth);
@@ -450,17 +452,17 @@
             Message::Facts(facts) => {
                 // Clearances are many after a crash, and can wait for the next round of news.
                 let is_urgent = facts.iter().any(|fact| matches!(fact, Fact::Lost(_)));
-                if self.learn_facts(&facts) && is_urgent {
+                if self.apply_facts(&facts) && is_urgent {
                     self.push();
                 }
             }
             Message::Call { call, request } => {
                 let caller = Caller { instance: card.id.clone(), call };
-                self.run(|group, now, out| group.call(now, caller, request, out));
+                self.drive_group(|group, now, out| group.call(now, caller, request, out));
             }
             Message::Hello(_)
             | Message::Pong
-            | Message::News(_)
+            | Message::Update(_)
             | Message::Document { .. }
             | Message::Reply { .. } => {
                 tracing::warn!(instance = %card.id, "unexpected message");
@@ -470,11 +472,11 @@
 }
 
 /// Time in which a leader that stops hands over: a few round trips between regions.
-const HANDOVER_TIME: Duration = Duration::from_millis(1_200);
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Pause between two looks at whether another member leads.
-const HANDOVER_PAUSE: Duration = Duration::from_millis(100);
+const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-impl Owner for Keeper {
+impl LinkOwner for Keeper {
     fn card(&self) -> Card {
         self.settings.borrow().card.clone()
     }
@@ -504,12 +506,12 @@
     }
 
     /// Other keepers tell each renewal, so nothing rests on what a link has told.
-    fn opened(&self, _: SocketAddr) {}
+    fn link_opened(&self, _: SocketAddr) {}
 
     fn receive(&self, from: SocketAddr, message: Message) {
         match message {
-            Message::News(news) => self.on_news(from, news),
-            Message::Reply { call, reply } => self.answer(call, reply),
+            Message::Update(update) => self.on_update(from, update),
+            Message::Reply { call, reply } => self.complete_call(call, reply),
             Message::Pong => {}
             _ => tracing::warn!(keeper = %from, "unexpected message"),
         }
--- a/crates/medlarlug-gateway/src/keeper/requests.rs
+++ b/crates/medlarlug-gateway/src/keeper/requests.rs
@@ -37,7 +37,7 @@
 /// second.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause between two looks at who has confirmed.
-const CONFIRM_PAUSE: Duration = Duration::from_millis(20);
+const CONFIRM_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time after the start in which too few entry instances are linked to name them to callers.
 const WARM_UP: Duration = Duration::from_millis(1_500);
 
@@ -56,7 +56,7 @@
         let now = self.now();
         let age = self.stall.borrow().age(now);
         let effect = self.upstreams.borrow_mut().announce_here(now, upstream, age);
-        self.count(effect);
+        self.count_announcement(effect);
         if effect == Effect::Changed {
             let age_ms = age.as_millis() as u64;
             tracing::info!(upstream = %id, birth, sequence, ?state, age_ms, "upstream changed");
@@ -68,10 +68,10 @@
     }
 
     /// Takes in that an upstream has left. Returns once every linked entry instance knows.
-    pub async fn leave(&self, id: &UpstreamId, unknown: Upstream) {
+    pub async fn upstream_left(&self, id: &UpstreamId, unknown: Upstream) {
         let now = self.now();
         let effect = self.upstreams.borrow_mut().leave_unknown(now, unknown);
-        self.count(effect);
+        self.count_announcement(effect);
         if effect == Effect::Changed {
             tracing::info!(upstream = %id, "upstream left");
             self.push();
@@ -115,7 +115,7 @@
     /// # Errors
     ///
     /// No leader answered in time.
-    pub async fn published(&self) -> Result<Publication, Unavailable> {
+    pub async fn read_publication(&self) -> Result<Publication, Unavailable> {
         match self.submit(GroupRequest::Published).await? {
             GroupReply::Published(publication) => Ok(*publication),
             _ => Err(Unavailable),
@@ -150,7 +150,7 @@
         read(document)
     }
 
-    fn count(&self, effect: Effect) {
+    fn count_announcement(&self, effect: Effect) {
         let effect = match effect {
             Effect::Ignored => "ignored",
             Effect::Renewed => "renewed",
@@ -160,13 +160,13 @@
     }
 
     async fn wait_for_entries(&self) {
-        let waited = self.subscribers.borrow().unseen_by_entries();
-        let seen = async {
-            while !self.subscribers.borrow().have_seen(&waited) {
-                sleep(CONFIRM_PAUSE).await;
+        let pending = self.subscribers.borrow().unacknowledged_by_entries();
+        let confirmed = async {
+            while !self.subscribers.borrow().all_acknowledged(&pending) {
+                sleep(CONFIRM_POLL_INTERVAL).await;
             }
         };
-        if timeout(CONFIRM_TIMEOUT, seen).await.is_err() {
+        if timeout(CONFIRM_TIMEOUT, confirmed).await.is_err() {
             tracing::warn!("entry instances didn't confirm that an upstream leaves");
         }
     }
@@ -195,7 +195,7 @@
         self.calls.borrow_mut().push((call, sender));
         if leader == own {
             let caller = Caller { instance: own, call };
-            self.run(|group, now, out| group.call(now, caller, request, out));
+            self.drive_group(|group, now, out| group.call(now, caller, request, out));
         } else {
             let port = self.settings.borrow().card.internal.port();
             let address = address_of(&leader, port)?;
@@ -204,7 +204,7 @@
         receiver.await.ok()
     }
 
-    pub(super) fn answer(&self, call: u64, reply: GroupReply) {
+    pub(super) fn complete_call(&self, call: u64, reply: GroupReply) {
         let mut calls = self.calls.borrow_mut();
         calls.retain(|it| !it.1.is_closed());
         if let Ok(at) = calls.binary_search_by(|it| it.0.cmp(&call)) {
--- a/crates/medlarlug-gateway/src/follower.rs
+++ b/crates/medlarlug-gateway/src/keeper_links.rs
@@ -8,10 +8,10 @@
 use crate::link::{self, LinkError, LinkSender, Message, PING_INTERVAL};
 
 /// Pause before a link that ended is opened again.
-const REOPEN_PAUSE: Duration = Duration::from_millis(300);
+const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 
 /// What a process does with its links to keepers.
-pub(crate) trait Owner: 'static {
+pub(crate) trait LinkOwner: 'static {
     /// How the process introduces itself.
     fn card(&self) -> Card;
     /// What it tells of its state in pings.
@@ -21,17 +21,17 @@
     /// The keepers that it wants links to.
     fn keepers(&self) -> Vec<SocketAddr>;
     /// A new link to the keeper at `address` is open.
-    fn opened(&self, address: SocketAddr);
+    fn link_opened(&self, address: SocketAddr);
     /// Takes a message in that came from the keeper at `from`.
     fn receive(&self, from: SocketAddr, message: Message);
 }
 
 /// The keepers that a task keeps a link to, sorted, and the link while it is open.
-type Followed = Vec<(SocketAddr, Option<LinkSender>)>;
+type LinkTable = Vec<(SocketAddr, Option<LinkSender>)>;
 
 /// The open links, by the address of the keeper.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Links(Rc<RefCell<Followed>>);
+pub(crate) struct Links(Rc<RefCell<LinkTable>>);
 
 impl Links {
     /// Sends a message to the keeper at `to`, if a link to it is open.
@@ -50,24 +50,24 @@
     }
 
     /// The keepers with an open link.
-    pub(crate) fn open_to(&self) -> Vec<SocketAddr> {
+    pub(crate) fn connected(&self) -> Vec<SocketAddr> {
         let links = self.0.borrow();
         links.iter().filter(|it| it.1.is_some()).map(|it| it.0).collect()
     }
 
     /// Number of open links.
-    pub(crate) fn open(&self) -> usize {
+    pub(crate) fn open_count(&self) -> usize {
         self.0.borrow().iter().filter(|it| it.1.is_some()).count()
     }
 
     /// Starts a task for each keeper of `owner` that has none.
-    pub(crate) fn follow<O: Owner>(&self, owner: &Rc<O>) {
+    pub(crate) fn connect_new<O: LinkOwner>(&self, owner: &Rc<O>) {
         let own = owner.card().internal;
         for address in owner.keepers() {
             if address == own || !self.add(address) {
                 continue;
             }
-            task::spawn_local(keep(self.clone(), owner.clone(), address));
+            task::spawn_local(maintain(self.clone(), owner.clone(), address));
         }
     }
 
@@ -92,31 +92,31 @@
 }
 
 /// Keeps a link open as long as the keeper is wanted.
-async fn keep<O: Owner>(links: Links, owner: Rc<O>, address: SocketAddr) {
+async fn maintain<O: LinkOwner>(links: Links, owner: Rc<O>, address: SocketAddr) {
     let mut was_open = true;
     while owner.keepers().contains(&address) {
         let error = match link::open(address, owner.card()).await {
             Ok((sender, receiver)) => {
                 tracing::info!(keeper = %address, "link opened");
                 links.set(address, Some(sender.clone()));
-                owner.opened(address);
+                owner.link_opened(address);
                 was_open = true;
-                let error = run(&owner, address, sender, receiver).await;
+                let error = serve_link(&owner, address, sender, receiver).await;
                 links.set(address, None);
                 error
             }
             Err(error) => error,
         };
         if was_open {
-            tracing::warn!(keeper = %address, error = %chain(&error), "link lost");
+            tracing::warn!(keeper = %address, error = %error_chain(&error), "link lost");
         }
         was_open = false;
-        tokio::time::sleep(REOPEN_PAUSE).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
     links.remove(address);
 }
 
-async fn run<O: Owner>(
+async fn serve_link<O: LinkOwner>(
     owner: &Rc<O>,
     address: SocketAddr,
     sender: LinkSender,
@@ -148,7 +148,7 @@
 }
 
 /// An error with its causes on one line.
-pub(crate) fn chain(error: &dyn std::error::Error) -> String {
+pub(crate) fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/medlarlug-gateway/src/lib.rs
+++ b/crates/medlarlug-gateway/src/lib.rs
@@ -6,7 +6,7 @@
 //! or through an entry instance of another region.
 //!
 //! Every process opens a [`link`] to every keeper that it knows of. The keeper at the other end
-//! sends [`link::News`] over it: changed upstreams, the version of the table, evacuated zones, and
+//! sends [`link::Update`] over it: changed upstreams, the version of the table, evacuated zones, and
 //! the instances of the system. So each entry instance hears from every keeper that it can reach,
 //! and needs any one of them only.
 //!
@@ -21,6 +21,6 @@
 pub mod metrics;
 pub mod settings;
 
-mod follower;
-mod loads;
+mod keeper_links;
+mod load_exchange;
 mod subscribers;
--- a/crates/medlarlug-gateway/src/link.rs
+++ b/crates/medlarlug-gateway/src/link.rs
@@ -35,7 +35,7 @@
 /// Time between two pings; a peer that was cut off is noticed after a few.
 pub const PING_INTERVAL: Duration = Duration::from_millis(400);
 /// Silence after which a link is given up, and a new connection is tried: three pings and the way.
-pub const SILENCE: Duration = Duration::from_millis(1_500);
+pub const LINK_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time for a connection to open: a few round trips between regions, with a lost packet.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -46,8 +46,8 @@
 
 /// What a keeper sends to those that opened a link to it. Only what is new is there.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
-    /// Counts the news on this link; the receiver answers with [`Message::Seen`].
+pub struct Update {
+    /// Counts the news on this link; the receiver answers with [`Message::Acknowledged`].
     pub number: u64,
     /// Upstreams that are new or have changed, and the age of what they said, in milliseconds.
     pub upstreams: Vec<(Upstream, u32)>,
@@ -56,7 +56,7 @@
     /// To entry instances: that all upstreams were heard, but for some.
     pub pulse: Option<Pulse>,
     /// The replicated state.
-    pub head: Option<Head>,
+    pub head: Option<PublicationHead>,
     /// With the replicated state: the zones that were evacuated before, and how long ago that was
     /// withdrawn at most, in milliseconds.
     pub restored: Vec<(ZoneId, u32)>,
@@ -71,7 +71,7 @@
     pub facts: Vec<Fact>,
 }
 
-impl Head {
+impl PublicationHead {
     /// The evacuated zones.
     pub fn evacuations(&self) -> Evacuations<'_> {
         Evacuations { round: self.round, zones: &self.evacuated }
@@ -80,7 +80,7 @@
 
 /// The replicated state without its document.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct PublicationHead {
     /// Version of the table.
     pub version: TableVersion,
     /// Number of changes of `evacuated`.
@@ -104,9 +104,11 @@
     /// The answer to a ping.
     Pong,
     /// From a keeper.
-    News(News),
+    #[serde(rename = "News")]
+    Update(Update),
     /// Everything up to the news with this number was taken in.
-    Seen(u64),
+    #[serde(rename = "Seen")]
+    Acknowledged(u64),
     /// Asks a keeper for the table, if it has this version or a higher one.
     Fetch(TableVersion),
     /// The answer to [`Message::Fetch`].
@@ -158,22 +160,22 @@
     },
     /// The connection failed or was closed.
     #[error("the connection ended")]
-    Ended(#[source] io::Error),
-    /// Nothing was heard for [`SILENCE`].
-    #[error("the peer was silent for {}s", SILENCE.as_secs_f32())]
-    Silent,
+    Disconnected(#[source] io::Error),
+    /// Nothing was heard for [`LINK_TIMEOUT`].
+    #[error("the peer was silent for {}s", LINK_TIMEOUT.as_secs_f32())]
+    Unresponsive,
     /// A frame is longer than permitted.
     #[error("a frame of {bytes} bytes")]
-    TooLong {
+    FrameTooLong {
         /// Its length.
         bytes: u32,
     },
     /// A frame holds no message.
     #[error("a frame holds no message")]
-    Message(#[source] postcard::Error),
+    Decode(#[source] postcard::Error),
     /// The peer began with something else than its introduction.
     #[error("the peer didn't introduce itself")]
-    NoHello,
+    NoIntroduction,
     /// The process gave the link up.
     #[error("the link was closed by this process")]
     Closed,
@@ -211,22 +213,22 @@
     ///
     /// # Errors
     ///
-    /// The link ended, was silent for [`SILENCE`], or carries no messages.
+    /// The link ended, was silent for [`LINK_TIMEOUT`], or carries no messages.
     pub async fn receive(&mut self) -> Result<Message, LinkError> {
-        match timeout(SILENCE, self.read()).await {
+        match timeout(LINK_TIMEOUT, self.read()).await {
             Ok(result) => result,
-            Err(_) => Err(LinkError::Silent),
+            Err(_) => Err(LinkError::Unresponsive),
         }
     }
 
     async fn read(&mut self) -> Result<Message, LinkError> {
-        let bytes = self.0.read_u32_le().await.map_err(LinkError::Ended)?;
+        let bytes = self.0.read_u32_le().await.map_err(LinkError::Disconnected)?;
         if bytes > MAX_FRAME_BYTES {
-            return Err(LinkError::TooLong { bytes });
+            return Err(LinkError::FrameTooLong { bytes });
         }
         let mut frame = vec![0; bytes as usize];
-        self.0.read_exact(&mut frame).await.map_err(LinkError::Ended)?;
-        postcard::from_bytes(&frame).map_err(LinkError::Message)
+        self.0.read_exact(&mut frame).await.map_err(LinkError::Disconnected)?;
+        postcard::from_bytes(&frame).map_err(LinkError::Decode)
     }
 }
 
@@ -258,7 +260,7 @@
     let (sender, mut receiver) = split(stream);
     match receiver.receive().await? {
         Message::Hello(card) => Ok((card, sender, receiver)),
-        _ => Err(LinkError::NoHello),
+        _ => Err(LinkError::NoIntroduction),
     }
 }
 
@@ -268,20 +270,20 @@
     }
     let (read, write) = stream.into_split();
     let (sender, queue) = mpsc::channel(QUEUE_MESSAGES);
-    task::spawn_local(write_all(write, queue));
+    task::spawn_local(write_frames(write, queue));
     (LinkSender(sender), LinkReceiver(read))
 }
 
 /// Writes frames until the queue or the connection ends; what waits goes out in one write.
-async fn write_all(mut write: OwnedWriteHalf, mut queue: mpsc::Receiver<Bytes>) {
-    let mut together = Vec::new();
+async fn write_frames(mut write: OwnedWriteHalf, mut queue: mpsc::Receiver<Bytes>) {
+    let mut batch = Vec::new();
     while let Some(first) = queue.recv().await {
-        together.clear();
-        together.extend_from_slice(&first);
+        batch.clear();
+        batch.extend_from_slice(&first);
         while let Ok(next) = queue.try_recv() {
-            together.extend_from_slice(&next);
+            batch.extend_from_slice(&next);
         }
-        if write.write_all(&together).await.is_err() {
+        if write.write_all(&batch).await.is_err() {
             // The reading side reports the end of the connection.
             return;
         }
--- a/crates/medlarlug-gateway/src/loads.rs
+++ b/crates/medlarlug-gateway/src/load_exchange.rs
@@ -30,16 +30,16 @@
 /// Time between two whole reports to all instances of a small region.
 const DIRECT_INTERVAL: Duration = Duration::from_millis(80);
 /// Time between two whole reports to collectors, and between two whole sums.
-const SUM_INTERVAL: Duration = Duration::from_millis(240);
+const AGGREGATE_INTERVAL: Duration = Duration::from_millis(240);
 /// Time after which there is a report without anything new, a part of the lifetime of reports.
-const KEEPALIVE: Duration = Duration::from_millis(400);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(400);
 /// Pause after changes were passed on by a collector: a fraction of the time in which a long prompt is
 /// read.
-const CHANGE_PAUSE: Duration = Duration::from_millis(20);
+const FORWARD_PAUSE: Duration = Duration::from_millis(20);
 /// Time for which an instance that asked a collector for sums is sent them.
-const ASKED_FOR: Duration = Duration::from_secs(1);
+const SUBSCRIPTION_LIFETIME: Duration = Duration::from_secs(1);
 /// Longest datagram, below the usual size of a packet.
-const MAX_BYTES: usize = 1_400;
+const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// Loads in one datagram at most: one takes up to ten bytes.
 const MAX_LOADS: usize = 130;
 
@@ -52,12 +52,14 @@
         /// Whether `loads` are all upstreams at which the instance has calls, or only changed ones.
         is_whole: bool,
         /// Whether the instance wants sums from the receiver.
-        asks: bool,
+        #[serde(rename = "asks")]
+        wants_aggregate: bool,
         loads: Vec<LoadReport>,
     },
     /// What several instances have under way: those of a zone, or else all of the region but the
     /// receiver.
-    Sum {
+    #[serde(rename = "Sum")]
+    Aggregate {
         zone: Option<ZoneId>,
         is_whole: bool,
         /// How many they are.
@@ -76,43 +78,43 @@
 pub(crate) struct Exchange {
     /// Upstreams whose load peers have to know at once, sorted.
     changed: RefCell<Vec<UpstreamId>>,
-    noted: Notify,
+    has_changed: Notify,
     role: Cell<Option<Role>>,
     /// To whom this instance reports, collectors in their order.
     report_to: RefCell<Vec<Peer>>,
     /// To whom the sum over the own zone goes.
-    sum_to: RefCell<Vec<Peer>>,
+    aggregate_to: RefCell<Vec<Peer>>,
     /// Instances that asked for sums, and when they last did; sorted.
-    asked: RefCell<Vec<(Peer, Time)>>,
+    subscriptions: RefCell<Vec<(Peer, Time)>>,
     /// At a collector: upstreams whose load was told since changes were last passed on, sorted.
-    passed: RefCell<Vec<UpstreamKey>>,
+    to_forward: RefCell<Vec<UpstreamKey>>,
     /// Those of them that the own zone told; what other zones tell does not go back to them.
-    of_zone: RefCell<Vec<UpstreamKey>>,
-    heard: Notify,
+    from_own_zone: RefCell<Vec<UpstreamKey>>,
+    has_to_forward: Notify,
     /// When the collector that is asked first was last heard.
-    summed: Cell<Option<Time>>,
+    aggregate_received: Cell<Option<Time>>,
     /// Live entry instances of the region, this one included.
     instances: Cell<usize>,
 }
 
 impl Exchange {
     /// Has the load of an upstream told.
-    pub(crate) fn note(&self, upstream: &UpstreamId) {
-        insert(&mut self.changed.borrow_mut(), upstream.clone());
-        self.noted.notify_one();
-        self.pass_on(UpstreamKey::of(upstream), true);
+    pub(crate) fn report_at_once(&self, upstream: &UpstreamId) {
+        insert_sorted(&mut self.changed.borrow_mut(), upstream.clone());
+        self.has_changed.notify_one();
+        self.forward(UpstreamKey::of(upstream), true);
     }
 
     /// Has a collector pass on the load of an upstream; `is_own` tells whether the own zone told it.
-    fn pass_on(&self, upstream: UpstreamKey, is_own: bool) {
+    fn forward(&self, upstream: UpstreamKey, is_own_zone: bool) {
         if !matches!(self.role.get(), Some(Role::Collector { .. })) {
             return;
         }
-        insert(&mut self.passed.borrow_mut(), upstream);
-        if is_own {
-            insert(&mut self.of_zone.borrow_mut(), upstream);
+        insert_sorted(&mut self.to_forward.borrow_mut(), upstream);
+        if is_own_zone {
+            insert_sorted(&mut self.from_own_zone.borrow_mut(), upstream);
         }
-        self.heard.notify_one();
+        self.has_to_forward.notify_one();
     }
 
     /// Live entry instances of the region, this one included, as of the last round.
@@ -120,8 +122,8 @@
         self.instances.get().max(1)
     }
 
-    async fn next(&self) -> Vec<UpstreamId> {
-        self.noted.notified().await;
+    async fn next_changes(&self) -> Vec<UpstreamId> {
+        self.has_changed.notified().await;
         std::mem::take(&mut *self.changed.borrow_mut())
     }
 
@@ -134,7 +136,7 @@
             known.map(|(member, address)| (member.id.clone(), *address)).collect()
         };
         *self.report_to.borrow_mut() = addressed(&plan.report_to);
-        *self.sum_to.borrow_mut() = addressed(&plan.sum_to);
+        *self.aggregate_to.borrow_mut() = addressed(&plan.sum_to);
         self.instances.set(members.len());
         if self.role.replace(Some(plan.role)) != Some(plan.role) {
             let instances = members.len();
@@ -143,29 +145,29 @@
     }
 
     /// Whether the collector at `place` is asked for sums.
-    fn asks(&self, now: Time, place: usize) -> bool {
-        let is_silent = self.summed.get().is_none_or(|heard| now - heard > SILENCE);
+    fn wants_aggregate(&self, now: Time, place: usize) -> bool {
+        let is_silent = self.aggregate_received.get().is_none_or(|heard| now - heard > SILENCE);
         self.role.get() == Some(Role::Reporter) && (place == 0 || is_silent)
     }
 
-    fn has_asked(&self, now: Time, peer: Peer) {
-        let mut asked = self.asked.borrow_mut();
-        match asked.binary_search_by(|it| it.0.cmp(&peer)) {
-            Ok(at) => asked[at].1 = now,
-            Err(at) => asked.insert(at, (peer, now)),
+    fn subscribe(&self, now: Time, peer: Peer) {
+        let mut subscriptions = self.subscriptions.borrow_mut();
+        match subscriptions.binary_search_by(|it| it.0.cmp(&peer)) {
+            Ok(at) => subscriptions[at].1 = now,
+            Err(at) => subscriptions.insert(at, (peer, now)),
         }
     }
 
     /// Those that have asked for sums lately.
-    fn asking(&self, now: Time) -> Vec<Peer> {
-        let mut asked = self.asked.borrow_mut();
-        asked.retain(|it| now - it.1 < ASKED_FOR);
-        asked.iter().map(|it| it.0.clone()).collect()
+    fn subscribers(&self, now: Time) -> Vec<Peer> {
+        let mut subscriptions = self.subscriptions.borrow_mut();
+        subscriptions.retain(|it| now - it.1 < SUBSCRIPTION_LIFETIME);
+        subscriptions.iter().map(|it| it.0.clone()).collect()
     }
 }
 
 /// Adds to a sorted list what it lacks.
-fn insert<T: Ord>(list: &mut Vec<T>, item: T) {
+fn insert_sorted<T: Ord>(list: &mut Vec<T>, item: T) {
     if let Err(at) = list.binary_search(&item) {
         list.insert(at, item);
     }
@@ -181,7 +183,7 @@
 }
 
 /// Sends whole reports and sums for as long as the process runs.
-pub(crate) async fn tell(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
+pub(crate) async fn send_reports(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     let (mut last, mut reported) = (Vec::new(), Time::ZERO);
     loop {
         let exchange = entry.exchange();
@@ -189,48 +191,48 @@
         exchange.plan(&own, &region);
         let now = entry.now();
         let loads = entry.load_report();
-        if loads != last || now - reported >= KEEPALIVE {
+        if loads != last || now - reported >= KEEPALIVE_INTERVAL {
             report(&entry, &socket, true, &loads);
             (last, reported) = (loads, now);
         }
         match exchange.role.get() {
             Some(Role::Collector { place }) => {
-                entry.forget_silent();
+                entry.expire_peer_loads();
                 // The others stand in for the first one, as far as whole sums do.
-                tell_instances(&entry, &socket, None);
+                send_aggregate(&entry, &socket, None);
                 if place <= 1 {
-                    tell_zones(&entry, &socket, None);
+                    send_zone_aggregate(&entry, &socket, None);
                 }
-                sleep(SUM_INTERVAL).await;
+                sleep(AGGREGATE_INTERVAL).await;
             }
-            Some(Role::Reporter) => sleep(SUM_INTERVAL).await,
+            Some(Role::Reporter) => sleep(AGGREGATE_INTERVAL).await,
             Some(Role::Direct) | None => sleep(DIRECT_INTERVAL).await,
         }
     }
 }
 
 /// Reports noted changes for as long as the process runs.
-pub(crate) async fn tell_changes(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
+pub(crate) async fn send_changes(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     loop {
-        let upstreams = entry.exchange().next().await;
+        let upstreams = entry.exchange().next_changes().await;
         report(&entry, &socket, false, &entry.load_report_of(&upstreams));
     }
 }
 
 /// Passes changes on as a collector, for as long as the process runs.
-pub(crate) async fn pass_changes_on(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
+pub(crate) async fn forward_changes(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     let exchange = entry.exchange();
     loop {
-        exchange.heard.notified().await;
-        let passed = std::mem::take(&mut *exchange.passed.borrow_mut());
-        let of_zone = std::mem::take(&mut *exchange.of_zone.borrow_mut());
+        exchange.has_to_forward.notified().await;
+        let to_forward = std::mem::take(&mut *exchange.to_forward.borrow_mut());
+        let from_own_zone = std::mem::take(&mut *exchange.from_own_zone.borrow_mut());
         if let Some(Role::Collector { place }) = exchange.role.get() {
-            tell_instances(&entry, &socket, Some(&passed));
-            if place == 0 && !of_zone.is_empty() {
-                tell_zones(&entry, &socket, Some(&of_zone));
+            send_aggregate(&entry, &socket, Some(&to_forward));
+            if place == 0 && !from_own_zone.is_empty() {
+                send_zone_aggregate(&entry, &socket, Some(&from_own_zone));
             }
         }
-        sleep(CHANGE_PAUSE).await;
+        sleep(FORWARD_PAUSE).await;
     }
 }
 
@@ -238,28 +240,28 @@
     let exchange = entry.exchange();
     let now = entry.now();
     for (place, peer) in exchange.report_to.borrow().iter().enumerate() {
-        let (from, asks) = (entry.id(), exchange.asks(now, place));
+        let (from, wants_aggregate) = (entry.id(), exchange.wants_aggregate(now, place));
         let loads = fit(loads.to_vec());
-        send(socket, &Datagram::Report { from, is_whole, asks, loads }, peer.1);
+        send(socket, &Datagram::Report { from, is_whole, wants_aggregate, loads }, peer.1);
     }
 }
 /// Sends those that asked what all others have under way: everything, or what has `changed`.
-fn tell_instances(entry: &Entry, socket: &UdpSocket, changed: Option<&[UpstreamKey]>) {
-    for (id, address) in entry.exchange().asking(entry.now()) {
-        let (instances, loads) = entry.sum_for(&id);
-        send(socket, &sum(None, instances, loads, changed), address);
+fn send_aggregate(entry: &Entry, socket: &UdpSocket, changed: Option<&[UpstreamKey]>) {
+    for (id, address) in entry.exchange().subscribers(entry.now()) {
+        let (instances, loads) = entry.aggregate_for(&id);
+        send(socket, &aggregate(None, instances, loads, changed), address);
     }
 }
 
 /// Sends other zones what the instances of the own one have under way: everything, or what has
 /// `changed`.
-fn tell_zones(entry: &Entry, socket: &UdpSocket, changed: Option<&[UpstreamKey]>) {
-    let (zone, instances, loads) = entry.zone_sum();
-    let sum = sum(Some(zone), instances, loads, changed);
-    entry.exchange().sum_to.borrow().iter().for_each(|it| send(socket, &sum, it.1));
+fn send_zone_aggregate(entry: &Entry, socket: &UdpSocket, changed: Option<&[UpstreamKey]>) {
+    let (zone, instances, loads) = entry.zone_aggregate();
+    let aggregate = aggregate(Some(zone), instances, loads, changed);
+    entry.exchange().aggregate_to.borrow().iter().for_each(|it| send(socket, &aggregate, it.1));
 }
 
-fn sum(
+fn aggregate(
     zone: Option<ZoneId>,
     instances: usize,
     loads: Vec<LoadReport>,
@@ -270,7 +272,7 @@
         Some(changed) => changed.iter().map(|it| find(&loads, *it)).collect(),
         None => loads,
     };
-    Datagram::Sum { zone, is_whole, instances, loads: fit(loads) }
+    Datagram::Aggregate { zone, is_whole, instances, loads: fit(loads) }
 }
 
 /// The heaviest loads that fit into a datagram; the others matter least.
@@ -301,12 +303,12 @@
 }
 
 /// Takes reports and sums in for as long as the process runs.
-pub(crate) async fn hear(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
-    let mut buffer = [0; MAX_BYTES + 1];
+pub(crate) async fn receive_datagrams(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((bytes, from)) => match postcard::from_bytes(&buffer[..bytes]) {
-                Ok(datagram) => receive(&entry, from, datagram),
+                Ok(datagram) => handle_datagram(&entry, from, datagram),
                 Err(error) => tracing::debug!(%error, "load report can't be read"),
             },
             Err(error) => {
@@ -319,38 +321,38 @@
 
 /// Takes a message in if it fits the own part: another instance may not know yet that this one has
 /// another part.
-fn receive(entry: &Entry, address: SocketAddr, datagram: Datagram) {
+fn handle_datagram(entry: &Entry, address: SocketAddr, datagram: Datagram) {
     let exchange = entry.exchange();
     let now = entry.now();
     let (source, is_whole, instances, loads) = match (datagram, exchange.role.get()) {
-        (Datagram::Limit(message), _) => return entry.hear_limit_message(address, message),
+        (Datagram::Limit(message), _) => return entry.on_limit_message(address, message),
         (
-            Datagram::Report { from, is_whole, asks, loads },
+            Datagram::Report { from, is_whole, wants_aggregate, loads },
             Some(Role::Direct | Role::Collector { .. }),
         ) => {
-            if asks {
-                exchange.has_asked(now, (from.clone(), address));
+            if wants_aggregate {
+                exchange.subscribe(now, (from.clone(), address));
             }
             (Source::Peer(from), is_whole, 1, loads)
         }
-        (Datagram::Sum { zone: None, is_whole, instances, loads }, Some(Role::Reporter)) => {
+        (Datagram::Aggregate { zone: None, is_whole, instances, loads }, Some(Role::Reporter)) => {
             let is_first = exchange.report_to.borrow().first().is_some_and(|it| it.1 == address);
             if is_first {
-                exchange.summed.set(Some(now));
+                exchange.aggregate_received.set(Some(now));
             }
             (Source::Collector, is_whole, instances, loads)
         }
         (
-            Datagram::Sum { zone: Some(zone), is_whole, instances, loads },
+            Datagram::Aggregate { zone: Some(zone), is_whole, instances, loads },
             Some(Role::Collector { .. }),
         ) => (Source::Zone(zone), is_whole, instances, loads),
         _ => return,
     };
     if is_whole {
-        entry.hear_loads(source, instances, loads);
+        entry.apply_loads(source, instances, loads);
     } else {
-        let is_own = matches!(source, Source::Peer(_));
-        loads.iter().for_each(|load| exchange.pass_on(load.upstream, is_own));
-        entry.hear_changes(&source, loads);
+        let is_own_zone = matches!(source, Source::Peer(_));
+        loads.iter().for_each(|load| exchange.forward(load.upstream, is_own_zone));
+        entry.apply_load_changes(&source, loads);
     }
 }
--- a/crates/medlarlug-gateway/src/metrics.rs
+++ b/crates/medlarlug-gateway/src/metrics.rs
@@ -2,61 +2,61 @@
 
 use metrics::{Unit, describe_counter, describe_gauge, describe_histogram};
 
-/// Counter: calls that ended. Label: `outcome` (see [`crate::entry::Ended`]).
-pub const CALLS: &str = "medlarlug_gateway_calls_total";
+/// Counter: calls that ended. Label: `outcome` (see [`crate::entry::CallOutcome`]).
+pub const CALLS_ENDED: &str = "medlarlug_gateway_calls_total";
 /// Histogram in seconds: from the arrival of a call to the head of its answer.
-pub const HEAD_TIME: &str = "medlarlug_gateway_head_seconds";
+pub const HEAD_SECONDS: &str = "medlarlug_gateway_head_seconds";
 /// Counter: requests to upstreams beyond the first of their call.
-pub const REPEATS: &str = "medlarlug_gateway_repeats_total";
+pub const RETRIES: &str = "medlarlug_gateway_repeats_total";
 /// Counter: repeats that the budget of their service did not allow.
-pub const REPEATS_DENIED: &str = "medlarlug_gateway_repeats_denied_total";
+pub const RETRIES_DENIED: &str = "medlarlug_gateway_repeats_denied_total";
 /// Counter: requests to upstreams that count as cold.
-pub const COLD_SENDS: &str = "medlarlug_gateway_cold_sends_total";
+pub const COLD_REQUESTS: &str = "medlarlug_gateway_cold_sends_total";
 /// Counter: upstreams that said in an answer that they are leaving.
-pub const LEAVING: &str = "medlarlug_gateway_leaving_total";
+pub const LEAVING_UPSTREAMS: &str = "medlarlug_gateway_leaving_total";
 /// Counter: rests that upstreams asked for.
-pub const RESTS: &str = "medlarlug_gateway_rests_total";
+pub const BACKOFFS: &str = "medlarlug_gateway_rests_total";
 /// Counter: limits that upstreams named.
 pub const NAMED_LIMITS: &str = "medlarlug_gateway_named_limits_total";
 /// Counter: requests to upstreams that have named a limit.
-pub const LIMITED_SENDS: &str = "medlarlug_gateway_limited_sends_total";
+pub const LIMITED_REQUESTS: &str = "medlarlug_gateway_limited_sends_total";
 /// Counter: upstreams that crashed with requests of this instance in flight.
-pub const CRASHES: &str = "medlarlug_gateway_crashes_total";
+pub const UPSTREAM_CRASHES: &str = "medlarlug_gateway_crashes_total";
 /// Counter: calls that were not run because their content crashes upstreams.
-pub const QUARANTINED: &str = "medlarlug_gateway_quarantined_total";
+pub const QUARANTINED_CALLS: &str = "medlarlug_gateway_quarantined_total";
 /// Counter: calls handed to another region.
-pub const FORWARDED: &str = "medlarlug_gateway_forwarded_total";
+pub const FORWARDED_CALLS: &str = "medlarlug_gateway_forwarded_total";
 /// Counter in bytes: load reports sent to other instances of the region.
 pub const LOAD_BYTES: &str = "medlarlug_gateway_load_bytes_total";
 /// Gauge: version of the route table in force.
 pub const TABLE_VERSION: &str = "medlarlug_gateway_table_version";
 /// Gauge: upstreams that are known and take calls.
-pub const UPSTREAMS: &str = "medlarlug_gateway_upstreams";
+pub const READY_UPSTREAMS: &str = "medlarlug_gateway_upstreams";
 /// Gauge: open links to keepers.
-pub const LINKS: &str = "medlarlug_gateway_links";
+pub const OPEN_LINKS: &str = "medlarlug_gateway_links";
 /// Counter: announcements of upstreams. Label: `effect`.
 pub const ANNOUNCEMENTS: &str = "medlarlug_gateway_announcements_total";
 /// Counter: announcements that could not be read.
-pub const UNREADABLE: &str = "medlarlug_gateway_unreadable_announcements_total";
+pub const INVALID_ANNOUNCEMENTS: &str = "medlarlug_gateway_unreadable_announcements_total";
 
 /// Describes the metrics to the recorder.
 pub fn describe() {
-    describe_counter!(CALLS, "Calls that ended, by outcome");
-    describe_histogram!(HEAD_TIME, Unit::Seconds, "Arrival of a call to the head of its answer");
-    describe_counter!(REPEATS, "Requests to upstreams beyond the first of their call");
-    describe_counter!(REPEATS_DENIED, "Repeats that the budget of their service did not allow");
-    describe_counter!(COLD_SENDS, "Requests to upstreams that count as cold");
-    describe_counter!(LEAVING, "Upstreams that said in an answer that they are leaving");
-    describe_counter!(RESTS, "Rests that upstreams asked for");
+    describe_counter!(CALLS_ENDED, "Calls that ended, by outcome");
+    describe_histogram!(HEAD_SECONDS, Unit::Seconds, "Arrival of a call to the head of its answer");
+    describe_counter!(RETRIES, "Requests to upstreams beyond the first of their call");
+    describe_counter!(RETRIES_DENIED, "Repeats that the budget of their service did not allow");
+    describe_counter!(COLD_REQUESTS, "Requests to upstreams that count as cold");
+    describe_counter!(LEAVING_UPSTREAMS, "Upstreams that said in an answer that they are leaving");
+    describe_counter!(BACKOFFS, "Rests that upstreams asked for");
     describe_counter!(NAMED_LIMITS, "Limits that upstreams named");
-    describe_counter!(LIMITED_SENDS, "Requests to upstreams that have named a limit");
-    describe_counter!(CRASHES, "Upstreams that crashed with requests in flight");
-    describe_counter!(QUARANTINED, "Calls not run because their content crashes upstreams");
-    describe_counter!(FORWARDED, "Calls handed to another region");
+    describe_counter!(LIMITED_REQUESTS, "Requests to upstreams that have named a limit");
+    describe_counter!(UPSTREAM_CRASHES, "Upstreams that crashed with requests in flight");
+    describe_counter!(QUARANTINED_CALLS, "Calls not run because their content crashes upstreams");
+    describe_counter!(FORWARDED_CALLS, "Calls handed to another region");
     describe_counter!(LOAD_BYTES, Unit::Bytes, "Load reports sent to instances of the region");
     describe_gauge!(TABLE_VERSION, "Version of the route table in force");
-    describe_gauge!(UPSTREAMS, "Upstreams that are known and take calls");
-    describe_gauge!(LINKS, "Open links to keepers");
+    describe_gauge!(READY_UPSTREAMS, "Upstreams that are known and take calls");
+    describe_gauge!(OPEN_LINKS, "Open links to keepers");
     describe_counter!(ANNOUNCEMENTS, "Announcements of upstreams, by effect");
-    describe_counter!(UNREADABLE, "Announcements that could not be read");
+    describe_counter!(INVALID_ANNOUNCEMENTS, "Announcements that could not be read");
 }
--- a/crates/medlarlug-gateway/src/settings.rs
+++ b/crates/medlarlug-gateway/src/settings.rs
@@ -93,7 +93,7 @@
 
 /// Age up to which a process that has just started can tell how old news are: longer than anything is
 /// remembered.
-pub(crate) const LONGEST_AGE: Duration = Duration::from_secs(25 * 3_600);
+pub(crate) const MAX_UPDATE_AGE: Duration = Duration::from_secs(25 * 3_600);
 
 /// The version before the first table.
 pub const NO_TABLE: TableVersion = TableVersion(0);
--- a/crates/medlarlug-gateway/src/subscribers.rs
+++ b/crates/medlarlug-gateway/src/subscribers.rs
@@ -18,13 +18,13 @@
     time::Time,
 };
 
-use crate::link::{Head, LinkSender, Message, News};
+use crate::link::{LinkSender, Message, PublicationHead, Update};
 
 /// Time between two tellings of the signs of life of all instances on one link.
-const LIFE_INTERVAL: Duration = Duration::from_millis(800);
+const PULSE_INTERVAL: Duration = Duration::from_millis(800);
 
 /// Late upstreams up to which a pulse goes out in each round of news: behind a cut, all are late.
-const FEW_LATE: usize = 60;
+const MAX_LATE_EVERY_ROUND: usize = 60;
 
 /// One link that another process opened.
 #[derive(Debug)]
@@ -37,64 +37,64 @@
     /// Whether renewals, signs of life and waits are wanted.
     is_primary: bool,
     /// Last changes that were sent.
-    sent: Sent,
+    sent: SentState,
     /// Number of the last news that was sent.
     number: u64,
     /// Number of the last news that was taken in.
-    seen: u64,
+    acknowledged: u64,
 }
 
 /// Up to where a link has been told.
 #[derive(Debug, Default)]
-struct Sent {
+struct SentState {
     upstreams: u64,
     renewals: u64,
     contacts: u64,
-    head: Option<Head>,
+    head: Option<PublicationHead>,
     /// When the signs of life of all instances were last sent.
-    lives: Option<Time>,
+    pulses_sent: Option<Time>,
     waits: Vec<RegionWait>,
     facts: u64,
 }
 
 /// What a keeper knows and tells.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Knowledge<'a> {
+pub(crate) struct KeeperState<'a> {
     pub(crate) upstreams: &'a Upstreams,
     pub(crate) contacts: &'a Contacts,
-    pub(crate) head: &'a Head,
+    pub(crate) head: &'a PublicationHead,
     pub(crate) suspicions: &'a Suspicions,
     pub(crate) facts: &'a FactLog,
 }
 
 /// What is the same for all links that are told it in one round.
-struct Round<'a> {
+struct UpdateRound<'a> {
     now: Time,
-    knowledge: Knowledge<'a>,
+    state: KeeperState<'a>,
     pulse: OnceCell<Pulse>,
     pulses: OnceCell<Vec<(InstanceId, u32)>>,
     waits: OnceCell<Vec<RegionWait>>,
 }
 
-impl<'a> Round<'a> {
-    fn new(now: Time, knowledge: Knowledge<'a>) -> Round<'a> {
+impl<'a> UpdateRound<'a> {
+    fn new(now: Time, state: KeeperState<'a>) -> UpdateRound<'a> {
         let (pulse, pulses, waits) = (OnceCell::new(), OnceCell::new(), OnceCell::new());
-        Round { now, knowledge, pulse, pulses, waits }
+        UpdateRound { now, state, pulse, pulses, waits }
     }
 
     fn pulse(&self) -> &Pulse {
-        self.pulse.get_or_init(|| self.knowledge.upstreams.pulse(self.now))
+        self.pulse.get_or_init(|| self.state.upstreams.pulse(self.now))
     }
 
     fn pulses(&self) -> &Vec<(InstanceId, u32)> {
         self.pulses.get_or_init(|| {
-            let live = self.knowledge.contacts.live(self.now);
+            let live = self.state.contacts.live(self.now);
             live.map(|it| (it.card.id.clone(), millis(self.now - it.heard))).collect()
         })
     }
 
     fn waits(&self) -> &Vec<RegionWait> {
-        self.waits.get_or_init(|| self.knowledge.contacts.waits(self.now))
+        self.waits.get_or_init(|| self.state.contacts.waits(self.now))
     }
 }
 
@@ -110,7 +110,7 @@
     pub(crate) fn add(&mut self, id: InstanceId, part: Part, sender: LinkSender) -> u64 {
         self.last += 1;
         let link = self.last;
-        let sent = Sent::default();
+        let sent = SentState::default();
         // Keepers always want renewals.
         let is_primary = part == Part::Keeper;
         self.links.push(Subscriber {
@@ -121,7 +121,7 @@
             is_primary,
             sent,
             number: 0,
-            seen: 0,
+            acknowledged: 0,
         });
         link
     }
@@ -132,16 +132,16 @@
     }
 
     /// The peer has taken in the news up to `number`.
-    pub(crate) fn seen(&mut self, link: u64, number: u64) {
-        if let Ok(at) = self.place(link) {
+    pub(crate) fn acknowledged(&mut self, link: u64, number: u64) {
+        if let Ok(at) = self.position(link) {
             let it = &mut self.links[at];
-            it.seen = it.seen.max(number);
+            it.acknowledged = it.acknowledged.max(number);
         }
     }
 
     /// The peer wants renewals, or no longer does.
     pub(crate) fn set_primary(&mut self, link: u64, is_primary: bool) {
-        if let Ok(at) = self.place(link) {
+        if let Ok(at) = self.position(link) {
             let it = &mut self.links[at];
             it.is_primary = is_primary || it.part == Part::Keeper;
         }
@@ -154,76 +154,76 @@
     }
 
     /// Sends to each link what it lacks.
-    pub(crate) fn push(&mut self, now: Time, knowledge: Knowledge) {
-        let round = Round::new(now, knowledge);
+    pub(crate) fn push(&mut self, now: Time, state: KeeperState) {
+        let round = UpdateRound::new(now, state);
         for link in &mut self.links {
-            if let Some(news) = link.news(&round) {
-                link.sender.send(&Message::News(news));
+            if let Some(update) = link.next_update(&round) {
+                link.sender.send(&Message::Update(update));
             }
         }
     }
 
-    fn place(&self, link: u64) -> Result<usize, usize> {
+    fn position(&self, link: u64) -> Result<usize, usize> {
         self.links.binary_search_by_key(&link, |it| it.link)
     }
 
     /// The news that entry instances have been sent and not taken in yet: pairs of link and number.
-    pub(crate) fn unseen_by_entries(&self) -> Vec<(u64, u64)> {
-        let is_waiting = |it: &&Subscriber| it.part == Part::Entry && it.seen < it.number;
+    pub(crate) fn unacknowledged_by_entries(&self) -> Vec<(u64, u64)> {
+        let is_waiting = |it: &&Subscriber| it.part == Part::Entry && it.acknowledged < it.number;
         self.links.iter().filter(is_waiting).map(|it| (it.link, it.number)).collect()
     }
 
     /// Whether none of `waited` is missing any more; links that ended don't count.
-    pub(crate) fn have_seen(&self, waited: &[(u64, u64)]) -> bool {
-        let has_seen = |(link, number): &(u64, u64)| {
-            self.place(*link).map_or(true, |at| self.links[at].seen >= *number)
+    pub(crate) fn all_acknowledged(&self, waited: &[(u64, u64)]) -> bool {
+        let is_acknowledged = |(link, number): &(u64, u64)| {
+            self.position(*link).map_or(true, |at| self.links[at].acknowledged >= *number)
         };
-        waited.iter().all(has_seen)
+        waited.iter().all(is_acknowledged)
     }
 }
 
 impl Subscriber {
-    fn news(&mut self, round: &Round) -> Option<News> {
+    fn next_update(&mut self, round: &UpdateRound) -> Option<Update> {
         let now = round.now;
-        let Knowledge { upstreams, contacts, head, suspicions, facts } = round.knowledge;
-        let mut news = News::default();
+        let KeeperState { upstreams, contacts, head, suspicions, facts } = round.state;
+        let mut update = Update::default();
         let is_keeper = self.part == Part::Keeper;
         // Another keeper hears the rest from whoever has heard it first.
-        let is_told = |known: &&Known| !is_keeper || known.is_local;
+        let is_forwarded = |known: &&Known| !is_keeper || known.is_local;
         if upstreams.change() > self.sent.upstreams {
-            let changed = upstreams.since(self.sent.upstreams).filter(is_told);
+            let changed = upstreams.since(self.sent.upstreams).filter(is_forwarded);
             let told = changed.map(|it| (it.upstream.clone(), millis(now - it.heard)));
-            news.upstreams = told.collect();
+            update.upstreams = told.collect();
             self.sent.upstreams = upstreams.change();
         }
         if contacts.change() > self.sent.contacts {
             let changed = contacts.since(self.sent.contacts);
             let told = changed.map(|it| (it.card.clone(), it.status.ready, millis(now - it.heard)));
-            news.contacts = told.collect();
+            update.contacts = told.collect();
             self.sent.contacts = contacts.change();
         }
         if self.sent.head.as_ref() != Some(head) {
-            news.head = Some(head.clone());
+            update.head = Some(head.clone());
             let restored = suspicions.all_restored().iter();
-            news.restored = restored.map(|it| (it.0.clone(), millis(now - it.1))).collect();
+            update.restored = restored.map(|it| (it.0.clone(), millis(now - it.1))).collect();
             self.sent.head = Some(head.clone());
         }
         if is_keeper {
-            let renewed = upstreams.renewed_since(self.sent.renewals).filter(is_told);
-            news.renewals = renewed.map(|known| renewal(now, known)).collect();
+            let renewed = upstreams.renewed_since(self.sent.renewals).filter(is_forwarded);
+            update.renewals = renewed.map(|known| renewal(now, known)).collect();
             self.sent.renewals = upstreams.renewal();
         } else if self.is_primary {
-            let is_due = self.sent.lives.is_none_or(|sent| now - sent >= LIFE_INTERVAL);
-            if is_due || round.pulse().late.len() <= FEW_LATE {
-                news.pulse = Some(round.pulse().clone());
+            let is_due = self.sent.pulses_sent.is_none_or(|sent| now - sent >= PULSE_INTERVAL);
+            if is_due || round.pulse().late.len() <= MAX_LATE_EVERY_ROUND {
+                update.pulse = Some(round.pulse().clone());
             }
             if is_due {
-                self.sent.lives = Some(now);
-                news.pulses.clone_from(round.pulses());
+                self.sent.pulses_sent = Some(now);
+                update.pulses.clone_from(round.pulses());
             }
         }
         if self.is_primary && !is_keeper && *round.waits() != self.sent.waits {
-            news.waits.clone_from(round.waits());
+            update.waits.clone_from(round.waits());
             self.sent.waits.clone_from(round.waits());
         }
         // One keeper has heard them from another, and entry instances from any: two sources are
@@ -231,15 +231,15 @@
         // version, before it has the table.
         let is_first = self.number == 0;
         if (self.is_primary || is_first) && facts.end() > self.sent.facts {
-            news.facts = facts.since(now, self.sent.facts);
+            update.facts = facts.since(now, self.sent.facts);
             self.sent.facts = facts.end();
         }
-        if news == News::default() {
+        if update == Update::default() {
             return None;
         }
         self.number += 1;
-        news.number = self.number;
-        Some(news)
+        update.number = self.number;
+        Some(update)
     }
 }
 
