--- a/benches/capacity/replication.rs
+++ b/benches/capacity/replication.rs
@@ -9,7 +9,8 @@
     record::{Outcome, RequestRecord, Stage, Step},
     release::ItemKey,
     replication::{
-        self, Config, Effect, Entry, Event, MemberKey, Payload, Replica, Restored, Role, StorageId,
+        self, Config, Effect, Entry, Event, MemberKey, Payload, Replica, Role, StorageId,
+        StoredState,
     },
     time::Time,
 };
@@ -44,8 +45,8 @@
     let replica = |number: usize| {
         let key = MemberKey { id: instance(number), storage: StorageId(u64::MAX - number as u64) };
         let config = Config::new(key, (0..voters).map(instance).collect());
-        let config = config.with_heartbeat(HEARTBEAT);
-        Replica::new(config, Restored::default(), number as u64, Time::ZERO)
+        let config = config.with_heartbeat_interval(HEARTBEAT);
+        Replica::new(config, StoredState::default(), number as u64, Time::ZERO)
     };
     let mut replicas: Vec<Replica> = (0..voters).map(replica).collect();
     let mut bytes = vec![0.0; voters];
--- a/crates/medlarlug-core/src/configuration_group/draining.rs
+++ b/crates/medlarlug-core/src/configuration_group/draining.rs
@@ -18,32 +18,32 @@
 
 /// Longest time that a request is taken to run; what runs longer than this after the withdrawal
 /// of its item can't be resumed.
-pub const LONGEST_REQUEST: Duration = Duration::from_secs(10 * 60);
+pub const MAX_REQUEST_DURATION: Duration = Duration::from_secs(10 * 60);
 
 /// Waits until the draining items of a configuration are unused.
 ///
 /// ```
 /// use medlarlug_core::{
-///     configuration_group::Draining, ids::Revision, release::Configuration, time::Time,
+///     configuration_group::DrainTracker, ids::Revision, release::Configuration, time::Time,
 /// };
 ///
-/// let mut draining = Draining::default();
+/// let mut draining = DrainTracker::default();
 /// let nothing = Configuration::new(Revision(1), Vec::new());
-/// assert!(draining.unused(Time::ZERO, &nothing, true).is_empty());
+/// assert!(draining.removable_items(Time::ZERO, &nothing, true).is_empty());
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Draining {
+pub struct DrainTracker {
     // The note that is in force everywhere, and since when.
     settled: Option<(Revision, Time)>,
 }
 
-impl Draining {
+impl DrainTracker {
     /// The draining items that no request uses any more.
     ///
     /// `is_everywhere` tells whether the newest revision is in force at every instance that may
     /// send a request to another region; see
-    /// [`Force::is_everywhere`](crate::configuration_group::Force::is_everywhere).
-    pub fn unused(
+    /// [`Rollout::is_complete`](crate::configuration_group::Rollout::is_complete).
+    pub fn removable_items(
         &mut self,
         now: Time,
         configuration: &Configuration,
@@ -58,7 +58,7 @@
             }
             _ => return Vec::new(),
         };
-        if now - since < LONGEST_REQUEST {
+        if now - since < MAX_REQUEST_DURATION {
             return Vec::new();
         }
         configuration.draining().iter().map(|it| it.key()).collect()
--- a/crates/medlarlug-core/src/configuration_group/mod.rs
+++ b/crates/medlarlug-core/src/configuration_group/mod.rs
@@ -20,6 +20,6 @@
 pub mod tracker;
 
 pub use command::{Accepted, Change, Command, Refusal, Reply};
-pub use draining::Draining;
-pub use state::{ConfigurationGroup, Move};
-pub use tracker::{Force, Tracker, ZoneForce};
+pub use draining::DrainTracker;
+pub use state::{ConfigurationGroup, HomeMove};
+pub use tracker::{Rollout, RolloutTracker, ZoneRollout};
--- a/crates/medlarlug-core/src/configuration_group/state.rs
+++ b/crates/medlarlug-core/src/configuration_group/state.rs
@@ -17,13 +17,13 @@
 ///
 /// A note that is older than these is refused as [`Stale`](crate::release::NoteError::Stale) when
 /// it is sent again, so it is never accepted twice.
-pub const MAX_ACCEPTED: usize = 16_384;
+pub const MAX_ACCEPTED_NOTES: usize = 16_384;
 
 /// Changes that are kept to bring instances up to date without sending the whole configuration.
-pub const MAX_CHANGES: usize = 1_024;
+pub const MAX_RETAINED_CHANGES: usize = 1_024;
 
 /// Revisions that a rebuilt group leaves out; more than the survivor can have missed.
-pub const REBUILT_REVISIONS: u64 = 1 << 20;
+pub const REBUILD_REVISION_GAP: u64 = 1 << 20;
 
 /// A note that holds its number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
 
 /// A team on its way to a new home region.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Move {
+pub struct HomeMove {
     /// The team.
     pub team: TeamId,
     /// Former home region.
@@ -68,7 +68,7 @@
     current: Configuration,
     numbers: Vec<HeldNumber>,
     changes: VecDeque<Change>,
-    moves: Vec<Move>,
+    moves: Vec<HomeMove>,
     foundings: Vec<Founding>,
 }
 
@@ -79,7 +79,7 @@
     }
 
     /// Teams whose bookings are on their way to a new home region, sorted by team.
-    pub fn moves(&self) -> &[Move] {
+    pub fn moves(&self) -> &[HomeMove] {
         &self.moves
     }
 
@@ -192,13 +192,13 @@
                 continue;
             };
             let (team, to, epoch) = (home.team.clone(), home.region.clone(), home.epoch);
-            self.moves.push(Move { team, from, to, epoch });
+            self.moves.push(HomeMove { team, from, to, epoch });
         }
         self.moves.sort_by(|a, b| a.team.cmp(&b.team));
     }
 
     fn forget_oldest_number(&mut self) {
-        if self.numbers.len() <= MAX_ACCEPTED {
+        if self.numbers.len() <= MAX_ACCEPTED_NOTES {
             return;
         }
         let oldest = self.numbers.iter().enumerate().min_by_key(|(_, it)| it.accepted.revision);
@@ -210,14 +210,14 @@
     fn advance(&mut self, next: Configuration, change: Change) {
         self.current = next;
         self.changes.push_back(change);
-        if self.changes.len() > MAX_CHANGES {
+        if self.changes.len() > MAX_RETAINED_CHANGES {
             self.changes.pop_front();
         }
     }
 
     /// Leaves out the revisions that may be in force elsewhere and are not known here.
     fn rebuilt(&mut self) -> Reply {
-        self.current.revision = Revision(self.current.revision.0 + REBUILT_REVISIONS);
+        self.current.revision = Revision(self.current.revision.0 + REBUILD_REVISION_GAP);
         self.changes.clear();
         Reply::Rebuilt(self.current.revision)
     }
--- a/crates/medlarlug-core/src/replication/config.rs
+++ b/crates/medlarlug-core/src/replication/config.rs
@@ -18,11 +18,11 @@
     /// Whether a group may be formed when every founder comes with new storage.
     pub may_form: bool,
     /// Time between two heartbeats of a leader.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Shortest silence of the leader after which a voter asks for votes.
-    pub election_min: Duration,
+    pub election_timeout_min: Duration,
     /// Longest silence of the leader after which a voter asks for votes.
-    pub election_max: Duration,
+    pub election_timeout_max: Duration,
     /// Whether a candidate asks for permission before it raises the term.
     pub pre_vote: bool,
     /// Whether a leader steps down that does not hear from a majority.
@@ -36,7 +36,7 @@
     /// Payload of one snapshot message, in bytes.
     pub chunk_bytes: usize,
     /// For an open group, into which strangers are let: the voters that it is to have.
-    pub voters: Option<usize>,
+    pub target_voters: Option<usize>,
     /// In an open group, silence of a voter after which another member takes its vote.
     pub replace_after: Duration,
 }
@@ -51,11 +51,16 @@
     ///
     /// let key = MemberKey { id: "keeper-1".parse().unwrap(), storage: StorageId(7) };
     /// let founders = vec![key.id.clone()];
-    /// let config = Config::new(key, founders).with_heartbeat(Duration::from_millis(250));
-    /// assert_eq!(config.election_max, Duration::from_secs(2));
+    /// let config = Config::new(key, founders).with_heartbeat_interval(Duration::from_millis(250));
+    /// assert_eq!(config.election_timeout_max, Duration::from_secs(2));
     /// ```
-    pub fn with_heartbeat(self, heartbeat: Duration) -> Config {
-        Config { heartbeat, election_min: heartbeat * 4, election_max: heartbeat * 8, ..self }
+    pub fn with_heartbeat_interval(self, interval: Duration) -> Config {
+        Config {
+            heartbeat_interval: interval,
+            election_timeout_min: interval * 4,
+            election_timeout_max: interval * 8,
+            ..self
+        }
     }
 
     /// The same for an open group that is to have `voters` voters: strangers are let in without a
@@ -66,10 +71,10 @@
     ///
     /// let key = MemberKey { id: "keeper-1".parse().unwrap(), storage: StorageId(7) };
     /// let founders = vec![key.id.clone()];
-    /// assert_eq!(Config::new(key, founders).open(3).voters, Some(3));
+    /// assert_eq!(Config::new(key, founders).open(3).target_voters, Some(3));
     /// ```
     pub fn open(self, voters: usize) -> Config {
-        Config { voters: Some(voters), ..self }
+        Config { target_voters: Some(voters), ..self }
     }
 
     /// The defaults for the replica `key`.
@@ -79,16 +84,16 @@
             durable: true,
             founders,
             may_form: true,
-            heartbeat: Duration::from_millis(100),
-            election_min: Duration::from_millis(500),
-            election_max: Duration::from_millis(1_000),
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout_min: Duration::from_millis(500),
+            election_timeout_max: Duration::from_millis(1_000),
             pre_vote: true,
             check_quorum: true,
             batch_bytes: 256 * 1024,
             max_inflight: 16,
             max_proposals: 4_096,
             chunk_bytes: 256 * 1024,
-            voters: None,
+            target_voters: None,
             replace_after: Duration::from_millis(2_500),
         }
     }
--- a/crates/medlarlug-core/src/replication/election.rs
+++ b/crates/medlarlug-core/src/replication/election.rs
@@ -99,7 +99,7 @@
     /// Two members that ask at the same time would both get permission and then split the votes.
     fn takes_precedence(&self, asker: &MemberKey, last: Position, now: Time) -> bool {
         let is_asking = matches!(self.state, State::PreCandidate(_));
-        let limit = self.config.election_min / 2;
+        let limit = self.config.election_timeout_min / 2;
         let is_recent = self.campaigned.is_some_and(|campaigned| now - campaigned < limit);
         is_asking && is_recent && (self.log.last(), &self.config.key) > (last, asker)
     }
--- a/crates/medlarlug-core/src/replication/event.rs
+++ b/crates/medlarlug-core/src/replication/event.rs
@@ -12,7 +12,7 @@
 
 /// State that a replica is started from; empty for new storage.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Restored {
+pub struct StoredState {
     /// Term and vote.
     pub hard: HardState,
     /// Newest snapshot.
@@ -54,7 +54,7 @@
         sequence: u64,
     },
     /// Change the membership. Answered as a proposal is.
-    ChangeVoters {
+    ChangeMembership {
         /// Names the request.
         ticket: Ticket,
         /// The change.
@@ -104,7 +104,7 @@
     },
     /// The leader is handing over. The request has no effect.
     #[error("leadership is being handed over")]
-    HandingOver,
+    TransferringLeadership,
     /// Too many proposals wait. The request has no effect.
     #[error("{limit} proposals wait for their commit")]
     Busy {
@@ -116,7 +116,7 @@
     ChangePending,
     /// The change does not fit the membership. The request has no effect.
     #[error("the change does not fit the membership")]
-    UnfitChange,
+    InvalidChange,
     /// The member to promote lacks committed entries. The request has no effect.
     #[error("{key} has not caught up")]
     NotCaughtUp {
@@ -201,14 +201,14 @@
     },
 }
 
-impl Restored {
+impl StoredState {
     /// Takes a batch over, as storage does.
     ///
     /// ```
-    /// use medlarlug_core::{ids::Term, replication::{HardState, Persist, Restored}};
+    /// use medlarlug_core::{ids::Term, replication::{HardState, Persist, StoredState}};
     ///
     /// let hard = HardState { term: Term(3), vote: None };
-    /// let mut restored = Restored::default();
+    /// let mut restored = StoredState::default();
     /// restored.write(Persist { sequence: 1, hard: Some(hard), ..Persist::default() });
     /// assert_eq!(restored.hard.term, Term(3));
     /// ```
@@ -252,7 +252,7 @@
         member: Member,
         formation: FormationId,
         command: Option<Vec<u8>>,
-    ) -> Option<Restored> {
+    ) -> Option<StoredState> {
         let own = member.key.clone();
         let others = self.membership()?.members().iter().filter(|it| it.key != own);
         let others = others.cloned().map(|it| match it.role {
--- a/crates/medlarlug-core/src/replication/formation.rs
+++ b/crates/medlarlug-core/src/replication/formation.rs
@@ -35,12 +35,12 @@
 impl Replica {
     /// Introduces itself to the founders while no leader is heard.
     pub(super) fn greet(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let limit = self.config.election_max;
+        let limit = self.config.election_timeout_max;
         let has_leader = self.heard.is_some_and(|heard| now - heard < limit);
         if has_leader || now < self.greeting {
             return;
         }
-        self.greeting = now + self.config.heartbeat;
+        self.greeting = now + self.config.heartbeat_interval;
         let hint = self.hint.take().filter(|hint| !self.config.founders.contains(hint));
         for to in self.config.founders.iter().chain(&hint) {
             if *to != self.config.key.id {
@@ -108,7 +108,7 @@
     }
 
     fn fresh_hello(&self, id: &InstanceId, now: Time) -> Option<&Hello> {
-        let limit = self.config.election_max;
+        let limit = self.config.election_timeout_max;
         let applicant = self.applicants.iter().find(|a| a.hello.key.id == *id)?;
         let hello = &applicant.hello;
         let is_new = hello.formation.is_none() && hello.founders == self.config.founders;
@@ -138,7 +138,7 @@
             return Err(self.not_leader());
         };
         if leader.is_handing_over() {
-            return Err(Rejection::HandingOver);
+            return Err(Rejection::TransferringLeadership);
         }
         let is_settled = self.log.members_index().max(leader.first) <= leader.agreed;
         if !is_settled {
@@ -149,8 +149,8 @@
         {
             return Err(Rejection::NotCaughtUp { key: key.clone() });
         }
-        let members = self.log.members().and_then(|members| members.with(change));
-        let members = members.ok_or(Rejection::UnfitChange)?;
+        let members = self.log.members().and_then(|members| members.with_change(change));
+        let members = members.ok_or(Rejection::InvalidChange)?;
         let index = self.append_own(Payload::Members(members));
         self.track_members(now);
         Ok(index)
@@ -161,7 +161,8 @@
             return false;
         };
         leader.progress(key).is_some_and(|progress| {
-            let is_heard = progress.has_answered && now - progress.heard < self.config.election_min;
+            let is_heard =
+                progress.has_answered && now - progress.heard < self.config.election_timeout_min;
             is_heard && progress.matched >= leader.agreed.max(self.commit)
         })
     }
@@ -178,7 +179,7 @@
     fn next_change(&self, now: Time) -> Option<Change> {
         let members = self.log.members()?;
         let applicant = self.applicants.iter().find_map(|applicant| {
-            let is_fresh = now - applicant.heard < self.config.election_max;
+            let is_fresh = now - applicant.heard < self.config.election_timeout_max;
             is_fresh.then(|| self.replacement(&applicant.hello, members)).flatten()
         });
         if let Some(member) = applicant {
@@ -199,7 +200,7 @@
     /// In an open group: gives a vote to a member without one while votes are missing or a voter
     /// is silent, then takes the silent one's.
     fn next_open_change(&self, now: Time) -> Option<Change> {
-        let wanted = self.config.voters?;
+        let wanted = self.config.target_voters?;
         let members = self.log.members()?;
         let limit = self.config.replace_after;
         let silent_for = |member: &Member, limit: Duration| {
@@ -238,7 +239,7 @@
         let mut old = members.members().iter().filter(|m| m.key.id == hello.key.id).peekable();
         let is_stranger = old.peek().is_none();
         let is_full = members.members().len() >= MAX_MEMBERS;
-        if is_stranger && (self.config.voters.is_none() || is_full) {
+        if is_stranger && (self.config.target_voters.is_none() || is_full) {
             return None;
         }
         let role = match old.any(|member| member.role != MemberRole::Learner) {
@@ -258,7 +259,7 @@
         let State::Leader(leader) = &self.state else {
             return None;
         };
-        let limit = self.config.heartbeat * SILENT_HEARTBEATS;
+        let limit = self.config.heartbeat_interval * SILENT_HEARTBEATS;
         members.members().iter().find(|other| {
             let progress = leader.progress(&other.key);
             let is_silent = progress.is_some_and(|progress| now - progress.heard >= limit);
--- a/crates/medlarlug-core/src/replication/leader.rs
+++ b/crates/medlarlug-core/src/replication/leader.rs
@@ -96,7 +96,9 @@
     ) {
         let limit = self.config.max_proposals;
         let refusal = match &self.state {
-            State::Leader(leader) if leader.is_handing_over() => Some(Rejection::HandingOver),
+            State::Leader(leader) if leader.is_handing_over() => {
+                Some(Rejection::TransferringLeadership)
+            }
             State::Leader(leader) if leader.tickets.len() >= limit => {
                 Some(Rejection::Busy { limit })
             }
@@ -136,7 +138,7 @@
             return self.become_follower(self.hard.term, None, now, out);
         }
         self.reconcile(now, out);
-        let heartbeat = self.config.heartbeat;
+        let heartbeat = self.config.heartbeat_interval;
         self.with_leader(|replica, leader| {
             if now < leader.heartbeat {
                 return;
@@ -151,7 +153,7 @@
         let State::Leader(leader) = &self.state else {
             return false;
         };
-        let limit = self.config.election_max;
+        let limit = self.config.election_timeout_max;
         let hears = |key: &MemberKey| {
             let is_heard = |progress: &Progress| now - progress.heard < limit;
             *key == self.config.key || leader.progress(key).is_some_and(is_heard)
@@ -174,7 +176,7 @@
         ends.sort();
         ends.retain(|end| self.log.term_at(*end) == Some(self.hard.term));
         let is_agreed = |end: &&LogIndex| members.has_majority(|key| matched(key) >= **end);
-        let is_committed = |end: &&LogIndex| members.may_commit(|key| matched(key) >= **end);
+        let is_committed = |end: &&LogIndex| members.has_commit_quorum(|key| matched(key) >= **end);
         let agreed = ends.iter().rfind(is_agreed).copied().unwrap_or_default();
         let commit = ends.iter().rfind(is_committed).copied().unwrap_or_default();
         if let State::Leader(leader) = &mut self.state {
@@ -192,7 +194,7 @@
         if self.commit < last {
             return;
         }
-        let next = now + self.config.heartbeat;
+        let next = now + self.config.heartbeat_interval;
         self.with_leader(|replica, leader| {
             leader.beat_after(next);
             replica.heartbeat(leader, out);
@@ -247,7 +249,7 @@
 
     /// Asks every member to confirm that this replica still leads.
     pub(super) fn start_round(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let next = now + self.config.heartbeat;
+        let next = now + self.config.heartbeat_interval;
         self.with_leader(|replica, leader| {
             leader.round += 1;
             leader.beat_after(next);
@@ -285,8 +287,8 @@
     }
 
     pub(super) fn hand_over(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let deadline = now + self.config.election_min;
-        let limit = self.config.election_min;
+        let deadline = now + self.config.election_timeout_min;
+        let limit = self.config.election_timeout_min;
         let (State::Leader(leader), Some(members)) = (&mut self.state, self.log.members()) else {
             return;
         };
--- a/crates/medlarlug-core/src/replication/log.rs
+++ b/crates/medlarlug-core/src/replication/log.rs
@@ -3,7 +3,7 @@
 use crate::ids::{LogIndex, Term};
 
 use super::{
-    event::Restored,
+    event::StoredState,
     membership::{MemberKey, Membership},
     message::{Entry, Payload, Position, Snapshot},
 };
@@ -18,7 +18,7 @@
 }
 
 impl Log {
-    pub(super) fn new(restored: Restored) -> Log {
+    pub(super) fn new(restored: StoredState) -> Log {
         let mut log = Log { snapshot: None, entries: Vec::new(), members: Vec::new() };
         if let Some(snapshot) = restored.snapshot {
             log.members.push((snapshot.index, snapshot.members.clone()));
--- a/crates/medlarlug-core/src/replication/membership.rs
+++ b/crates/medlarlug-core/src/replication/membership.rs
@@ -147,7 +147,7 @@
 
     /// Whether the members that satisfy `holds` suffice to commit: a majority of the voters, and a
     /// durable member while the group has a durable voter or one that is joining.
-    pub fn may_commit(&self, holds: impl Fn(&MemberKey) -> bool) -> bool {
+    pub fn has_commit_quorum(&self, holds: impl Fn(&MemberKey) -> bool) -> bool {
         let counts = |member: &&Member| member.durable && member.role != MemberRole::Learner;
         let mut durable = self.members.iter().filter(counts).peekable();
         let is_durable = durable.peek().is_none() || durable.any(|member| holds(&member.key));
@@ -155,7 +155,7 @@
     }
 
     /// The membership after `change`; `None` if the change doesn't apply to this membership.
-    pub fn with(&self, change: &Change) -> Option<Membership> {
+    pub fn with_change(&self, change: &Change) -> Option<Membership> {
         let mut next = self.clone();
         match change {
             Change::Add(member) => {
--- a/crates/medlarlug-core/src/replication/mod.rs
+++ b/crates/medlarlug-core/src/replication/mod.rs
@@ -39,7 +39,7 @@
 //! # Formation
 //!
 //! The first of the configured founders forms the group once it has heard, within
-//! [`Config::election_max`], from *every* founder that its storage belongs to no group, in a
+//! [`Config::election_timeout_max`], from *every* founder that its storage belongs to no group, in a
 //! message that names the first founder's own storage and so cannot be left over from before. One
 //! surviving founder is thus enough to keep a wiped majority from forming a second, empty group.
 //!
@@ -49,7 +49,7 @@
 //! remains with a log that lacks the commit. The wiped A and B are new members, which have no vote
 //! until a leader lets them in, and C alone is no majority. No leader stands, and nothing that was
 //! committed is replaced by something else: the group stops. An operator decides: either one of
-//! the lost disks is brought back, or [`Restored::rebuild`] turns the log of the best survivor into
+//! the lost disks is brought back, or [`StoredState::rebuild`] turns the log of the best survivor into
 //! a group of its own, under a new [`FormationId`], to which the others are added. What the
 //! survivor lacked is lost then, and whatever builds on the group has to treat everything it
 //! cannot find as unknown rather than as never done; the new formation id tells it so.
@@ -85,7 +85,7 @@
 //!
 //! let key = MemberKey { id: "keeper-1".parse().unwrap(), storage: StorageId(7) };
 //! let config = Config::new(key.clone(), vec![key.id]);
-//! let mut replica = Replica::new(config, Restored::default(), 1, Time::ZERO);
+//! let mut replica = Replica::new(config, StoredState::default(), 1, Time::ZERO);
 //! let mut applied = Vec::new();
 //!
 //! drive(&mut replica, Time::ZERO, Event::Tick, &mut applied);
@@ -111,7 +111,7 @@
 
 pub use self::{
     config::Config,
-    event::{Effect, Event, Persist, Rejection, Restored, Role, Ticket},
+    event::{Effect, Event, Persist, Rejection, Role, StoredState, Ticket},
     membership::{Change, FormationId, Member, MemberKey, MemberRole, Membership, StorageId},
     message::{Body, Entry, Envelope, HardState, Hello, Message, Payload, Position, Snapshot},
     replica::Replica,
--- a/crates/medlarlug-core/src/replication/replica.rs
+++ b/crates/medlarlug-core/src/replication/replica.rs
@@ -12,7 +12,7 @@
 
 use super::{
     config::Config,
-    event::{Effect, Event, Persist, Rejection, Restored, Role, Ticket},
+    event::{Effect, Event, Persist, Rejection, Role, StoredState, Ticket},
     formation::Applicant,
     leader::Leader,
     log::Log,
@@ -103,10 +103,10 @@
     ///
     /// let key = MemberKey { id: "keeper-1".parse().unwrap(), storage: StorageId(7) };
     /// let config = Config::new(key.clone(), vec![key.id]);
-    /// let replica = Replica::new(config, Restored::default(), 1, Time::ZERO);
+    /// let replica = Replica::new(config, StoredState::default(), 1, Time::ZERO);
     /// assert_eq!(replica.role(), Role::Follower);
     /// ```
-    pub fn new(config: Config, restored: Restored, seed: u64, now: Time) -> Replica {
+    pub fn new(config: Config, restored: StoredState, seed: u64, now: Time) -> Replica {
         let hard = restored.hard.clone();
         let log = Log::new(restored);
         let base = log.base().index;
@@ -158,7 +158,7 @@
             Event::Propose { ticket, command } => self.propose(ticket, command, now, out),
             Event::Read { ticket } => self.read(ticket, now, out),
             Event::Persisted { sequence } => self.on_persisted(sequence, now, out),
-            Event::ChangeVoters { ticket, change } => self.change(ticket, &change, now, out),
+            Event::ChangeMembership { ticket, change } => self.change(ticket, &change, now, out),
             Event::Compact { index, snapshot } => self.compact(index, snapshot, now),
             Event::TransferLeadership => self.hand_over(now, out),
         }
@@ -208,7 +208,7 @@
     }
 
     /// Last entry that the newest snapshot covers.
-    pub fn compacted(&self) -> LogIndex {
+    pub fn snapshot_index(&self) -> LogIndex {
         self.log.base().index
     }
 
@@ -221,20 +221,20 @@
     }
 
     pub(super) fn reset_deadline(&mut self, now: Time) {
-        let min = self.config.election_min;
-        let spread = self.config.election_max.saturating_sub(min);
+        let min = self.config.election_timeout_min;
+        let spread = self.config.election_timeout_max.saturating_sub(min);
         self.deadline = now + min + spread.mul_f64(self.rng.random::<f64>());
     }
 
     /// Sets the deadline after a campaign of its own; shorter, since no leader is expected.
     pub(super) fn retry_after(&mut self, now: Time) {
-        let min = self.config.election_min;
+        let min = self.config.election_timeout_min;
         self.deadline = now + min.mul_f64(0.5 + 0.5 * self.rng.random::<f64>());
     }
 
     /// Whether a leader was heard too recently to help replacing it.
     pub(super) fn has_live_leader(&self, now: Time) -> bool {
-        let min = self.config.election_min;
+        let min = self.config.election_timeout_min;
         matches!(self.state, State::Leader(_)) || self.heard.is_some_and(|heard| now - heard < min)
     }
 
--- a/crates/medlarlug-core/src/replication/transfer.rs
+++ b/crates/medlarlug-core/src/replication/transfer.rs
@@ -39,7 +39,7 @@
         let State::Leader(leader) = &self.state else {
             return false;
         };
-        let limit = self.config.election_max;
+        let limit = self.config.election_timeout_max;
         leader.progress.iter().any(|progress| {
             let is_sending = matches!(progress.mode, Mode::Snapshot { .. });
             is_sending && now - progress.heard < limit
--- a/crates/medlarlug-core/tests/testsuite/draining.rs
+++ b/crates/medlarlug-core/tests/testsuite/draining.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use medlarlug_core::{
-    configuration_group::{Draining, draining::LONGEST_REQUEST},
+    configuration_group::{DrainTracker, draining::MAX_REQUEST_DURATION},
     ids::{OperatorId, ReleaseNumber, Revision},
     release::{Configuration, Item, ItemKey, RawNote, ReleaseNote, item::Region},
     time::Time,
@@ -47,16 +47,16 @@
 #[test]
 fn item_is_unused_once_the_longest_request_has_passed_everywhere() {
     let configuration = withdrawn();
-    let mut draining = Draining::default();
+    let mut draining = DrainTracker::default();
 
-    let early = draining.unused(Time::ZERO, &configuration, false);
-    let begun = draining.unused(after(LONGEST_REQUEST), &configuration, true);
-    let almost = draining.unused(
-        after(LONGEST_REQUEST * 2 - Duration::from_millis(1)),
+    let early = draining.removable_items(Time::ZERO, &configuration, false);
+    let begun = draining.removable_items(after(MAX_REQUEST_DURATION), &configuration, true);
+    let almost = draining.removable_items(
+        after(MAX_REQUEST_DURATION * 2 - Duration::from_millis(1)),
         &configuration,
         true,
     );
-    let due = draining.unused(after(LONGEST_REQUEST * 2), &configuration, true);
+    let due = draining.removable_items(after(MAX_REQUEST_DURATION * 2), &configuration, true);
 
     assert_eq!((early, begun, almost), (Vec::new(), Vec::new(), Vec::new()));
     assert_eq!(due, [key()]);
@@ -66,13 +66,13 @@
 fn note_in_between_and_a_new_leader_begin_the_wait_again() {
     let configuration = withdrawn();
     let next = note(3, 2, vec![region("kurzeme")], Vec::new()).apply(&configuration).unwrap();
-    let mut draining = Draining::default();
+    let mut draining = DrainTracker::default();
 
-    draining.unused(Time::ZERO, &configuration, true);
-    let edited = draining.unused(after(LONGEST_REQUEST), &next, true);
+    draining.removable_items(Time::ZERO, &configuration, true);
+    let edited = draining.removable_items(after(MAX_REQUEST_DURATION), &next, true);
     draining.reset();
-    let reset = draining.unused(after(LONGEST_REQUEST * 2), &next, true);
-    let due = draining.unused(after(LONGEST_REQUEST * 3), &next, true);
+    let reset = draining.removable_items(after(MAX_REQUEST_DURATION * 2), &next, true);
+    let due = draining.removable_items(after(MAX_REQUEST_DURATION * 3), &next, true);
 
     assert_eq!((edited, reset), (Vec::new(), Vec::new()));
     assert_eq!(due, [key()]);
--- a/crates/medlarlug-core/tests/testsuite/follower.rs
+++ b/crates/medlarlug-core/tests/testsuite/follower.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use medlarlug_core::{
-    configuration_group::{Command, ConfigurationGroup, Tracker},
+    configuration_group::{Command, ConfigurationGroup, RolloutTracker},
     follower::{
         Answer, Ask, Confirmation, DRIFT, Effect, Event, Follower, Sources, Storage, Timing, Update,
     },
@@ -67,7 +67,7 @@
     real: Duration,
     timing: Timing,
     group: ConfigurationGroup,
-    tracker: Tracker,
+    tracker: RolloutTracker,
     processes: Vec<Process>,
     messages: Vec<Message>,
 }
@@ -108,7 +108,7 @@
             real: Duration::ZERO,
             timing,
             group: ConfigurationGroup::default(),
-            tracker: Tracker::new(timing.lease, DRIFT),
+            tracker: RolloutTracker::new(timing.lease, DRIFT),
             processes,
             messages: Vec::new(),
         };
@@ -146,7 +146,7 @@
         let items = vec![region(&format!("r{base}"), &[&format!("r{base}-a")])];
         let note = ReleaseNote::try_from(note(base, items)).unwrap();
         self.group.apply(Command::Apply(note));
-        self.tracker.committed(self.keeper_now(), Revision(base + 1));
+        self.tracker.record_commit(self.keeper_now(), Revision(base + 1));
         let ask = Ask { token: 0, revision: Revision(base), full: false };
         for to in 0..INSTANCES {
             let update = self.group.update_for(&ask).unwrap();
@@ -224,7 +224,7 @@
             if self.processes[from].is_cut_off {
                 return;
             }
-            self.tracker.confirmed(asking.clone(), id("riga-a"), ask.revision);
+            self.tracker.record_confirmation(asking.clone(), id("riga-a"), ask.revision);
             let revision = self.group.configuration().revision;
             Answer {
                 token: ask.token,
@@ -242,8 +242,8 @@
     fn check(&self, seed: u64) -> u64 {
         let newest = self.group.configuration().revision.0;
         let is_everywhere =
-            |it: &u64| self.tracker.force(self.keeper_now(), Revision(*it)).is_everywhere();
-        let known = self.tracker.force(self.keeper_now(), Revision(1)).zones;
+            |it: &u64| self.tracker.rollout(self.keeper_now(), Revision(*it)).is_complete();
+        let known = self.tracker.rollout(self.keeper_now(), Revision(1)).zones;
         let is_complete = known.first().is_some_and(|it| it.confirmed as usize == INSTANCES);
         let Some(everywhere) = (1..=newest).rev().find(is_everywhere).filter(|_| is_complete)
         else {
@@ -399,13 +399,13 @@
 
 #[test]
 fn leases_are_waited_out_with_the_drift_of_clocks() {
-    let mut tracker = Tracker::new(Duration::from_secs(10), DRIFT);
-    tracker.expect(id("entry-1"), id("riga-a"));
+    let mut tracker = RolloutTracker::new(Duration::from_secs(10), DRIFT);
+    tracker.add_instance(id("entry-1"), id("riga-a"));
 
-    tracker.committed(Time::ZERO, Revision(1));
+    tracker.record_commit(Time::ZERO, Revision(1));
 
-    assert!(!tracker.force(Time::from_millis(10_099), Revision(1)).is_everywhere());
-    assert!(tracker.force(Time::from_millis(10_100), Revision(1)).is_everywhere());
+    assert!(!tracker.rollout(Time::from_millis(10_099), Revision(1)).is_complete());
+    assert!(tracker.rollout(Time::from_millis(10_100), Revision(1)).is_complete());
 }
 
 #[test]
--- a/crates/medlarlug-core/tests/testsuite/replication/cluster.rs
+++ b/crates/medlarlug-core/tests/testsuite/replication/cluster.rs
@@ -6,7 +6,7 @@
     ids::{InstanceId, LogIndex, Term},
     replication::{
         Change, Config, Effect, Entry, Event, Member, MemberKey, MemberRole, Membership, Message,
-        Payload, Persist, Replica, Restored, Role, StorageId,
+        Payload, Persist, Replica, Role, StorageId, StoredState,
     },
     time::Time,
 };
@@ -37,7 +37,7 @@
     pub replica: Option<Replica>,
     pub applied: Vec<u64>,
     pub is_leader: bool,
-    disk: Restored,
+    disk: StoredState,
     unsynced: Vec<Persist>,
     frozen: bool,
     backlog: Vec<Event>,
@@ -127,7 +127,7 @@
                 replica: None,
                 applied: Vec::new(),
                 is_leader: false,
-                disk: Restored::default(),
+                disk: StoredState::default(),
                 unsynced: Vec::new(),
                 frozen: false,
                 backlog: Vec::new(),
@@ -175,7 +175,7 @@
     }
 
     fn wipe_storage(&mut self, node: usize) {
-        self.nodes[node].disk = Restored::default();
+        self.nodes[node].disk = StoredState::default();
         if self.fault != Fault::KeptStorageId {
             self.nodes[node].key.storage = self.draw_storage();
         }
@@ -410,7 +410,7 @@
 
     pub fn change(&mut self, node: usize, change: Change) {
         let ticket = self.history.begin_change();
-        self.handle(node, Event::ChangeVoters { ticket, change });
+        self.handle(node, Event::ChangeMembership { ticket, change });
     }
 
     pub fn compact(&mut self, node: usize) {
--- a/crates/medlarlug-core/tests/testsuite/replication/failures.rs
+++ b/crates/medlarlug-core/tests/testsuite/replication/failures.rs
@@ -8,7 +8,7 @@
     ids::{LogIndex, Term},
     replication::{
         Body, Change, Config, Effect, Envelope, Event, FormationId, Hello, Member, MemberKey,
-        MemberRole, Message, Persist, Position, Replica, Restored, StorageId,
+        MemberRole, Message, Persist, Position, Replica, StorageId, StoredState,
     },
     time::Time,
 };
@@ -76,14 +76,14 @@
 fn vote_waits_for_sync_and_survives_restart() {
     let (a, b, c) = (key("a", 1), key("b", 2), key("c", 3));
     let config = Config::new(c.clone(), vec![id("a"), id("b"), id("c")]);
-    let mut replica = Replica::new(config.clone(), Restored::default(), 1, Time::ZERO);
+    let mut replica = Replica::new(config.clone(), StoredState::default(), 1, Time::ZERO);
 
     let (early, late, batch) = ask(&mut replica, &a, &c);
     let hard = batch.and_then(|batch| batch.hard).expect("a vote to keep");
-    let restored = Restored { hard: hard.clone(), ..Restored::default() };
+    let restored = StoredState { hard: hard.clone(), ..StoredState::default() };
     let mut kept = Replica::new(config.clone(), restored, 1, Time::ZERO);
     let second = ask(&mut kept, &b, &c);
-    let mut lost = Replica::new(config, Restored::default(), 1, Time::ZERO);
+    let mut lost = Replica::new(config, StoredState::default(), 1, Time::ZERO);
     let broken = ask(&mut lost, &b, &c);
 
     assert!(!early && late);
@@ -96,7 +96,7 @@
 fn wiped_replica_ignores_what_its_former_self_was_asked() {
     let (a, former, present) = (key("a", 1), key("c", 3), key("c", 4));
     let config = Config::new(present, vec![id("a"), id("b"), id("c")]);
-    let mut replica = Replica::new(config, Restored::default(), 1, Time::ZERO);
+    let mut replica = Replica::new(config, StoredState::default(), 1, Time::ZERO);
 
     let (early, late, batch) = ask(&mut replica, &a, &former);
 
@@ -317,7 +317,7 @@
 fn group_is_not_formed_on_an_old_introduction() {
     let (a, b) = (key("a", 1), key("b", 2));
     let config = Config::new(a.clone(), vec![id("a"), id("b")]);
-    let mut replica = Replica::new(config, Restored::default(), 1, Time::ZERO);
+    let mut replica = Replica::new(config, StoredState::default(), 1, Time::ZERO);
     let mut out = Vec::new();
 
     replica.handle(Time::ZERO, hello(&b, Some(StorageId(9))), &mut out);
--- a/crates/medlarlug-core/tests/testsuite/replication/open.rs
+++ b/crates/medlarlug-core/tests/testsuite/replication/open.rs
@@ -15,7 +15,7 @@
 /// Three founders and a stranger, in a group that is open or not.
 fn group(seed: u64, is_open: bool) -> Cluster {
     let tune: fn(&mut medlarlug_core::replication::Config) = match is_open {
-        true => |config| config.voters = Some(3),
+        true => |config| config.target_voters = Some(3),
         false => |_| {},
     };
     let mut cluster = Cluster::new(seed, &[true, true, true], Fault::None, tune);
--- a/crates/medlarlug-gateway/src/keeper/mod.rs
+++ b/crates/medlarlug-gateway/src/keeper/mod.rs
@@ -531,7 +531,7 @@
     let key = MemberKey { id: settings.card.id.clone(), storage: folder.storage() };
     let founders = settings.contacts.iter().filter_map(|it| instance_at(it.ip()).ok()).collect();
     let voters = 2 * settings.tolerance + 1;
-    let mut config = Config::new(key, founders).with_heartbeat(HEARTBEAT).open(voters);
+    let mut config = Config::new(key, founders).with_heartbeat_interval(HEARTBEAT).open(voters);
     config.may_form = settings.first_start;
     let replica = Replica::new(config, restored, rand::random(), now);
     Ok(Group::new(id, replica, machine))
--- a/src/coordination/calls.rs
+++ b/src/coordination/calls.rs
@@ -289,7 +289,7 @@
 pub async fn moves(
     node: &Node,
     limit: Duration,
-) -> Result<Vec<configuration_group::Move>, CallFailure> {
+) -> Result<Vec<configuration_group::HomeMove>, CallFailure> {
     let group = GroupId::Configuration;
     match submit(node, &group, GroupRequest::Moves, limit).await? {
         GroupReply::Moves(moves) => Ok(moves),
@@ -306,7 +306,7 @@
     node: &Node,
     revision: Option<Revision>,
     limit: Duration,
-) -> Result<configuration_group::Force, CallFailure> {
+) -> Result<configuration_group::Rollout, CallFailure> {
     let group = GroupId::Configuration;
     match submit(node, &group, GroupRequest::Force(revision), limit).await? {
         GroupReply::Force(force) => Ok(force),
--- a/src/coordination/keeper/duties/confirmations.rs
+++ b/src/coordination/keeper/duties/confirmations.rs
@@ -8,7 +8,7 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use medlarlug_core::{
-    configuration_group::{Command, Draining, Force, Reply, Tracker},
+    configuration_group::{Command, DrainTracker, Reply, Rollout, RolloutTracker},
     follower::{self, DRIFT},
     ids::{InstanceId, Revision},
     release::Configuration,
@@ -31,7 +31,7 @@
 /// Where revisions are in force; empty while this keeper does not lead.
 #[derive(Default)]
 pub struct Confirmations {
-    tracker: RefCell<Option<Tracker>>,
+    tracker: RefCell<Option<RolloutTracker>>,
 }
 
 impl Confirmations {
@@ -39,25 +39,25 @@
     pub fn told(&self, node: &Node, instance: &InstanceId, revision: Revision) {
         let Some(peer) = node.cluster.peer(instance) else { return };
         if let Some(tracker) = &mut *self.tracker.borrow_mut() {
-            tracker.confirmed(instance.clone(), peer.zone.clone(), revision);
+            tracker.record_confirmation(instance.clone(), peer.zone.clone(), revision);
         }
     }
 
     /// Where `revision` is in force; `None` while this keeper does not lead.
-    pub fn force(&self, node: &Node, revision: Revision) -> Option<Force> {
-        Some(self.tracker.borrow().as_ref()?.force(node.now(), revision))
+    pub fn force(&self, node: &Node, revision: Revision) -> Option<Rollout> {
+        Some(self.tracker.borrow().as_ref()?.rollout(node.now(), revision))
     }
 
     /// Brings the tracker up to date with the group's newest revision.
     fn committed(&self, node: &Node, revision: Revision) {
         let mut tracker = self.tracker.borrow_mut();
         let tracker = tracker.get_or_insert_with(|| new_tracker(node));
-        tracker.committed(node.now(), revision);
-        tracker.confirmed(node.own.id.clone(), node.own.zone.clone(), revision);
+        tracker.record_commit(node.now(), revision);
+        tracker.record_confirmation(node.own.id.clone(), node.own.zone.clone(), revision);
         let members = node.members.borrow();
         for peer in members.peers().iter().filter(|it| it.is_live()) {
             let (id, zone) = (peer.seed.id.clone(), peer.seed.zone.clone());
-            tracker.confirmed(id, zone, peer.status.revision);
+            tracker.record_confirmation(id, zone, peer.status.revision);
         }
     }
 
@@ -66,11 +66,11 @@
     }
 }
 
-fn new_tracker(node: &Node) -> Tracker {
+fn new_tracker(node: &Node) -> RolloutTracker {
     let lease: Duration = follower::Timing::default().lease;
-    let mut tracker = Tracker::new(lease, DRIFT);
+    let mut tracker = RolloutTracker::new(lease, DRIFT);
     for peer in &node.cluster.instances {
-        tracker.expect(peer.id.clone(), peer.zone.clone());
+        tracker.add_instance(peer.id.clone(), peer.zone.clone());
     }
     tracker
 }
@@ -79,7 +79,7 @@
 pub async fn run(keeper: Rc<Keeper>, mut stop: watch::Receiver<bool>) {
     let mut changes = keeper.changes();
     let mut rounds = interval(ROUND);
-    let mut draining = Draining::default();
+    let mut draining = DrainTracker::default();
     loop {
         tokio::select! {
             _ = rounds.tick() => {}
@@ -123,11 +123,11 @@
     newest.flatten()
 }
 
-async fn remove_drained(keeper: &Keeper, newest: &Configuration, draining: &mut Draining) {
+async fn remove_drained(keeper: &Keeper, newest: &Configuration, draining: &mut DrainTracker) {
     let node = &keeper.node;
     let force = keeper.confirmations.force(node, newest.edited);
-    let is_everywhere = force.is_some_and(|it| it.is_everywhere());
-    let items = draining.unused(node.now(), newest, is_everywhere);
+    let is_everywhere = force.is_some_and(|it| it.is_complete());
+    let items = draining.removable_items(node.now(), newest, is_everywhere);
     if items.is_empty() {
         return;
     }
--- a/src/coordination/keeper/duties/moves.rs
+++ b/src/coordination/keeper/duties/moves.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 use medlarlug_core::{
-    configuration_group::{Command, Move},
+    configuration_group::{Command, HomeMove},
     home::{Action, Reply},
     ids::{RegionId, Revision},
     release::TeamHome,
@@ -83,7 +83,7 @@
     let homes = configuration.homes().iter().filter(|it| it.region == *region);
     let moves = homes.filter_map(|it| {
         let (team, from, to) = (it.team.clone(), it.from.clone()?, it.region.clone());
-        Some(Move { team, from, to, epoch: it.epoch })
+        Some(HomeMove { team, from, to, epoch: it.epoch })
     });
     for it in moves.filter(|it| !is_held(keeper, it)) {
         match carry_out(keeper, &it).await {
@@ -106,7 +106,7 @@
     result
 }
 
-async fn carry_out(keeper: &Keeper, it: &Move) -> Result<(), MoveError> {
+async fn carry_out(keeper: &Keeper, it: &HomeMove) -> Result<(), MoveError> {
     let node = &keeper.node;
     let (team, epoch) = (it.team.clone(), it.epoch);
     if !is_held(keeper, it) {
@@ -129,7 +129,7 @@
     Ok(())
 }
 
-fn is_held(keeper: &Keeper, it: &Move) -> bool {
+fn is_held(keeper: &Keeper, it: &HomeMove) -> bool {
     let home = TeamHome {
         team: it.team.clone(),
         region: it.to.clone(),
--- a/src/coordination/keeper/group.rs
+++ b/src/coordination/keeper/group.rs
@@ -84,7 +84,7 @@
 impl Group {
     /// A group whose replica was restored; `machine` holds the state of its snapshot.
     pub fn new(id: GroupId, replica: Replica, machine: Machine) -> Group {
-        let compacted = replica.compacted();
+        let compacted = replica.snapshot_index();
         Group {
             id,
             replica,
@@ -240,7 +240,7 @@
             Effect::ReadReady { ticket, .. } => self.read(ticket, out),
             Effect::InstallSnapshot { data, .. } => {
                 self.machine.restore(&self.id, &data)?;
-                self.compacted = self.replica.compacted();
+                self.compacted = self.replica.snapshot_index();
                 out.push(Output::Applied);
             }
             Effect::RoleChanged { role, term } => {
--- a/src/coordination/keeper/status.rs
+++ b/src/coordination/keeper/status.rs
@@ -42,7 +42,7 @@
         "committed": replica.committed(),
         "applied": replica.applied(),
         "last": replica.last_index(),
-        "compacted": replica.compacted(),
+        "compacted": replica.snapshot_index(),
         "founded": founded,
     })
 }
--- a/src/coordination/keeper/storage.rs
+++ b/src/coordination/keeper/storage.rs
@@ -4,7 +4,7 @@
 
 use medlarlug_core::{
     ids::InstanceId,
-    replication::{self, MemberKey, Persist, Replica, Restored, StorageId},
+    replication::{self, MemberKey, Persist, Replica, StorageId, StoredState},
 };
 use tokio::sync::mpsc::UnboundedReceiver;
 
@@ -63,10 +63,10 @@
     }
 
     /// What is stored of a group.
-    pub fn restored(&self, group: &GroupId) -> Restored {
+    pub fn restored(&self, group: &GroupId) -> StoredState {
         match self {
             Storage::Disk(_, journal) => journal.group(&group_name(group)),
-            Storage::Memory(_) => Restored::default(),
+            Storage::Memory(_) => StoredState::default(),
         }
     }
 
@@ -138,7 +138,7 @@
     config.durable = node.own.durable;
     config.may_form = may_form;
     if id == GroupId::Configuration {
-        config = config.with_heartbeat(CONFIGURATION_HEARTBEAT);
+        config = config.with_heartbeat_interval(CONFIGURATION_HEARTBEAT);
     }
     let replica = Replica::new(config, restored, rand::random(), node.now());
     Ok(Group::new(id, replica, machine))
--- a/src/coordination/operators/confirmations.rs
+++ b/src/coordination/operators/confirmations.rs
@@ -4,7 +4,7 @@
 
 use hyper::{Request, body::Incoming};
 use medlarlug_core::{
-    configuration_group::{Force, ZoneForce},
+    configuration_group::{Rollout, ZoneRollout},
     ids::{InstanceId, Revision},
     membership::Membership,
 };
@@ -43,9 +43,9 @@
     value.parse().ok().map(Revision)
 }
 
-fn confirmations_of(node: &Node, force: &Force) -> Confirmations {
+fn confirmations_of(node: &Node, force: &Rollout) -> Confirmations {
     let members = node.members.borrow();
-    let zone = |it: &ZoneForce| {
+    let zone = |it: &ZoneRollout| {
         let instances = node.cluster.instances.iter().filter(|peer| peer.zone == it.zone);
         let told = instances.filter_map(|peer| told_revision(node, &members, &peer.id)).min();
         let revision = match it.pending.is_empty() {
@@ -56,7 +56,7 @@
     };
     Confirmations {
         revision: force.revision,
-        everywhere: force.is_everywhere(),
+        everywhere: force.is_complete(),
         leases_ms: Some(millis(force.leases)),
         zones: force.zones.iter().map(zone).collect(),
     }
--- a/src/protocol/message.rs
+++ b/src/protocol/message.rs
@@ -139,9 +139,9 @@
     /// The revision at which the home group was founded, if it was.
     Founding(Option<Revision>),
     /// The teams that are on their way to a new home region.
-    Moves(Vec<configuration_group::Move>),
+    Moves(Vec<configuration_group::HomeMove>),
     /// Where a revision is in force.
-    Force(configuration_group::Force),
+    Force(configuration_group::Rollout),
     /// A command of the publication group is in force.
     Accepted,
     /// The newest route table and the evacuated zones.
--- a/src/state/journal.rs
+++ b/src/state/journal.rs
@@ -15,7 +15,7 @@
     path::{Path, PathBuf},
 };
 
-use medlarlug_core::replication::{Persist, Restored};
+use medlarlug_core::replication::{Persist, StoredState};
 
 use super::{
     error::{Attempt, StateError},
@@ -33,7 +33,7 @@
 const GROWTH_FACTOR: u64 = 2;
 
 /// The state of each group, sorted by group.
-pub type Groups = Vec<(GroupName, Restored)>;
+pub type Groups = Vec<(GroupName, StoredState)>;
 /// Batches that are written together.
 pub type Batches = Vec<(GroupName, Persist)>;
 
@@ -107,12 +107,12 @@
     }
 
     /// The state of each group, sorted by group.
-    pub fn groups(&self) -> &[(GroupName, Restored)] {
+    pub fn groups(&self) -> &[(GroupName, StoredState)] {
         &self.groups
     }
 
     /// The state of one group; empty for a new group.
-    pub fn group(&self, group: &GroupName) -> Restored {
+    pub fn group(&self, group: &GroupName) -> StoredState {
         let at = self.groups.binary_search_by(|(own, _)| own.cmp(group));
         at.map(|at| self.groups[at].1.clone()).unwrap_or_default()
     }
@@ -302,7 +302,7 @@
         let at = match groups.binary_search_by(|(own, _)| own.cmp(&group)) {
             Ok(at) => at,
             Err(at) => {
-                groups.insert(at, (group, Restored::default()));
+                groups.insert(at, (group, StoredState::default()));
                 at
             }
         };
--- a/tests/testsuite/state.rs
+++ b/tests/testsuite/state.rs
@@ -10,7 +10,7 @@
     ids::{LogIndex, Revision, Term},
     release::Configuration,
     replication::{
-        Entry, FormationId, HardState, Membership, Payload, Persist, Restored, Snapshot,
+        Entry, FormationId, HardState, Membership, Payload, Persist, Snapshot, StoredState,
     },
 };
 use rand::{RngExt, SeedableRng};
@@ -204,7 +204,7 @@
     journal_file(&path);
 }
 
-fn random_batch(rng: &mut ChaCha8Rng, sequence: u64, model: &Restored) -> Persist {
+fn random_batch(rng: &mut ChaCha8Rng, sequence: u64, model: &StoredState) -> Persist {
     let base = model.snapshot.as_ref().map_or(0, |snapshot| snapshot.index.0);
     let last = model.entries.last().map_or(base, |entry| entry.index.0);
     let mut batch = Persist { sequence, ..Persist::default() };
@@ -229,7 +229,7 @@
     for seed in 0..10 {
         let path = TempDir::new().unwrap();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut models = [Restored::default(), Restored::default(), Restored::default()];
+        let mut models = [StoredState::default(), StoredState::default(), StoredState::default()];
         for round in 0..10 {
             let mut journal = Journal::open(&open(&path)).expect("a journal");
             for step in 0..20 {
