--- a/crates/medlarlug-core/src/gateway/health.rs
+++ b/crates/medlarlug-core/src/gateway/health.rs
@@ -23,7 +23,7 @@
 
 /// How a call ended, as far as the health of its upstream is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallOutcome {
+pub enum UpstreamOutcome {
     /// A whole answer.
     Answered,
     /// A whole answer of an upstream that counted as cold.
@@ -69,11 +69,11 @@
 impl HealthTracker {
     /// Takes in how a call ended. Returns how long the upstream is avoided from now on, if that
     /// is news.
-    pub fn record(&mut self, now: Time, id: &UpstreamId, end: CallOutcome) -> Option<Duration> {
+    pub fn record(&mut self, now: Time, id: &UpstreamId, end: UpstreamOutcome) -> Option<Duration> {
         let health = self.entry(id);
         match end {
-            CallOutcome::Answered | CallOutcome::AnsweredCold => {
-                if end == CallOutcome::Answered {
+            UpstreamOutcome::Answered | UpstreamOutcome::AnsweredCold => {
+                if end == UpstreamOutcome::Answered {
                     health.observations.last_answer = Some(now);
                 }
                 health.failures *= 1.0 - SMOOTHING;
@@ -81,15 +81,15 @@
                 health.avoid = None;
                 None
             }
-            CallOutcome::Failed | CallOutcome::Broken => {
-                if end == CallOutcome::Broken {
+            UpstreamOutcome::Failed | UpstreamOutcome::Broken => {
+                if end == UpstreamOutcome::Broken {
                     health.observations.last_broken = Some(now);
                 }
                 health.failures += SMOOTHING * (1.0 - health.failures);
                 None
             }
-            CallOutcome::Refused => health.strike(now, FIRST_REST, LONGEST_REST),
-            CallOutcome::Unreachable => {
+            UpstreamOutcome::Refused => health.strike(now, FIRST_REST, LONGEST_REST),
+            UpstreamOutcome::Unreachable => {
                 health.observations.last_unreachable = Some(now);
                 health.strike(now, FIRST_PAUSE, LONGEST_PAUSE)
             }
--- a/crates/medlarlug-core/src/gateway/placement.rs
+++ b/crates/medlarlug-core/src/gateway/placement.rs
@@ -245,7 +245,7 @@
     /// use medlarlug_core::{gateway::placement::*, time::Time};
     ///
     /// let id = "engine-1".parse().unwrap();
-    /// let only = Candidate { id: &id, slots: 8, memory: 0, failures: 0.0, distance: Default::default() };
+    /// let only = Candidate { id: &id, slots: 8, memory_tokens: 0, failure_rate: 0.0, round_trip: Default::default() };
     /// let choice = Loads::default().choose(Time::ZERO, &Demand::default(), &[only], 1).unwrap();
     /// assert_eq!(choice.id, id);
     /// ```
--- a/crates/medlarlug-core/tests/testsuite/gateway/limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/limits.rs
@@ -8,7 +8,7 @@
         cold::{
             ColdDetector, ColdSendPacer, Evacuations, Observations, ProcessTimes, designated_sender,
         },
-        health::{CallOutcome, HealthTracker},
+        health::{HealthTracker, UpstreamOutcome},
         retry_budget::{InstanceShare, RetryBounds, RetryWindow, Spending},
         upstreams::Upstreams,
     },
@@ -296,7 +296,7 @@
     let id = "engine-1".parse().unwrap();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
 
-    healths.record(Time::from_millis(500), &id, CallOutcome::Unreachable);
+    healths.record(Time::from_millis(500), &id, UpstreamOutcome::Unreachable);
 
     let known = upstreams.get(&id).unwrap();
     let now = Time::from_millis(1_500);
@@ -327,9 +327,9 @@
     };
 
     let unseen = is_cold(&healths);
-    healths.record(Time::from_millis(3_000), &id, CallOutcome::Answered);
+    healths.record(Time::from_millis(3_000), &id, UpstreamOutcome::Answered);
     let answering = is_cold(&healths);
-    healths.record(Time::from_millis(4_000), &id, CallOutcome::Broken);
+    healths.record(Time::from_millis(4_000), &id, UpstreamOutcome::Broken);
     let broken = is_cold(&healths);
 
     assert_eq!((unseen, answering, broken), (true, false, true));
@@ -349,7 +349,7 @@
         ColdDetector::default().is_cold(now, known, healths.observations(&id), process)
     };
     let mut serving = HealthTracker::default();
-    serving.record(Time::from_millis(2_700), &id, CallOutcome::Answered);
+    serving.record(Time::from_millis(2_700), &id, UpstreamOutcome::Answered);
 
     let regular = is_cold(2_200, &HealthTracker::default(), started);
     let missed = is_cold(2_792, &HealthTracker::default(), started);
@@ -368,7 +368,7 @@
     let id = "engine-1".parse().unwrap();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
 
-    healths.record(Time::from_millis(5_000), &id, CallOutcome::AnsweredCold);
+    healths.record(Time::from_millis(5_000), &id, UpstreamOutcome::AnsweredCold);
 
     let now = Time::from_millis(5_100);
     let known = upstreams.get(&id).unwrap();
@@ -385,7 +385,7 @@
     let mut healths = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
 
-    healths.record(Time::ZERO, &id, CallOutcome::Refused);
+    healths.record(Time::ZERO, &id, UpstreamOutcome::Refused);
 
     assert!(healths.is_avoided(Time::from_millis(100), &id));
     assert!(!healths.is_avoided(Time::from_millis(200), &id));
@@ -398,8 +398,8 @@
     let mut healths = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
 
-    healths.record(Time::ZERO, &id, CallOutcome::Refused);
-    healths.record(Time::from_millis(200), &id, CallOutcome::Refused);
+    healths.record(Time::ZERO, &id, UpstreamOutcome::Refused);
+    healths.record(Time::from_millis(200), &id, UpstreamOutcome::Refused);
 
     assert!(healths.is_avoided(Time::from_millis(450), &id));
 }
@@ -408,9 +408,9 @@
 fn answer_ends_the_rest_of_an_upstream() {
     let mut healths = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
-    healths.record(Time::ZERO, &id, CallOutcome::Unreachable);
+    healths.record(Time::ZERO, &id, UpstreamOutcome::Unreachable);
 
-    healths.record(Time::from_millis(10), &id, CallOutcome::Answered);
+    healths.record(Time::from_millis(10), &id, UpstreamOutcome::Answered);
 
     assert!(!healths.is_avoided(Time::from_millis(20), &id));
 }
@@ -421,7 +421,7 @@
     let id = "engine-1".parse().unwrap();
 
     for _ in 0..20 {
-        healths.record(Time::ZERO, &id, CallOutcome::Failed);
+        healths.record(Time::ZERO, &id, UpstreamOutcome::Failed);
     }
 
     assert!(!healths.is_avoided(Time::ZERO, &id));
