--- a/crates/medlarlug-gateway/src/entry/answers.rs
+++ b/crates/medlarlug-gateway/src/entry/answers.rs
@@ -1,10 +1,10 @@
-//! Reads whole answers of upstreams, within bounds on each and on all together.
+//! Reads complete answers of upstreams, with bounds on each and on all together.
 //!
-//! An answer is kept until it is whole, since a call may be repeated while its caller has seen nothing. An
-//! upstream that never stops sending must not take the process's memory with it, so an answer has a
-//! longest size, and few long ones are read at a time. The others wait unread, which stops their senders;
-//! short answers are not held up. Answers that tell their length have turns of their own, since those
-//! without one may have no end.
+//! An answer is buffered until it is complete, because a call may be retried as long as its caller
+//! has received nothing. An upstream that never stops sending must not exhaust the memory of the
+//! process, so the size of an answer is limited, and only a few long ones are read at a time. The
+//! others are left unread, which blocks their senders; short answers are not delayed. Answers with
+//! a known length have permits of their own, because those without one may never end.
 
 use std::time::Duration;
 
@@ -13,31 +13,32 @@
 use hyper::body::{Body, Incoming};
 use tokio::{sync::Semaphore, time::timeout};
 
-/// Longest whole answer, in bytes; twice the longest request body that the first deployments allow.
+/// Maximum size of a complete answer: twice the longest request body that the first deployments
+/// allow.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
-/// Size above which an answer is long, in bytes; the answers of the first deployments are below 10 KB.
+/// Size above which an answer needs a permit; the answers of the first deployments are below 10 KB.
 const SHORT_ANSWER_BYTES: usize = 128 << 10;
-/// Long answers of each kind that are read at a time: with their buffers a fifth of the memory of the smallest machine
-/// of an entry instance, 160 MB.
+/// Long answers of each kind that are read at a time. Their buffers take a fifth of the memory of
+/// the smallest machine of an entry instance, which is 160 MB.
 const MAX_LONG_ANSWERS: usize = 2;
 
-/// Why an answer was not read to its end.
+/// Why an answer was not read completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadError {
-    /// The connection ended before it was whole.
+    /// The connection ended before the answer was complete.
     Cut,
-    /// It is longer than [`MAX_ANSWER_BYTES`].
+    /// The answer exceeds [`MAX_ANSWER_BYTES`].
     TooLong,
-    /// It was not whole in time.
+    /// The answer was not complete in time.
     Late,
 }
 
-/// Turns for reading long answers.
+/// Reads answers, and holds the permits for long ones.
 #[derive(Debug)]
 pub(super) struct AnswerReader {
-    /// Those that tell their length.
+    /// For answers with a known length.
     with_length: Semaphore,
-    /// Those that don't.
+    /// For answers without a known length.
     without_length: Semaphore,
 }
 
@@ -51,7 +52,7 @@
 }
 
 impl AnswerReader {
-    /// Reads an answer to its end within `limit`.
+    /// Reads an answer completely within `limit`.
     pub(super) async fn read(&self, body: Incoming, limit: Duration) -> Result<Bytes, ReadError> {
         timeout(limit, self.read_unbounded(body)).await.unwrap_or(Err(ReadError::Late))
     }
@@ -72,7 +73,7 @@
                 return Err(ReadError::TooLong);
             }
             if size > SHORT_ANSWER_BYTES && permit.is_none() {
-                permit = Some(permits.acquire().await.expect("it is never closed"));
+                permit = Some(permits.acquire().await.expect("the semaphore is never closed"));
                 content.reserve(length.map_or(0, |length| length - content.len()));
             }
             content.extend_from_slice(&data);
--- a/crates/medlarlug-gateway/src/entry/attempt.rs
+++ b/crates/medlarlug-gateway/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a call sent to one hop, and what came of it.
+//! One attempt: sends a call to one hop and classifies the result.
 
 use std::{io::ErrorKind, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -34,48 +34,50 @@
 };
 use crate::{link::Message, metrics as names};
 
-/// Time for a connection to an upstream to open: a lost packet is repeated on a new one sooner
-/// than by the system.
+/// Timeout for opening a connection to an upstream. If a packet is lost, a new connection is faster
+/// than the retransmission by the system.
 const UPSTREAM_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for a connection to another region to open.
+/// Timeout for opening a connection to another region.
 const REGION_CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest stream, in bytes: ten times the longest answer of the first deployments, with 200 events of
-/// 4 KB.
+/// Longest stream, in bytes: ten times the longest answer of the first deployments, which has 200
+/// events of 4 KB.
 const MAX_STREAM_BYTES: usize = 8 << 20;
-/// Rank of calls at engines when the table's ranks are exhausted; engines know 0 to 9.
+/// Rank of calls at engines whose route has a lower priority than engines know; these support ranks
+/// 0 to 9.
 const LOWEST_RANK: u8 = 9;
 
-/// What the attempts of a call have in common.
+/// What all attempts of a call have in common.
 pub(super) struct AttemptContext<'a> {
     pub(super) call: &'a Call,
     pub(super) kind: RouteKind,
     pub(super) priority: u8,
-    /// Tells the next instance about the route, if the call may be handed over.
+    /// The route for an entry instance of another region, if the hop is one.
     pub(super) forwarded: Option<header::HeaderValue>,
-    /// When the call has to be answered.
+    /// When the call has to be answered: its deadline or the timeout of its route, whichever is
+    /// earlier.
     pub(super) answer_by: Time,
     /// When the caller stops waiting.
     pub(super) deadline: Time,
-    /// Last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub(super) last_event: Option<u64>,
-    /// Longest time until the head of the answer or the first event.
+    /// Timeout for the head of the answer, or for the first event of a stream.
     pub(super) answer_timeout: Duration,
 }
 
-/// What came of an attempt.
+/// Result of an attempt.
 pub(super) enum Outcome {
-    /// A whole answer of the upstream, which may be a failure of its own.
+    /// A complete answer of the upstream, which may be an error of its own.
     Answer(Response<Bytes>),
     /// A stream whose first events have arrived.
     Stream(Box<EventStream>),
-    /// The call was not run, and never will be by this attempt.
+    /// The call was not run, and will not be run by this attempt.
     NotRun(NotRun),
-    /// Nobody knows whether the call has run.
+    /// It is unknown whether the call has run.
     Unknown(Unknown),
 }
 
 impl Outcome {
-    /// A word for the log.
+    /// Name of the outcome in the log.
     pub(super) fn name(&self) -> &'static str {
         match self {
             Outcome::Answer(answer) if answer.status().is_server_error() => "failed",
@@ -95,37 +97,38 @@
 /// Why a call was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum NotRun {
-    /// The upstream says so; it is full or leaving.
+    /// The upstream refused the call, because it is full or leaving.
     Refused {
-        /// When to come back, if it says that too.
+        /// The `Retry-After` of the refusal, if it has one.
         after: Option<Duration>,
     },
-    /// Another upstream has the address.
+    /// A different upstream answers at the address.
     Misdirected,
-    /// No connection.
+    /// No connection could be opened.
     Unreachable,
-    /// The upstream wanted no request any more when the connection had opened.
+    /// The upstream stopped accepting requests while the connection was being opened.
     Withdrawn,
 }
 
-/// Why it is not known whether a call has run.
+/// Why it is unknown whether a call has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Unknown {
-    /// The connection ended before the answer was whole.
+    /// The connection ended before the answer was complete.
     ConnectionLost,
-    /// Nothing came in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// What came belongs to another call, or is no answer of an upstream.
+    /// The answer belongs to another call, or does not come from an upstream.
     ForeignAnswer,
 }
 
-/// Counts a call at its upstream, or as handed over, for as long as it lives.
+/// Counts a call in the load of its upstream, or in the tokens forwarded to a region, until it is
+/// dropped.
 pub(super) struct LoadSlot {
     entry: Rc<Entry>,
     counted_at: CountedAt,
     began: Time,
     has_first_token: bool,
-    /// The request to the upstream, and how it has ended if nothing else happens.
+    /// The request to the upstream; `request_end` is reported for it when the slot is dropped.
     in_flight: Option<InFlight>,
     request_end: RequestEnd,
 }
@@ -133,12 +136,12 @@
 /// Where a call is counted.
 enum CountedAt {
     Upstream(Choice),
-    /// Handed over to a region, with the tokens of its prompt.
+    /// A region that the call was forwarded to, and the tokens of its prompt.
     Region(RegionId, u64),
 }
 
 impl LoadSlot {
-    /// The first token or the answer has come.
+    /// Records that the first token or the answer has arrived.
     fn answered(&mut self) {
         if !self.has_first_token {
             self.has_first_token = true;
@@ -184,27 +187,26 @@
     pub(super) headers: HeaderMap,
     body: Incoming,
     splitter: EventSplitter,
-    /// Bytes that have come so far.
     received: usize,
     connection: Option<Connection>,
     slot: LoadSlot,
     hop: Hop,
-    /// Whole events that have arrived and were not taken yet.
+    /// Complete events that have arrived and were not returned yet.
     ready: Option<Bytes>,
 }
 
-/// The next piece of a stream.
+/// The next part of a stream.
 pub(super) enum Piece {
-    /// Whole events.
+    /// One or more complete events.
     Events(Bytes),
-    /// The stream has ended as its upstream says it should.
+    /// The upstream ended the stream properly.
     End,
-    /// The connection ended within the stream.
+    /// The connection ended before the stream did, or a limit was exceeded.
     Broken,
 }
 
 impl EventStream {
-    /// The next whole events.
+    /// Waits for the next complete events.
     pub(super) async fn next(&mut self) -> Piece {
         if let Some(events) = self.ready.take() {
             return Piece::Events(events);
@@ -218,7 +220,7 @@
                     if self.splitter.is_overfull() || self.received > MAX_STREAM_BYTES {
                         tracing::warn!(
                             received = self.received,
-                            "stream cut, it or an event is too long"
+                            "stream cut: stream or event too long"
                         );
                         return Piece::Broken;
                     }
@@ -243,17 +245,17 @@
         }
     }
 
-    /// The upstream that sends it; `None` for another instance.
+    /// Where the stream comes from.
     pub(super) fn hop(&self) -> &Hop {
         &self.hop
     }
 
-    /// The stream fell silent, and another hop goes on with it.
+    /// Records that the stream stopped sending and another hop resumes it.
     pub(super) fn abandon(&mut self) {
         self.slot.request_end = RequestEnd::Unanswered;
     }
 
-    /// Gives the connection back after the end of the stream.
+    /// Returns the connection to the pool after the end of the stream.
     pub(super) fn finish(mut self, entry: &Entry) {
         if let Some(connection) = self.connection.take() {
             entry.client.give_back_among(connection, self.hop.idle());
@@ -261,8 +263,8 @@
     }
 }
 
-/// Sends a call to a hop and waits for the whole answer, or for the first events of a stream. Counts
-/// in `attempts` what that may have run.
+/// Sends a call to a hop and waits for the complete answer, or for the first events of a stream.
+/// Counts in `attempts` the requests that may have run.
 pub(super) async fn send(
     entry: &Rc<Entry>,
     context: &AttemptContext<'_>,
@@ -283,7 +285,8 @@
     outcome
 }
 
-/// Sends a call to a hop. What another instance reports of it goes to `report`.
+/// Sends a call to a hop. What another instance reports about its own attempts is stored in
+/// `report`.
 async fn attempt(
     entry: &Rc<Entry>,
     context: &AttemptContext<'_>,
@@ -293,9 +296,9 @@
     let now = entry.now();
     let left = context.answer_by - now;
     let answer_timeout = context.answer_timeout.min(left);
-    // An upstream may leave a late answer on a connection, or close it as a call goes out, so a call
-    // that runs at most once takes a new one. Instances don't, and a new connection to another
-    // region takes as long as the call.
+    // An upstream may send a late answer on a reused connection, or close it while the request is
+    // sent, so a call that must run at most once gets a new connection. Other instances do neither,
+    // and opening a connection to another region takes as long as the call itself.
     let reuse = match (hop, context.kind.is_repeatable()) {
         (Hop::Upstream { .. }, false) => Reuse::Never,
         _ => Reuse::Allowed,
@@ -343,7 +346,7 @@
         let read = entry.answers.read(body, left).await;
         if let Err(error) = read {
             slot.request_end = RequestEnd::Unanswered;
-            tracing::info!(request = %context.call.id, unread = ?error, "answer not read to its end");
+            tracing::info!(request = %context.call.id, unread = ?error, "answer not read completely");
         }
         return match read {
             Ok(bytes) => {
@@ -389,7 +392,7 @@
             record_health(entry, hop, CallEnd::Answered);
             Outcome::Stream(Box::new(stream))
         }
-        // An empty stream is whole.
+        // A stream without events is complete.
         Ok(Piece::End) => Outcome::Stream(Box::new(stream)),
         Ok(Piece::Broken) => {
             record_health(entry, hop, CallEnd::Broken);
@@ -408,7 +411,7 @@
     }
 }
 
-/// Counts the call where it goes.
+/// Counts the call in the load of its hop.
 fn open_slot(entry: &Rc<Entry>, context: &AttemptContext, hop: &Hop, now: Time) -> LoadSlot {
     let demand = &context.call.demand;
     let counted_at = match hop {
@@ -451,7 +454,7 @@
     }
 }
 
-/// The request as it goes to the hop.
+/// Builds the request for the hop; `None` if a header or the target can't be represented.
 fn build_request(
     entry: &Entry,
     context: &AttemptContext,
@@ -485,7 +488,8 @@
 }
 
 impl Entry {
-    /// Takes in what the head of an answer says about whether its upstream wants requests.
+    /// Applies what the head of an answer says about the availability of its upstream: that it is
+    /// leaving, or for how long to back off.
     fn record_availability(
         &self,
         call: &Call,
@@ -499,7 +503,7 @@
         let is_leaving = headers.get(&self.names.leaving).is_some_and(|value| value == "1");
         if is_leaving && self.availabilities.borrow_mut().leaves(now, id, birth) {
             metrics::counter!(names::LEAVING_UPSTREAMS).increment(1);
-            tracing::info!(request = %call.id, upstream = %id, birth = birth.0, "upstream leaves, by its answer");
+            tracing::info!(request = %call.id, upstream = %id, birth = birth.0, "upstream announced in an answer that it is leaving");
             self.client.forget(address);
             self.links.send_all(&Message::Leaving { upstream: id.clone(), birth });
         }
@@ -515,17 +519,17 @@
                 if let Some(remaining) = remaining {
                     let for_ms = remaining.as_millis() as u64;
                     metrics::counter!(names::BACKOFFS).increment(1);
-                    tracing::info!(request = %call.id, upstream = %id, birth = birth.0, %rest, for_ms, "upstream rests");
+                    tracing::info!(request = %call.id, upstream = %id, birth = birth.0, %rest, for_ms, "upstream requested backoff");
                 }
             }
             Err(error) => {
-                tracing::warn!(upstream = %id, ?value, %error, "time to rest can't be read, the upstream counts as full");
+                tracing::warn!(upstream = %id, ?value, %error, "invalid Retry-After; the upstream is considered full");
             }
         }
     }
 }
 
-/// Judges an answer by its head; `None` if the body counts as well.
+/// Classifies an answer by its head; `None` if the body has to be read as well.
 fn judge_head(
     entry: &Rc<Entry>,
     context: &AttemptContext,
@@ -559,7 +563,7 @@
     None
 }
 
-/// The time to come back that an answer names.
+/// The `Retry-After` of an answer, in seconds with fractions.
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(header::RETRY_AFTER)?.to_str().ok()?;
     let seconds: f64 = value.trim().parse().ok()?;
@@ -591,7 +595,7 @@
     }
 }
 
-/// Takes in what a call shows of the health of its upstream.
+/// Records the result of a request for the health of its upstream.
 pub(super) fn record_health(entry: &Rc<Entry>, hop: &Hop, end: CallEnd) {
     let Hop::Upstream { choice, address, cold_rate, .. } = hop else { return };
     let end = match end {
--- a/crates/medlarlug-gateway/src/entry/call.rs
+++ b/crates/medlarlug-gateway/src/entry/call.rs
@@ -1,4 +1,4 @@
-//! A call as its caller sent it, read once.
+//! A call as its caller sent it, parsed once.
 
 use std::time::Duration;
 
@@ -12,27 +12,28 @@
 
 use crate::headers::HeaderNames;
 
-/// A call with what decisions need of it.
+/// A call with the parsed headers that decisions depend on.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) method: Method,
     /// Path and query, as sent.
     pub(super) target: SmolStr,
     pub(super) host: SmolStr,
-    /// The caller's id of the call; empty if it sent none.
+    /// The id that the caller gave the call; empty if it sent none.
     pub(super) id: SmolStr,
-    /// Time that the caller waits; `None` if it didn't say.
+    /// Time for which the caller waits; `None` if it did not say.
     pub(super) deadline: Option<Duration>,
     pub(super) demand: Demand,
-    /// The headers to pass on.
+    /// The headers to pass on to the hop.
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    /// Names what the call asks for; set with the body.
+    /// Fingerprint of the request, by which contents that crash upstreams are recognized; set with
+    /// the body.
     pub(super) content: Fingerprint,
 }
 
 impl Call {
-    /// Reads the head of a request; the body comes later.
+    /// Parses the head of a request; the body is added by [`Call::set_body`].
     pub(super) fn read(parts: request::Parts, names: &HeaderNames) -> Call {
         let request::Parts { method, uri, mut headers, .. } = parts;
         let text = |name: &header::HeaderName| {
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Takes in the body, which comes after the head.
+    /// Stores the body and computes the fingerprint of the request. Each field is preceded by its
+    /// length, so that the same bytes divided otherwise give another fingerprint.
     pub(super) fn set_body(&mut self, body: Bytes) {
         let key = self.headers.get(header::AUTHORIZATION);
         let fields = [
@@ -84,7 +86,7 @@
     }
 }
 
-/// Drops the headers that concern one connection only, and those that only the system sets.
+/// Removes the headers that apply to one connection only, and those that only the system sets.
 fn strip(headers: &mut HeaderMap, names: &HeaderNames) {
     strip_connection(headers);
     headers.remove(header::CONTENT_LENGTH);
@@ -98,7 +100,7 @@
     }
 }
 
-/// Drops the headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Removes the headers that apply to one connection only (RFC 9110, section 7.6.1).
 pub(super) fn strip_connection(headers: &mut HeaderMap) {
     let listed: Vec<header::HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -126,7 +128,8 @@
     }
 }
 
-/// What a call asks of an engine; parts that can't be read count as unknown.
+/// Parses what a call demands of an engine. Prompt parts that can't be parsed are left out, and
+/// counts that can't be parsed are 0.
 fn parse_demand(parts: &str, counts: &str) -> Demand {
     let parts = parts.split(',').filter_map(|part| {
         let (id, tokens) = part.trim().split_once(':')?;
--- a/crates/medlarlug-gateway/src/entry/choice.rs
+++ b/crates/medlarlug-gateway/src/entry/choice.rs
@@ -1,4 +1,5 @@
-//! Where a call goes next: an upstream of the own region, or an entry instance of another one.
+//! Chooses the next hop of a call: an upstream of the own region, or an entry instance of another
+//! one.
 
 use std::{cell::OnceCell, net::SocketAddr, time::Duration};
 
@@ -20,41 +21,42 @@
 
 use super::{Entry, plan::Plan};
 
-/// Time from one region to another and back, and the work of the instance there.
+/// Round trip to another region, and the processing time of the instance there.
 const REGION_ROUND_TRIP: Duration = Duration::from_millis(130);
-/// Time that an upstream in another availability zone of the region costs: a new connection and the
-/// request there and back, with about 4 ms one way.
+/// Added time of a request to an upstream in another availability zone of the region: opening a
+/// connection, the request and the answer, with about 4 ms each way.
 const ZONE_CROSSING_COST: Duration = Duration::from_millis(16);
-/// Part of the local cost that the cost elsewhere has to stay below: news from there is old, and
-/// every call that crosses is paid for.
+/// A call is forwarded to another region only if the cost there is below this fraction of the local
+/// cost: the predictions for other regions are older, and traffic between regions is charged for.
 const FORWARD_COST_RATIO: f64 = 0.8;
-/// Part of the latency objective below which a local cost is good enough.
-const LOCAL_WAIT_SHARE: f64 = 0.2;
+/// A local cost below this fraction of the latency objective is good enough not to consider other
+/// regions.
+const LOCAL_COST_FRACTION: f64 = 0.2;
 /// Idle connections that are kept to an instance of another region.
 const MAX_IDLE_PEER_CONNECTIONS: usize = 32;
 
 /// Where to send a call.
 #[derive(Debug, Clone)]
 pub(super) enum Hop {
-    /// To an upstream of the own region.
+    /// An upstream of the own region.
     Upstream {
         choice: Choice,
-        /// Its incarnation.
+        /// Incarnation of the upstream that the choice was made for.
         birth: Birth,
         address: SocketAddr,
         memory: u64,
         cold_rate: Option<f64>,
-        /// Idle connections to it that may be kept.
+        /// Maximum number of idle connections to keep to it.
         idle: usize,
-        /// Age of the upstream's newest announcement.
+        /// Age of the newest announcement of the upstream.
         age: Duration,
     },
-    /// To an entry instance of another region.
+    /// An entry instance of another region.
     Peer { id: InstanceId, region: RegionId, address: SocketAddr, wait: Duration },
 }
 
 impl Hop {
-    /// Idle connections that may be kept to it.
+    /// Maximum number of idle connections to keep to the hop.
     pub(super) fn idle(&self) -> usize {
         match self {
             Hop::Upstream { idle, .. } => *idle,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// What answers there.
+    /// Whether an upstream or an entry instance answers.
     pub(super) fn source(&self) -> Source {
         match self {
             Hop::Upstream { .. } => Source::Upstream,
@@ -79,7 +81,7 @@
     }
 }
 
-/// What was tried before for the same call.
+/// The hops that were tried for a call.
 #[derive(Debug, Default)]
 pub(super) struct Tried {
     pub(super) upstreams: Vec<UpstreamId>,
@@ -87,7 +89,7 @@
 }
 
 impl Entry {
-    /// The best hop for a call, if there is any.
+    /// Chooses the best hop for a call; `None` if there is none.
     pub(super) fn choose(&self, plan: &Plan, demand: &Demand) -> Option<Hop> {
         let Plan { table, route, service, tried, .. } = plan;
         let own = self.settings.borrow().card.region.clone();
@@ -96,23 +98,24 @@
             false => None,
         };
         let cost = local.as_ref().map(|local| self.cost(local));
-        let is_near = cost.is_some_and(|cost| cost <= route.objective.mul_f64(LOCAL_WAIT_SHARE));
-        let away = match plan.may_forward && !is_near {
+        let is_local_good =
+            cost.is_some_and(|cost| cost <= route.objective.mul_f64(LOCAL_COST_FRACTION));
+        let remote = match plan.may_forward && !is_local_good {
             true => self.choose_peer(route, service, demand, &tried.peers),
             false => None,
         };
-        match (local, away) {
-            (Some(local), Some(away))
-                if away.wait() < self.cost(&local).mul_f64(FORWARD_COST_RATIO) =>
+        match (local, remote) {
+            (Some(local), Some(remote))
+                if remote.wait() < self.cost(&local).mul_f64(FORWARD_COST_RATIO) =>
             {
-                Some(away)
+                Some(remote)
             }
             (Some(local), _) => self.local_hop(table, service, local),
-            (None, away) => away,
+            (None, remote) => remote,
         }
     }
 
-    /// Cost of an upstream with the wait for its turn.
+    /// Cost of sending a call to an upstream, including the time queued for prefill.
     pub(super) fn cost(&self, choice: &Choice) -> Duration {
         match choice.is_long() {
             true => choice.cost + self.turn_waits.borrow().expected(self.now()),
@@ -129,15 +132,16 @@
         let is_cold = self.is_cold(now, known);
         let cold_rate = spec.map(|spec| spec.cold_rate).filter(|_| is_cold);
         let accepted = spec.map_or(0, |spec| spec.connections) as usize;
-        // Half of what it accepts, divided among the instances, is left for calls that take a new one.
+        // Half of the connections that the upstream accepts is divided among the instances. The
+        // other half is left for calls that open a new connection.
         let idle = (accepted / 2 / self.exchange.instances()).max(1);
         let (address, age) = (known.upstream.address, now - known.heard);
         let birth = known.upstream.birth;
         Some(Hop::Upstream { choice, birth, address, memory, cold_rate, idle, age })
     }
 
-    /// The best upstream of the own region; one that was not heard of lately only if there is no
-    /// other.
+    /// Chooses the best upstream of the own region. One without a recent announcement is chosen
+    /// only if there is no other.
     pub(super) fn choose_local(
         &self,
         table: &RouteTable,
@@ -148,7 +152,7 @@
         let now = self.now();
         let spec = table.service(service)?;
         let memory = spec.engine.map_or(0, |engine| engine.memory);
-        // Needed for cold upstreams only.
+        // Computed only if there is a cold upstream.
         let entries = OnceCell::new();
         let upstreams = self.upstreams.borrow();
         let usable: Vec<&Known> = upstreams
@@ -183,14 +187,14 @@
         self.suspicions.borrow().is_cold(now, known, observations, process)
     }
 
-    /// Whether an upstream wants requests, by its answers.
+    /// The availability of an upstream according to its answers.
     fn availability(&self, now: Time, known: &Known) -> Availability {
         let Known { upstream, .. } = known;
         self.availabilities.borrow().of(now, &upstream.id, upstream.birth)
     }
 
-    /// Time until the first of the region's upstreams of a service has rested; `None` if none that could
-    /// serve rests.
+    /// Time until the first of the region's upstreams of a service ends its backoff; `None` if no
+    /// ready upstream backs off.
     pub(super) fn backoff_remaining(&self, service: &ServiceName) -> Option<Duration> {
         let now = self.now();
         let settings = self.settings.borrow();
@@ -207,8 +211,9 @@
         rests.min()
     }
 
-    /// Whether a request may go to an upstream now. Every request asks here: first ones, repeats, those
-    /// that have waited, those of other regions, and streams that go on.
+    /// Whether a request may be sent to an upstream now. Every request is checked here: first
+    /// attempts, retries, those that were queued, those forwarded by other regions, and resumed
+    /// streams.
     fn is_usable(
         &self,
         now: Time,
@@ -219,7 +224,8 @@
         self.is_permitted(now, known) && self.is_usable_with_permit(now, known, cold_rate, entries)
     }
 
-    /// The same but for the limit that the upstream may have named.
+    /// Whether a request may be sent to an upstream once it has a permit, if the upstream has named
+    /// a rate limit.
     pub(super) fn is_usable_with_permit(
         &self,
         now: Time,
@@ -242,8 +248,8 @@
         is_sender && self.cold.borrow().may_send(now, &upstream.id, cold_rate)
     }
 
-    /// Whether an upstream of the region takes new requests, by its announcements, its answers and the
-    /// evacuated zones.
+    /// Whether an upstream of the region accepts new requests, according to its announcements, its
+    /// answers and the evacuated zones.
     fn accepts_requests(&self, now: Time, known: &Known) -> bool {
         let upstream = &known.upstream;
         let settings = self.settings.borrow();
@@ -253,14 +259,15 @@
             && self.availability(now, known) == Availability::Open
     }
 
-    /// Whether an incarnation that a request was decided for takes it still.
+    /// Whether the incarnation that was chosen for a request still accepts it.
     pub(super) fn still_accepts(&self, id: &UpstreamId, birth: Birth) -> bool {
         let upstreams = self.upstreams.borrow();
         let known = upstreams.get(id).filter(|known| known.upstream.birth == birth);
         known.is_some_and(|known| self.accepts_requests(self.now(), known))
     }
 
-    /// The entry instance of another region that can serve the call soonest.
+    /// Chooses an entry instance of the region, other than the own, that can serve the call
+    /// soonest.
     fn choose_peer(
         &self,
         route: &Route,
@@ -271,13 +278,13 @@
         let now = self.now();
         let own = self.settings.borrow().card.region.clone();
         let contacts = self.contacts.borrow();
-        let is_fit = |contact: &&Contact| {
+        let is_eligible = |contact: &&Contact| {
             contact.status.ready
                 && contact.card.region != own
                 && route.may_be_served_in(&contact.card.region)
                 && !tried.contains(&contact.card.id)
         };
-        let fit = contacts.live_entries(now).filter(is_fit);
+        let eligible = contacts.live_entries(now).filter(is_eligible);
         let waits = self.waits.borrow();
         let cost = |region: &RegionId| {
             let at = waits.binary_search_by(|it| (&it.region, &it.service).cmp(&(region, service)));
@@ -286,15 +293,16 @@
             let upstreams = self.upstreams_in(region, service);
             Some(away::cost(away::Region { told, unread, upstreams }, demand))
         };
-        let fit: Vec<&Contact> = fit.collect();
-        let mut regions: Vec<&RegionId> = fit.iter().map(|it| &it.card.region).collect();
+        let eligible: Vec<&Contact> = eligible.collect();
+        let mut regions: Vec<&RegionId> = eligible.iter().map(|it| &it.card.region).collect();
         regions.sort();
         regions.dedup();
         let costs = regions.into_iter().filter_map(|region| Some((cost(region)?, region)));
         let (wait, region) = costs.min()?;
-        // Any instance of that region will do; one alone would be flooded.
-        let there: Vec<&&Contact> = fit.iter().filter(|it| it.card.region == *region).collect();
-        let contact = there[rand::rng().random_range(0..there.len())];
+        // Chosen at random, so that the calls do not overload a single instance of that region.
+        let in_region: Vec<&&Contact> =
+            eligible.iter().filter(|it| it.card.region == *region).collect();
+        let contact = in_region[rand::rng().random_range(0..in_region.len())];
         let card = &contact.card;
         Some(Hop::Peer {
             id: card.id.clone(),
@@ -304,13 +312,14 @@
         })
     }
 
-    /// Prompt tokens that were handed over to a region and are not answered yet.
+    /// Prompt tokens of calls that were forwarded to a region and are not answered yet.
     fn forwarded_tokens(&self, region: &RegionId) -> u64 {
         let by_region = self.forwarded_tokens.borrow();
         by_region.binary_search_by(|it| it.0.cmp(region)).map_or(0, |at| by_region[at].1)
     }
 
-    /// Counts prompt tokens that are handed over to a region, or were answered there.
+    /// Changes the number of forwarded prompt tokens when a call is forwarded to a region or
+    /// answered there.
     pub(super) fn update_forwarded_tokens(&self, region: &RegionId, change: impl Fn(u64) -> u64) {
         let mut by_region = self.forwarded_tokens.borrow_mut();
         let at = match by_region.binary_search_by(|it| it.0.cmp(region)) {
@@ -323,7 +332,7 @@
         by_region[at].1 = change(by_region[at].1);
     }
 
-    /// Ready upstreams of a service in a region.
+    /// Number of ready upstreams of a service in a region.
     pub(super) fn upstreams_in(&self, region: &RegionId, service: &ServiceName) -> usize {
         let settings = self.settings.borrow();
         let upstreams = self.upstreams.borrow();
--- a/crates/medlarlug-gateway/src/entry/crashes.rs
+++ b/crates/medlarlug-gateway/src/entry/crashes.rs
@@ -1,16 +1,14 @@
-//! Contents that crash upstreams, and the calls that are kept from running because of it.
+//! Detects contents that crash upstreams, and keeps calls with these contents from running.
 //!
-//! A quarantined content runs as a trial only, once at a time at one instance of all, see
-//! [`medlarlug_core::suspects`].
+//! Each request to an upstream is recorded with the fingerprint of its content. When the upstream
+//! crashes, the contents in flight there become suspects; see [`medlarlug_core::suspects`] for how
+//! suspicion turns into quarantine. A quarantined content runs only as a trial, one at a time and
+//! at one instance of the deployment. The facts are sent to all entry instances through the
+//! keepers, which store them for instances that start later.
 //!
-//! Each call to an upstream is noted with the fingerprint of its content. When the upstream is lost,
-//! the contents in flight there become suspects; see [`medlarlug_core::suspects`] for how
-//! suspicion turns into quarantine. The facts go to all entry instances through the keepers, which keep
-//! them for instances that start.
-//!
-//! A broken connection is no loss by itself. It becomes one when the upstream takes no
-//! connection any more, when a younger incarnation announces itself under its id or address, or when
-//! another instance reports the loss. Until then the call stays noted.
+//! A broken connection alone does not count as a crash. It does when the upstream refuses new
+//! connections, when a newer incarnation announces itself with its id or address, or when another
+//! instance reports the crash. Until then the request stays recorded.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -27,46 +25,48 @@
 use super::{Entry, call::Call, plan::Plan};
 use crate::{link::Message, metrics as names};
 
-/// Time in which the other connections to an upstream end, if it has crashed.
+/// Time after which the other connections to an upstream have ended as well, if it has crashed.
 const CRASH_SETTLE_TIME: Duration = Duration::from_millis(30);
-/// Time for a connection to open to an upstream that may have crashed.
+/// Timeout for opening a connection to an upstream that may have crashed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for which a call that ended without an answer stays noted: a crashed upstream restarts and
-/// announces itself within a few seconds.
+/// Time for which a request that ended without an answer stays recorded. A crashed upstream
+/// restarts and announces itself within a few seconds.
 const UNANSWERED_LIFETIME: Duration = Duration::from_secs(15);
 
-/// Time in which a call that has the trial of its content sends it: its turn at an engine, or a permit.
+/// Time that a call has to send the trial of its content: it may have to wait for prefill at an
+/// engine, or for a permit.
 const TRIAL_RESERVATION: Duration = Duration::from_secs(1);
-/// Time to come back while a trial is under way or due: until it has ended and all have heard of it.
+/// `Retry-After` while a trial is running or due: the time for it to end and for all instances to
+/// receive the result.
 const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What an instance knows of contents that crash upstreams.
+/// The state of crash detection at this instance.
 #[derive(Default)]
 pub(super) struct Crashes {
     suspects: Suspects,
-    /// Requests to upstreams so far.
+    /// Number of requests sent to upstreams so far.
     sequence: u64,
     /// Requests that ended without an answer, and when.
     unanswered: Vec<(InFlight, Time)>,
-    /// Upstreams that are being looked at.
+    /// Upstreams that [`check_for_crash`] is running for.
     under_check: Vec<LossKey>,
     /// Trials of quarantined contents at this instance.
     trials: Vec<ContentTrials>,
 }
 
-/// The trials of one content at this instance.
+/// Trials of one content at this instance.
 #[derive(Debug, Clone)]
 struct ContentTrials {
     content: Fingerprint,
-    /// Requests that went out.
+    /// Number of requests sent.
     attempts: u32,
-    /// When the newest one did.
-    tried: Option<Time>,
-    /// Until when a call has the next one.
-    reserved: Time,
+    /// When the newest request was sent.
+    last_sent: Option<Time>,
+    /// Until when the next trial is reserved_until for a call.
+    reserved_until: Time,
 }
 
-/// A request to an upstream.
+/// A request to an incarnation of an upstream that has not ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct InFlight {
     request: RequestId,
@@ -76,9 +76,9 @@
 /// How a request to an upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestEnd {
-    /// With its whole answer.
+    /// With a complete answer.
     Answered,
-    /// The connection ended, or fell silent, before the answer was whole.
+    /// The connection ended, or no data arrived in time, before the answer was complete.
     Unanswered,
     /// In another way, which says nothing about the content.
     Other,
@@ -99,8 +99,8 @@
             self.trials.push(ContentTrials {
                 content,
                 attempts: 0,
-                tried: None,
-                reserved: Time::ZERO,
+                last_sent: None,
+                reserved_until: Time::ZERO,
             });
             self.trials.len() - 1
         });
@@ -113,13 +113,13 @@
 }
 
 impl Entry {
-    /// Whether a content runs as a trial only.
+    /// Whether a content may run only as a trial.
     pub(super) fn is_quarantined(&self, content: Fingerprint) -> bool {
         self.crashes.borrow().suspects.ledger().trials(content).is_some()
     }
 
-    /// Time for which a call is not run because of its content; `None` if it is. The call may become the trial
-    /// of its content.
+    /// Time for which a call is refused because of its content; `None` if it may run. The call may
+    /// become the trial of its content.
     pub(super) fn quarantine(&self, call: &Call, plan: &mut Plan) -> Option<Duration> {
         let content = call.content;
         let trials = self.crashes.borrow().suspects.ledger().trials(content)?;
@@ -128,13 +128,14 @@
         }
         let now = self.now();
         let mut crashes = self.crashes.borrow_mut();
-        let tries = crashes.trials.iter().find(|it| it.content == content).cloned();
-        let (attempts, tried) = tries.as_ref().map_or((0, None), |it| (it.attempts, it.tried));
-        let next = trials.next(attempts, tried);
-        let is_reserved = tries.is_some_and(|it| it.reserved > now);
+        let own_trials = crashes.trials.iter().find(|it| it.content == content).cloned();
+        let (attempts, last_sent) =
+            own_trials.as_ref().map_or((0, None), |it| (it.attempts, it.last_sent));
+        let next = trials.next(attempts, last_sent);
+        let is_reserved = own_trials.is_some_and(|it| it.reserved_until > now);
         let is_free = now >= next && !is_reserved && !crashes.suspects.is_tried(content);
         if !plan.is_trial && is_free && self.runs_trial(content, plan) {
-            crashes.trials_of(content).reserved = now + TRIAL_RESERVATION;
+            crashes.trials_of(content).reserved_until = now + TRIAL_RESERVATION;
             (plan.is_trial, plan.may_forward) = (true, false);
             let failed = trials.failed;
             tracing::info!(request = %call.id, %content, failed, attempts, "trying quarantined content");
@@ -143,7 +144,7 @@
         Some((next - now).max(TRIAL_RETRY_AFTER))
     }
 
-    /// Whether this instance tries a content, of all that could.
+    /// Whether this instance runs the trials of a content, out of all instances that could.
     fn runs_trial(&self, content: Fingerprint, plan: &Plan) -> bool {
         let now = self.now();
         let settings = self.settings.borrow();
@@ -161,7 +162,7 @@
         self.view.borrow().is_settled(now) && suspects::tester(content, &instances) == Some(&own.id)
     }
 
-    /// Notes that a request goes to an incarnation of an upstream.
+    /// Records that a request is sent to an incarnation of an upstream.
     pub(super) fn request_sent(
         &self,
         content: Fingerprint,
@@ -176,8 +177,8 @@
         let is_trial = self.is_quarantined(content);
         let mut crashes = self.crashes.borrow_mut();
         if is_trial {
-            let tries = crashes.trials_of(content);
-            (tries.attempts, tries.tried) = (tries.attempts + 1, Some(self.now()));
+            let trials = crashes.trials_of(content);
+            (trials.attempts, trials.last_sent) = (trials.attempts + 1, Some(self.now()));
         }
         let request = crashes.next_request(region, instance);
         drop(crashes);
@@ -190,7 +191,7 @@
         InFlight { request, key }
     }
 
-    /// Notes how a request to an upstream ended.
+    /// Records how a request to an upstream ended.
     pub(super) fn request_ended(&self, in_flight: InFlight, request_end: RequestEnd) {
         match request_end {
             RequestEnd::Answered => {
@@ -200,7 +201,8 @@
             RequestEnd::Unanswered => {
                 let now = self.now();
                 let mut crashes = self.crashes.borrow_mut();
-                // The loss of its upstream may have been noted before.
+                // If the crash of the upstream has been recorded before, its requests are no longer
+                // tracked.
                 if crashes.suspects.incarnation_of(&in_flight.request).is_some() {
                     crashes.unanswered.push((in_flight, now));
                 }
@@ -208,21 +210,21 @@
         }
     }
 
-    /// An upstream refuses connections: it has crashed if requests there ended without an answer.
+    /// Called when an upstream refuses connections: it has crashed if requests there ended without
+    /// an answer.
     pub(super) fn refused_connection(&self, upstream: &UpstreamId) {
         let Some(key) = self.newest_incarnation(upstream) else { return };
         if self.crashes.borrow().has_unanswered(&key) {
-            self.record_crash(key, "it refuses connections");
+            self.record_crash(key, "refuses connections");
         }
     }
 
-    /// The newest incarnation of an upstream.
     fn newest_incarnation(&self, upstream: &UpstreamId) -> Option<LossKey> {
         let upstreams = self.upstreams.borrow();
         upstreams.get(upstream).map(|it| key(upstream, it.upstream.birth))
     }
 
-    /// Finds out whether an upstream has crashed, after a connection to it broke.
+    /// Starts to check whether an upstream has crashed, after a connection to it broke.
     pub(super) fn start_crash_check(self: &Rc<Self>, upstream: &UpstreamId, address: SocketAddr) {
         let Some(key) = self.newest_incarnation(upstream) else { return };
         let mut crashes = self.crashes.borrow_mut();
@@ -232,8 +234,8 @@
         }
     }
 
-    /// An upstream announces itself: an older one with its id or address has crashed, unless it
-    /// said that it was leaving.
+    /// Called when an upstream announces itself: an older incarnation with its id or address has
+    /// crashed, unless it had announced that it was leaving.
     pub(super) fn on_replacement(&self, upstream: &Upstream) {
         let replaced = self.upstreams.borrow().crashed_before(upstream);
         for (id, birth) in replaced {
@@ -244,51 +246,51 @@
         }
     }
 
-    /// Takes in what others know of contents that crash upstreams.
+    /// Applies facts that other instances have found out about contents that crash upstreams.
     pub(super) fn apply_facts(&self, facts: Vec<Fact>) {
         let now = self.now();
-        let lost = facts.iter().filter_map(|fact| match fact {
+        let reported = facts.iter().filter_map(|fact| match fact {
             Fact::Lost(report) => Some((report.key.clone(), now.saturating_sub(report.age))),
             Fact::Cleared { .. } => None,
         });
-        let lost: Vec<(LossKey, Time)> = lost.collect();
+        let reported: Vec<(LossKey, Time)> = reported.collect();
         self.update_suspects(|suspects, now, out| suspects.learn_all(now, &facts, out));
-        for (key, when) in lost {
-            // It is cold when it comes back.
+        for (key, when) in reported {
+            // The upstream is cold when it returns.
             if self.newest_incarnation(&key.upstream).as_ref() == Some(&key) {
                 self.healths.borrow_mut().crashed(when, &key.upstream);
             }
             if self.crashes.borrow().has_unanswered(&key) {
-                self.record_crash(key, "another instance reports it");
+                self.record_crash(key, "reported by another instance");
             }
         }
     }
 
-    /// What a keeper that may have lost its memory has to know.
+    /// The facts that a keeper needs again if it has lost its memory.
     pub(super) fn facts_to_resend(&self) -> Vec<Fact> {
         self.crashes.borrow().suspects.ledger().repeated_losses(self.now())
     }
 
-    /// Forgets what is too old.
+    /// Removes requests and trials that have expired.
     pub(super) fn expire_crashes(&self) {
         let now = self.now();
-        let is_old = |it: &mut (InFlight, Time)| now - it.1 > UNANSWERED_LIFETIME;
-        let old: Vec<InFlight> = {
+        let is_expired = |it: &mut (InFlight, Time)| now - it.1 > UNANSWERED_LIFETIME;
+        let expired: Vec<InFlight> = {
             let mut crashes = self.crashes.borrow_mut();
-            crashes.unanswered.extract_if(.., is_old).map(|it| it.0).collect()
+            crashes.unanswered.extract_if(.., is_expired).map(|it| it.0).collect()
         };
         {
             let mut crashes = self.crashes.borrow_mut();
             let Crashes { suspects, trials, .. } = &mut *crashes;
             trials.retain(|it| suspects.ledger().trials(it.content).is_some());
         }
-        for in_flight in old {
+        for in_flight in expired {
             self.handle_event(Event::Ended { request: in_flight.request });
         }
         self.handle_event(Event::Tick);
     }
 
-    /// An upstream was lost with all requests that were in flight there.
+    /// Records that an upstream has crashed with all requests that were in flight there.
     fn record_crash(&self, key: LossKey, evidence: &'static str) {
         self.crashes.borrow_mut().unanswered.retain(|(in_flight, _)| in_flight.key != key);
         metrics::counter!(names::UPSTREAM_CRASHES).increment(1);
@@ -299,19 +301,20 @@
         });
     }
 
-    /// Feeds an event to the suspects.
+    /// Passes an event to the tracking of suspects.
     fn handle_event(&self, event: Event) {
         self.update_suspects(|suspects, now, out| suspects.handle(now, event, out));
     }
 
-    /// Changes the suspects, logs the contents that are quarantined since, and tells the keepers what
-    /// follows.
+    /// Changes the suspects, logs contents that became quarantined, and sends the resulting facts
+    /// to the keepers.
     fn update_suspects(&self, change: impl FnOnce(&mut Suspects, Time, &mut Vec<Effect>)) {
         let mut effects = Vec::new();
         self.log_new_quarantines(|suspects, now| change(suspects, now, &mut effects));
         let facts = effects.into_iter().filter_map(|effect| match effect {
             Effect::Share(fact) => Some(fact),
-            // Suspects share upstreams here, which run a hundred requests at once.
+            // The gateway does not reserve upstreams for suspects: an upstream runs a hundred
+            // requests at the same time.
             Effect::Reserve { .. } | Effect::Free { .. } | Effect::Lost { .. } => None,
         });
         let facts: Vec<Fact> = facts.collect();
@@ -328,7 +331,7 @@
         self.links.send_all(&Message::Facts(facts));
     }
 
-    /// Changes the suspects and logs the contents that are quarantined since.
+    /// Changes the suspects and logs contents that became quarantined.
     fn log_new_quarantines(&self, change: impl FnOnce(&mut Suspects, Time)) {
         let now = self.now();
         let suspects = &mut self.crashes.borrow_mut().suspects;
@@ -346,18 +349,18 @@
     }
 }
 
-/// Takes an upstream for crashed if none of its connections outlasts one that broke, and counts
-/// what was in flight there as suspect if it takes no new connection either.
+/// Considers an upstream crashed if no other connection to it outlasts one that broke. The contents
+/// in flight there become suspects only if it refuses a new connection, too.
 async fn check_for_crash(entry: Rc<Entry>, key: LossKey, address: SocketAddr) {
     let began = entry.now();
     sleep(CRASH_SETTLE_TIME).await;
     let running = entry.loads.borrow().report_of(&key.upstream).running;
     let idle = entry.client.idle(address);
     if running == 0 && idle == 0 {
-        tracing::warn!(upstream = %key.upstream, "no connection outlasted a broken one, the upstream may have crashed");
+        tracing::warn!(upstream = %key.upstream, "all connections to the upstream broke; it may have crashed");
         entry.healths.borrow_mut().crashed(began, &key.upstream);
         if http_client::is_refused(address, PROBE_TIMEOUT).await {
-            entry.record_crash(key.clone(), "it refuses connections");
+            entry.record_crash(key.clone(), "refuses connections");
         }
     }
     entry.crashes.borrow_mut().under_check.retain(|it| *it != key);
--- a/crates/medlarlug-gateway/src/entry/forwarded.rs
+++ b/crates/medlarlug-gateway/src/entry/forwarded.rs
@@ -1,23 +1,23 @@
-//! Headers of calls that one region hands over to another.
+//! Headers of calls that are forwarded to another region.
 
 use hyper::{HeaderMap, header::HeaderValue};
 use medlarlug::transport::body::Answer;
 use medlarlug_core::gateway::handover::{Handover, Report};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Header of a call that was handed over: a [`Handover`] in JSON.
+/// Header of a forwarded call: a [`Handover`] in JSON.
 pub(super) const HANDOVER_HEADER: &str = "medlarlug-forwarded";
-/// Header of an answer to such a call: a [`Report`] in JSON.
+/// Header of the answer to a forwarded call: a [`Report`] in JSON.
 const REPORT_HEADER: &str = "medlarlug-report";
 
-/// The answer to a call, with what this instance did to get it.
+/// The answer to a call, with the number of attempts that this instance made.
 pub(super) struct Reported {
     pub(super) answer: Answer,
     pub(super) report: Report,
 }
 
 impl Reported {
-    /// The answer for the instance that handed the call over.
+    /// The answer for the instance that forwarded the call, with the report.
     pub(super) fn for_instance(self) -> Answer {
         let Reported { mut answer, report } = self;
         answer.headers_mut().remove(REPORT_HEADER);
@@ -27,7 +27,7 @@
         answer
     }
 
-    /// The answer for the caller, which is not told how it came about.
+    /// The answer for the caller, without the report.
     pub(super) fn for_caller(self) -> Answer {
         let mut answer = self.answer;
         answer.headers_mut().remove(REPORT_HEADER);
@@ -35,18 +35,18 @@
     }
 }
 
-/// What another instance reports with an answer; `None` if there is no readable report.
+/// The report in the answer of another instance; `None` if it is missing or can't be parsed.
 pub(super) fn report(headers: &HeaderMap) -> Option<Report> {
     let report = headers.get(REPORT_HEADER).and_then(decode);
     if report.is_none() {
         tracing::warn!(
-            "an instance answered without a readable report, all attempts count as used"
+            "no valid report in the answer of another instance; all attempts count as used"
         );
     }
     report
 }
 
-/// The route of a call that was handed over.
+/// The route of a forwarded call; `None` if it is missing or can't be parsed.
 pub(super) fn handover(headers: &HeaderMap) -> Option<Handover> {
     headers.get(HANDOVER_HEADER).and_then(decode)
 }
--- a/crates/medlarlug-gateway/src/entry/limited.rs
+++ b/crates/medlarlug-gateway/src/entry/limited.rs
@@ -1,8 +1,9 @@
-//! Upstreams that name a limit on the requests of all entry instances together.
+//! Upstreams that name a limit on the rate of requests from all entry instances together.
 //!
-//! What an instance hears of a limit goes to all instances of the region, and each request to such an
-//! upstream uses a permit; see [`medlarlug_core::gateway::allotment`]. Questions, permits and news travel
-//! as datagrams: a lost one is asked again, or made up for by the next answer.
+//! An instance that receives a limit sends it to all instances of the region, and each request to
+//! such an upstream uses a permit; see [`medlarlug_core::gateway::allotment`]. Permit requests,
+//! grants and limits travel as datagrams. A lost permit request or grant is made up for by the next
+//! request, a lost limit by the next answer of the upstream.
 
 use std::{
     cell::{Cell, OnceCell, RefCell},
@@ -29,28 +30,28 @@
 use super::{Entry, call::Call, plan::Plan};
 use crate::{load_exchange, metrics as names};
 
-/// Time between two rounds of the allotter while instances wait for permits: the way of a datagram between
-/// availability zones.
+/// Time between two rounds of the allotter while instances wait for permits: the time that a
+/// datagram takes between availability zones.
 const ALLOTMENT_INTERVAL: Duration = Duration::from_millis(10);
-/// Longest time for which a call waits for a permit: a question, its answer, and a lost datagram.
+/// Longest time for which a call waits for a permit: a request, its grant, and one lost datagram.
 const MAX_PERMIT_WAIT: Duration = Duration::from_millis(250);
 
-/// Pause between two looks at whether a call has got a permit: the way of a datagram between availability
-/// zones.
+/// Time between two checks whether a call has got a permit: the time that a datagram takes between
+/// availability zones.
 pub(super) const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A message between entry instances of a region about limits that upstreams name.
+/// A message between entry instances of a region about the rate limits that upstreams name.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum LimitMessage {
-    /// An upstream has named a limit, or names none any more.
+    /// An upstream has named a limit, or has stopped naming one.
     Limit { upstream: UpstreamId, birth: Birth, limit: Option<NamedLimit> },
-    /// An instance has calls for an upstream with a limit.
+    /// Requests permits from the allotter for calls that wait at `from`.
     Ask { from: InstanceId, upstream: UpstreamId, birth: Birth, limit: NamedLimit, calls: u32 },
-    /// The answer of the allotter.
+    /// Permits that the allotter grants the receiver.
     Grant { upstream: UpstreamId, birth: Birth, permits: u32 },
 }
 
-/// An upstream with a limit to which a call could go.
+/// An upstream with a rate limit that a call could be sent to.
 #[derive(Debug, Clone)]
 pub(super) struct LimitedUpstream {
     id: UpstreamId,
@@ -58,40 +59,41 @@
     limit: NamedLimit,
 }
 
-/// What an instance knows of such limits.
+/// The limits that this instance knows, its permits, and the requests that it has received as
+/// allotter.
 #[derive(Default)]
 pub(super) struct LimitState {
     limits: RefCell<NamedLimits>,
     permits: RefCell<Permits>,
     allotter: RefCell<Allotter>,
-    /// News that are to be sent.
+    /// Changed limits that are still to be sent to the other instances.
     updates: RefCell<Vec<LimitMessage>>,
     wake: Notify,
-    /// Calls that wait for a permit.
-    waiting: Cell<usize>,
+    /// Number of calls that wait for a permit.
+    waiting_calls: Cell<usize>,
 }
 
-/// Counts a call that waits for a permit, for as long as it does.
+/// Counts a call that waits for a permit, until it is dropped.
 pub(super) struct PermitWait {
     entry: Rc<Entry>,
     began: Time,
 }
 
 impl PermitWait {
-    /// A call begins to wait for a permit of one of these upstreams; `None` if those that wait already take all
-    /// that this instance can expect in time.
+    /// Starts to wait for a permit of one of these upstreams. Returns `None` if the calls that wait
+    /// already use up all permits that this instance can expect within [`MAX_PERMIT_WAIT`].
     pub(super) fn begin(entry: &Rc<Entry>, limited: &[LimitedUpstream]) -> Option<PermitWait> {
         let interval = entry.permit_interval(limited)?;
         let served = MAX_PERMIT_WAIT.as_secs_f64() / interval.as_secs_f64();
-        let waiting = entry.limited.waiting.get();
-        if waiting as f64 >= served.max(1.0) {
+        let waiting_calls = entry.limited.waiting_calls.get();
+        if waiting_calls as f64 >= served.max(1.0) {
             return None;
         }
-        entry.limited.waiting.set(waiting + 1);
+        entry.limited.waiting_calls.set(waiting_calls + 1);
         Some(PermitWait { entry: entry.clone(), began: entry.now() })
     }
 
-    /// Whether it has waited for long enough.
+    /// Whether [`MAX_PERMIT_WAIT`] has passed.
     pub(super) fn is_over(&self) -> bool {
         self.entry.now() - self.began >= MAX_PERMIT_WAIT
     }
@@ -99,27 +101,27 @@
 
 impl Drop for PermitWait {
     fn drop(&mut self) {
-        let waiting = &self.entry.limited.waiting;
-        waiting.set(waiting.get() - 1);
+        let waiting_calls = &self.entry.limited.waiting_calls;
+        waiting_calls.set(waiting_calls.get() - 1);
     }
 }
 
-/// What the head of an answer says about a limit.
+/// Parses the limit in the head of an answer.
 fn parse_limit(headers: &HeaderMap, name: &HeaderName) -> Said {
     let Some(value) = headers.get(name) else { return Said::None };
     let limit: Result<NamedLimit, LimitError> = value.to_str().unwrap_or_default().parse();
     match limit {
         Ok(limit) => Said::Limit(limit),
         Err(error) => {
-            tracing::warn!(?value, %error, "limit can't be read, the upstream keeps the one before or the lowest");
+            tracing::warn!(?value, %error, "invalid rate limit in an answer; keeping the previous one, or else the lowest");
             Said::Unreadable
         }
     }
 }
 
 impl Entry {
-    /// Takes in what the head of an answer says about the limit of its upstream; the request went out at
-    /// `sent`.
+    /// Records what the head of an answer says about the limit of its upstream; the request was
+    /// sent at `sent`.
     pub(super) fn record_limit(
         &self,
         call: &Call,
@@ -129,7 +131,7 @@
         headers: &HeaderMap,
     ) {
         let said = parse_limit(headers, &self.names.limit);
-        // What ends a limit has to come from the upstream itself.
+        // Only an answer of the upstream itself can end a limit, not one of an intermediary.
         if said == Said::None && !headers.contains_key(&self.names.signature) {
             return;
         }
@@ -144,7 +146,7 @@
                 tracing::info!(request = %call.id, upstream = %id, birth = birth.0, %limit, "upstream names a limit");
             }
             None => {
-                tracing::info!(request = %call.id, upstream = %id, birth = birth.0, "limit of an upstream has ended");
+                tracing::info!(request = %call.id, upstream = %id, birth = birth.0, "upstream no longer names a limit");
             }
         }
         let updates = LimitMessage::Limit { upstream: id.clone(), birth, limit };
@@ -152,45 +154,48 @@
         self.limited.wake.notify_one();
     }
 
-    /// Whether the limit of an upstream, if it has one, leaves room for a request now.
+    /// Whether the upstream has no limit, or a permit for it is available now.
     pub(super) fn is_permitted(&self, now: Time, known: &Known) -> bool {
         let (id, birth) = (&known.upstream.id, known.upstream.birth);
         self.limited.limits.borrow().of(id, birth).is_none()
             || self.limited.permits.borrow().has(now, id, birth)
     }
 
-    /// Uses a permit for a request that goes out to an upstream with a limit. Returns the limit.
+    /// Uses a permit for a request to an upstream with a limit. Returns the limit; `None` if there
+    /// is none.
     pub(super) fn use_permit(&self, id: &UpstreamId, birth: Birth) -> Option<NamedLimit> {
         let limit = self.limited.limits.borrow().of(id, birth)?;
         self.limited.permits.borrow_mut().take(self.now(), id, birth);
         Some(limit)
     }
 
-    /// Asks for permits for upstreams with a limit that have none here. Returns whether there are such.
+    /// Requests permits for the upstreams of `limited` for which none is available. Returns whether
+    /// there are any.
     pub(super) fn request_permits(&self, limited: &[LimitedUpstream], is_first: bool) -> bool {
         let now = self.now();
         let mut permits = self.limited.permits.borrow_mut();
-        let mut is_asked = false;
+        let mut has_requested = false;
         for LimitedUpstream { id, birth, .. } in limited {
             if !permits.has(now, id, *birth) {
                 permits.want(id, *birth, is_first);
-                is_asked = true;
+                has_requested = true;
             }
         }
-        if is_asked {
+        if has_requested {
             self.limited.wake.notify_one();
         }
-        is_asked
+        has_requested
     }
 
-    /// Time between two permits that this instance can expect for upstreams with a limit.
+    /// Mean time between two permits that this instance can expect for these upstreams; `None`
+    /// without any.
     pub(super) fn permit_interval(&self, limited: &[LimitedUpstream]) -> Option<Duration> {
         let pace: f64 = limited.iter().map(|it| Pace::whole(it.limit).per_second()).sum();
         let instances = self.exchange.instances() as f64;
         (!limited.is_empty()).then(|| Duration::from_secs_f64(instances / pace))
     }
 
-    /// The upstreams here to which a call could go if it had a permit.
+    /// The upstreams of the own region that the call could be sent to if a permit were available.
     pub(super) fn limited_upstreams(&self, plan: &Plan) -> Vec<LimitedUpstream> {
         let limits = self.limited.limits.borrow();
         if limits.is_empty() || !plan.route.may_be_served_in(&self.settings.borrow().card.region) {
@@ -211,22 +216,22 @@
         limited.collect()
     }
 
-    /// Forgets the limit of an upstream that is gone.
+    /// Drops the limit of an upstream that has been removed.
     pub(super) fn forget_limit(&self, id: &UpstreamId) {
         self.limited.limits.borrow_mut().remove(id);
     }
 
-    /// Takes a message of another instance in.
+    /// Handles a message about limits from another instance.
     pub(crate) fn on_limit_message(&self, from: SocketAddr, message: LimitMessage) {
         let now = self.now();
         match message {
             LimitMessage::Limit { upstream, birth, limit } => {
-                tracing::info!(%upstream, birth = birth.0, limit = limit.map(tracing::field::display), %from, "told of the limit of an upstream");
+                tracing::info!(%upstream, birth = birth.0, limit = limit.map(tracing::field::display), %from, "received the limit of an upstream");
                 self.limited.limits.borrow_mut().told(now, &upstream, birth, limit);
             }
             LimitMessage::Ask { from, upstream, birth, limit, calls } => {
                 if !self.allots(now, &upstream) {
-                    tracing::debug!(%upstream, %from, "asked for permits, and not the allotter");
+                    tracing::debug!(%upstream, %from, "permit request ignored; this instance is not the allotter");
                     return;
                 }
                 let own = self.limited.limits.borrow().of(&upstream, birth);
@@ -241,13 +246,15 @@
         }
     }
 
-    /// Whether this instance gives out the permits for an upstream.
+    /// Whether this instance grants the permits for an upstream.
     fn allots(&self, now: Time, upstream: &UpstreamId) -> bool {
         let entries = self.region_entries();
         self.view.borrow().is_settled(now) && cold::sender(upstream, &entries) == Some(&self.id())
     }
 
-    /// Asks for the permits that calls want: the allotter, or itself.
+    /// Requests the permits that calls wait for: at this instance's own allotter, or by the
+    /// returned messages at the allotters of other instances. Also returns whether permits are
+    /// still wanted.
     fn ask_for_permits(&self, now: Time) -> (Vec<(InstanceId, LimitMessage)>, bool) {
         let (wants, has_more) = self.limited.permits.borrow_mut().questions(now, &self.id());
         if wants.is_empty() {
@@ -281,7 +288,8 @@
         (questions, has_more)
     }
 
-    /// One round: the messages that go out, by the instance that gets them, and whether there will be more.
+    /// Runs one round. Returns the messages to send with their receivers, and whether another round
+    /// is due.
     fn allotment_round(&self) -> (Vec<(SocketAddr, LimitMessage)>, bool) {
         let now = self.now();
         let (mut messages, has_more) = self.ask_for_permits(now);
@@ -311,7 +319,7 @@
     }
 }
 
-/// Sends what there is to say about limits for as long as the process runs.
+/// Runs rounds and sends their messages for as long as the process runs.
 pub(super) async fn run(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     loop {
         let (messages, has_more) = entry.allotment_round();
@@ -320,7 +328,7 @@
             .for_each(|(to, message)| load_exchange::send_limit(&socket, message, to));
         let wake = entry.limited.wake.notified();
         match has_more {
-            // A round comes in any case.
+            // A time-out is no error: the next round is due then.
             true => drop(timeout(ALLOTMENT_INTERVAL, wake).await),
             false => wake.await,
         }
--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -1,17 +1,17 @@
-//! An entry instance: takes callers' calls in and relays them.
+//! An entry instance: accepts the calls of callers and relays them.
 //!
 //! The life of a call:
 //!
-//! 1. [`serve`] finds its route, reads its body and repeats attempts until one succeeds, none is
+//! 1. [`serve`] finds its route, reads its body and makes attempts until one succeeds, none is
 //!    left, or the time is up.
-//! 2. Each attempt begins with a choice of an upstream in the own region or of an entry instance
+//! 2. Each attempt begins with the choice of an upstream in the own region or of an entry instance
 //!    in another one ([`choice`]), or with a refusal.
-//! 3. [`attempt`] sends the call and judges what comes back: an answer, a promise that the call was
-//!    not run, or a failure after which nobody knows.
-//! 4. A whole answer is passed on at once. A stream is passed on event by event by [`relay`], which
-//!    goes on at another upstream if the first one breaks off and the route allows it.
+//! 3. [`attempt`] sends the call and classifies the result: an answer, a guarantee that the call
+//!    was not run, or a failure after which it is unknown whether the call has run.
+//! 4. A complete answer is passed on at once. A stream is passed on event by event by [`relay`],
+//!    which resumes it at another upstream if the first one breaks off and the route allows it.
 //!
-//! A call that another region has handed over takes the same way, but is never handed on.
+//! A call that another region has forwarded is served in the same way, but never forwarded again.
 
 mod answers;
 mod attempt;
@@ -76,31 +76,35 @@
     settings::{MAX_UPDATE_AGE, NodeSettings},
 };
 
-/// Time between two rounds of upkeep.
+/// Time between two rounds of housekeeping.
 const UPKEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which a table that was asked for is asked for again.
+/// Time after which the request for a table is repeated.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time for which callers still come after this instance has said that it is leaving: until most
-/// have asked for the directory again, and early enough for streams to end within the grace period.
+/// Time for which callers are still accepted after this instance has announced that it is leaving.
+/// Most callers fetch the directory again within it, and streams still have the rest of the grace
+/// period to end.
 const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(2_500);
-/// Silence after which an instance is forgotten: longer than with keepers, which tell only of
-/// changes, so that an instance that returns after a long silence is told of anew.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// Time for which the predicted spare capacity is told: it goes to all keepers, each at its own time.
+/// Time without a sign of life after which an instance is removed. It is longer than at keepers:
+/// they send only changes, so an instance must be removed there first to be sent again when it
+/// returns.
+const CONTACT_EXPIRY: Duration = Duration::from_secs(60);
+/// Time for which the prediction of spare capacity is reused. Each keeper is sent it in its own
+/// ping.
 const SPARE_LIFETIME: Duration = Duration::from_millis(300);
-/// Part of the grace period after which calls that still run are cut.
-const GRACE_SHARE: f64 = 0.92;
-/// Pause between two looks at whether calls still run.
+/// Fraction of the grace period after which calls that are still running are cut.
+const GRACE_FRACTION: f64 = 0.92;
+/// Time between two checks whether calls are still running.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time in which the last bytes of answers go out.
+/// Time for the last bytes of answers to be written.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
-/// Time after the start in which the table and the upstreams become known: upstreams announce
-/// themselves every second or so, also to keepers that have just started.
+/// Time after start within which the table and the upstreams become known. Upstreams announce
+/// themselves about every second, also to keepers that have just started.
 const STARTUP_TIME: Duration = Duration::from_secs(4);
-/// Connections of callers and other instances; the system's own limit on descriptors is lower.
+/// Maximum number of connections from callers and other instances. The system's own limit on file
+/// descriptors is lower.
 const MAX_CONNECTIONS: usize = 3_000;
-/// Time for which a connection may be idle or send a head. Callers are told in the table how long
-/// they may reuse a connection, which is less.
+/// Time for which a connection may be idle or take to send a request head. The table tells callers
+/// how long they may reuse a connection, which is less.
 const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A running entry instance.
@@ -110,13 +114,13 @@
     clock: Clock,
     started: Time,
     table: RefCell<Option<Rc<RouteTable>>>,
-    /// Newest replicated state that was heard of; the table may still be on its way.
+    /// Newest replicated state that a keeper has sent; the table may not have arrived yet.
     head: RefCell<PublicationHead>,
-    /// The version that was asked for, and when.
+    /// The version that was requested, and when.
     fetch_in_flight: Cell<Option<(TableVersion, Time)>>,
     upstreams: RefCell<Upstreams>,
     contacts: RefCell<Contacts>,
-    /// Which keepers this instance hears.
+    /// Which keepers this instance receives updates from.
     view: RefCell<View>,
     loads: RefCell<Loads>,
     exchange: Exchange,
@@ -127,13 +131,13 @@
     cold: RefCell<ColdSends>,
     crashes: RefCell<Crashes>,
     suspicions: RefCell<Suspicions>,
-    /// Predicted waits of other regions, sorted.
+    /// Predicted waiting times of other regions, sorted by region and service.
     waits: RefCell<Vec<RegionWait>>,
-    /// What this instance could take over, and when that was predicted.
+    /// Predicted spare capacity of this instance, and when it was predicted.
     spare: RefCell<(Option<Time>, Vec<Spare>)>,
-    /// Prompt tokens handed over to each region and not answered yet, sorted by region.
+    /// Prompt tokens forwarded to each region whose calls are not answered yet, sorted by region.
     forwarded_tokens: RefCell<Vec<(RegionId, u64)>>,
-    /// Calls and repeats of each service, sorted by service.
+    /// Recent calls and retries of each service, sorted by service.
     retry_windows: RefCell<Vec<(ServiceName, RetryWindow)>>,
     links: Links,
     client: HttpClient,
@@ -143,12 +147,12 @@
 }
 
 impl Entry {
-    /// Starts the loops of an entry instance on the current thread, and listens for other
-    /// instances.
+    /// Starts the background tasks of an entry instance on the current thread, and listens for
+    /// other instances.
     ///
     /// # Errors
     ///
-    /// The internal address can't be listened at.
+    /// The internal address can't be bound.
     pub async fn start(
         settings: NodeSettings,
         names: HeaderNames,
@@ -210,11 +214,11 @@
         Ok(entry)
     }
 
-    /// Serves callers until `stop` turns true and open calls have ended.
+    /// Serves callers until `stop` becomes true and open calls have ended.
     ///
     /// # Errors
     ///
-    /// The address can't be listened at.
+    /// The address can't be bound.
     pub async fn serve(
         self: &Rc<Entry>,
         front: SocketAddr,
@@ -227,25 +231,25 @@
         Ok(())
     }
 
-    /// Takes changed settings over: other contacts and bounds.
+    /// Applies changed settings. Contacts and retry bounds take effect at once.
     pub fn reload(self: &Rc<Entry>, settings: NodeSettings) {
         *self.settings.borrow_mut() = settings;
         self.links.connect_new(self);
     }
 
-    /// Whether callers may be sent here: a table is in force, and the instance stays.
+    /// Whether callers may be sent here: a table is in effect, and the instance is not draining.
     pub fn is_ready(&self) -> bool {
         self.table.borrow().is_some() && !self.is_draining.get()
     }
 
-    /// Tells everyone that this instance leaves, closes its listeners once callers have moved, and
-    /// returns when open calls have ended or the grace period is nearly over.
+    /// Announces to all keepers that this instance is leaving, closes its listeners once callers
+    /// have moved, and returns when open calls have ended or the grace period is nearly over.
     pub async fn drain(&self, close: &watch::Sender<bool>) {
         self.is_draining.set(true);
         self.links.send_all(&Message::Ping { status: self.status(), is_primary: false });
         let grace = self.settings.borrow().grace;
-        let began = self.now();
-        let latest = began + grace.mul_f64(GRACE_SHARE);
+        let started = self.now();
+        let latest = started + grace.mul_f64(GRACE_FRACTION);
         sleep(DRAIN_ACCEPT_TIME.min(grace / 2)).await;
         close.send_replace(true);
         while self.running.get() > 0 && self.now() < latest {
@@ -259,23 +263,23 @@
         self.clock.now()
     }
 
-    /// Time since the process started.
     fn uptime(&self) -> Duration {
         self.now() - self.started
     }
 
-    /// Whether the instance has started so recently that news may be on its way to it.
+    /// Whether the instance started so recently that it may not have received all updates yet.
     fn is_starting(&self) -> bool {
         self.uptime() < STARTUP_TIME
     }
 
-    /// Whether the instance can judge calls: it has a table, and has heard all keepers but one since it
-    /// started, of which one at least knows the contents that crash upstreams.
+    /// Whether the instance can judge calls: it has a table, and since its start has received
+    /// updates from all keepers but one, of which at least one knows the contents that crash
+    /// upstreams.
     fn is_informed(&self) -> bool {
         self.table.borrow().is_some() && self.view.borrow().was_complete()
     }
 
-    /// Live entry instances of the own region, this one included.
+    /// The ids of the live entry instances of the own region, this one included, sorted.
     fn region_entries(&self) -> Vec<InstanceId> {
         let settings = self.settings.borrow();
         let own = &settings.card;
@@ -289,7 +293,7 @@
         ids
     }
 
-    /// This instance and all live entry instances of its region, with their internal addresses.
+    /// This instance, and all live entry instances of its region with their internal addresses.
     pub(crate) fn region_members(&self) -> (Member, Vec<(Member, SocketAddr)>) {
         let settings = self.settings.borrow();
         let own = &settings.card;
@@ -303,50 +307,50 @@
         (member(own), all)
     }
 
-    /// The own id.
+    /// The id of this instance.
     pub(crate) fn id(&self) -> InstanceId {
         self.settings.borrow().card.id.clone()
     }
 
-    /// What this instance knows of the exchange of loads.
+    /// The state of the load exchange.
     pub(crate) fn exchange(&self) -> &Exchange {
         &self.exchange
     }
 
-    /// What this instance has under way at upstreams.
+    /// The in-flight load of this instance at all upstreams.
     pub(crate) fn load_report(&self) -> Vec<LoadReport> {
         self.loads.borrow().report()
     }
 
-    /// What this instance has under way at some upstreams.
+    /// The in-flight load of this instance at the given upstreams.
     pub(crate) fn load_report_of(&self, upstreams: &[UpstreamId]) -> Vec<LoadReport> {
         let loads = self.loads.borrow();
         upstreams.iter().map(|id| loads.report_of(id)).collect()
     }
 
-    /// What all instances of the region but one have under way, and how many they are.
+    /// The number of instances of the region other than `to`, and their aggregate load.
     pub(crate) fn aggregate_for(&self, to: &InstanceId) -> (usize, Vec<LoadReport>) {
         self.loads.borrow().sum_for(to)
     }
 
-    /// The own zone, what its instances have under way, and how many they are.
+    /// The own zone, the number of its instances, and their aggregate load.
     pub(crate) fn zone_aggregate(&self) -> (ZoneId, usize, Vec<LoadReport>) {
         let (instances, loads) = self.loads.borrow().zone_sum();
         (self.settings.borrow().card.zone.clone(), instances, loads)
     }
 
-    /// Drops reports of peers that count no more.
+    /// Removes reports of peers that have expired.
     pub(crate) fn expire_peer_loads(&self) {
         self.loads.borrow_mut().forget_silent(self.now());
     }
 
-    /// Takes in what other instances have under way at some upstreams.
+    /// Applies changed loads of other instances at some upstreams.
     pub(crate) fn apply_load_changes(&self, from: &Source, changes: Vec<LoadReport>) {
         let mut loads = self.loads.borrow_mut();
         changes.into_iter().for_each(|change| loads.hear_change(from, change));
     }
 
-    /// Takes in what other instances have under way.
+    /// Replaces the load that `from` reported before by `loads`.
     pub(crate) fn apply_loads(&self, from: Source, instances: usize, loads: Vec<LoadReport>) {
         self.loads.borrow_mut().hear(self.now(), from, instances, loads);
     }
@@ -407,20 +411,19 @@
         }
     }
 
-    /// Takes in which keepers there are now, for the view.
+    /// Updates the view with the current list of keepers, and logs if the process was stalled.
     fn update_view(&self) {
         let stalled = self.view.borrow_mut().look(self.now(), &self.keepers());
         if let Some(time) = stalled {
             let stalled_ms = time.as_millis() as u64;
             tracing::warn!(
                 stalled_ms,
-                "process was stalled, upstreams count as cold until heard anew"
+                "process was stalled; upstreams are considered cold until their next announcement"
             );
         }
     }
 
-    /// The keepers with an open link that are nearest; as many tell renewals, besides changes, which
-    /// all keepers tell.
+    /// The nearest keepers with an open link. Only they send renewals; all keepers send changes.
     fn primary_keepers(&self) -> Vec<SocketAddr> {
         let own = self.card();
         let contacts = self.contacts.borrow();
@@ -463,7 +466,8 @@
         self.fetch(from, head.version);
     }
 
-    /// Asks a keeper for a table that is newer than the own one, unless that was just done.
+    /// Requests a table from a keeper if it is newer than the own one, unless it was requested
+    /// recently.
     fn fetch(&self, from: SocketAddr, version: TableVersion) {
         let now = self.now();
         let own = self.version();
@@ -476,7 +480,7 @@
         }
     }
 
-    /// Version of the table in force; zero before the first one.
+    /// Version of the table in effect; zero before the first one.
     fn version(&self) -> TableVersion {
         self.table.borrow().as_ref().map(|table| table.version()).unwrap_or_default()
     }
@@ -494,12 +498,12 @@
                 *self.table.borrow_mut() = Some(Rc::new(table));
             }
             Err(error) => {
-                tracing::error!(version = version.0, error = %error_chain(&error), %from, "table refused");
+                tracing::error!(version = version.0, error = %error_chain(&error), %from, "invalid table ignored");
             }
         }
     }
 
-    /// Waits that calls of usual size would have here, by service, as of the last ping or so.
+    /// Predicted waiting times of calls of usual size at this instance, by service.
     fn spare(&self) -> Vec<Spare> {
         let now = self.now();
         let mut spare = self.spare.borrow_mut();
@@ -547,9 +551,9 @@
 
     fn keepers(&self) -> Vec<SocketAddr> {
         let contacts = self.contacts.borrow();
-        let heard = contacts.all().iter().filter(|it| it.card.part == Part::Keeper);
+        let known = contacts.all().iter().filter(|it| it.card.part == Part::Keeper);
         let mut all = self.settings.borrow().contacts.clone();
-        all.extend(heard.map(|it| it.card.internal));
+        all.extend(known.map(|it| it.card.internal));
         all.sort();
         all.dedup();
         all
@@ -583,11 +587,11 @@
     loop {
         ticks.tick().await;
         let now = entry.now();
-        entry.contacts.borrow_mut().forget(now, FORGET_AFTER);
+        entry.contacts.borrow_mut().forget(now, CONTACT_EXPIRY);
         entry.expire_crashes();
         for id in entry.upstreams.borrow_mut().forget(now) {
             entry.forget_limit(&id);
-            tracing::info!(upstream = %id, "upstream forgotten");
+            tracing::info!(upstream = %id, "upstream expired");
         }
         entry.links.connect_new(&entry);
         entry.update_view();
--- a/crates/medlarlug-gateway/src/entry/plan.rs
+++ b/crates/medlarlug-gateway/src/entry/plan.rs
@@ -1,4 +1,4 @@
-//! How one call is served: its route, its times, and what was tried.
+//! The state of one call while it is served.
 
 use std::{rc::Rc, time::Duration};
 
@@ -26,44 +26,46 @@
 };
 use crate::metrics as names;
 
-/// Requests of one call that may reach upstreams, those included that refused it.
+/// Maximum number of requests of one call that may reach upstreams, including those that were
+/// refused there.
 pub(super) const MAX_ARRIVALS: u32 = 4;
 
-/// How a call is served: its route, its times, and what was tried.
+/// The state of one call while it is served: its route, its deadlines, and the attempts so far.
 pub(super) struct Plan {
     pub(super) table: Rc<RouteTable>,
     pub(super) route: Route,
     pub(super) service: ServiceName,
     /// When the call arrived.
     pub(super) began: Time,
-    /// When it has to be answered: its caller's deadline or its route's timeout.
+    /// When it has to be answered: its caller's deadline or the timeout of its route, whichever is
+    /// earlier.
     pub(super) answer_by: Time,
     pub(super) deadline: Time,
-    /// Whether another region may serve it.
+    /// Whether it may be forwarded to another region.
     pub(super) may_forward: bool,
     /// Whether it is the trial of a quarantined content.
     pub(super) is_trial: bool,
     pub(super) last_event: Option<u64>,
     pub(super) tried: Tried,
-    /// Upstreams that may run it and requests that may reach one, those of other instances
-    /// included.
+    /// Requests that may have run and requests that may have reached an upstream, including those
+    /// of other instances that the call was forwarded to.
     pub(super) attempts: Attempts,
-    /// What the call has spent of the retry budget at this instance.
+    /// What the call has taken from the retry budget at this instance.
     pub(super) spending: Spending,
     pub(super) unreachable: u32,
-    /// The hops that were tried, each with its predicted wait, the age of the news that the choice
-    /// rests on, and what came of it, for the log.
+    /// For the log: the hops that were tried, each with its predicted waiting time, the age of the
+    /// announcement that the choice is based on, and the outcome.
     pub(super) path: Vec<String>,
-    /// The upstream whose turn it waits for.
+    /// The upstream at which the call is queued for prefill.
     pub(super) admission_wait: Option<AdmissionWait>,
-    /// Whether it has asked for permits of upstreams with a limit.
+    /// Whether it has requested permits for upstreams with a rate limit before.
     pub(super) has_requested_permits: bool,
-    /// Set while it waits for one.
+    /// Set while it waits for a permit.
     pub(super) permit_wait: Option<PermitWait>,
     pub(super) _running: RunningCall,
 }
 
-/// Counts a call that waits for its turn at an upstream, for as long as it does.
+/// Counts a call that is queued for prefill at an upstream, until it is dropped.
 pub(super) struct AdmissionWait {
     entry: Rc<Entry>,
     choice: Choice,
@@ -84,7 +86,7 @@
     }
 }
 
-/// Counts a call that runs.
+/// Counts a call that is being served, until it is dropped.
 pub(super) struct RunningCall(Rc<Entry>);
 
 impl RunningCall {
@@ -101,13 +103,13 @@
 }
 
 impl Plan {
-    /// The next hop; `None` if there is none, or the call may not run anywhere.
+    /// Chooses the next hop; `None` if there is none, or the content of the call is quarantined.
     pub(super) fn next_hop(&self, entry: &Entry, call: &Call) -> Option<Hop> {
         let may_try = self.is_trial && self.attempts.arrivals() == 0;
         if !may_try && entry.is_quarantined(call.content) {
             return None;
         }
-        // The call does not stand in its own way.
+        // The call's own place in the prefill queue must not count against it.
         let own = self.admission_wait.as_ref().map(|it| &it.choice);
         if let Some(choice) = own {
             entry.loads.borrow_mut().waits_no_longer(choice);
@@ -119,8 +121,8 @@
         hop
     }
 
-    /// Asks for permits of the upstreams with a limit, and tells whether the call waits for one: if it has no
-    /// hop, and those that wait already can expect theirs in time.
+    /// Requests permits for the upstreams with a rate limit. Returns whether the call has to wait
+    /// for one: it has no hop, and there are enough permits for the calls that wait already.
     pub(super) fn waits_for_permit(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> bool {
         let limited = entry.limited_upstreams(self);
         let is_asked = entry.request_permits(&limited, !self.has_requested_permits);
@@ -136,7 +138,8 @@
         self.permit_wait.is_some()
     }
 
-    /// Whether the call goes to a hop now; only first attempts at engines wait for their turn.
+    /// Decides whether the call is sent to the hop now. Only first attempts with long prompts at
+    /// engines are queued for prefill.
     pub(super) fn admission(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> Turn {
         let turn = self.next_admission(entry, hop);
         self.admission_wait = match hop {
@@ -164,18 +167,18 @@
         turn
     }
 
-    /// A stream broke off. Another instance has gone on elsewhere before it gave up, which it can no
-    /// longer tell.
+    /// Counts a stream that broke off. If it came from another instance, that one has resumed it
+    /// elsewhere before it gave up, but can no longer report its attempts.
     pub(super) fn count_broken(&mut self, hop: &Hop) {
         if matches!(hop, Hop::Peer { .. }) {
             self.attempts.unreported();
         }
     }
 
-    /// How long a stream from a hop may be silent before another hop goes on with it.
+    /// How long the stream of a hop may pause before another hop resumes it; `None` for no limit.
     pub(super) fn silence_limit(&self, hop: &Hop) -> Option<Duration> {
         let source = hop.source();
-        // Nothing is left after another instance, see `count_broken`.
+        // No attempt is left after another instance broke off, see `count_broken`.
         let is_left = source == Source::Upstream && self.attempts.may_send();
         silence::limit(source, self.route.pause, self.route.kind.is_repeatable() && is_left)
     }
@@ -185,7 +188,8 @@
         self.table.service(&self.service).is_some_and(|service| service.engine.is_some())
     }
 
-    /// Whether another request may go out that repeats an earlier one, and counts it.
+    /// Whether another request may be sent. Takes a retry from the budget unless the request is
+    /// covered already.
     pub(super) fn may_send(&mut self, entry: &Entry, call: &Call) -> bool {
         if !self.attempts.may_send() {
             return false;
@@ -249,14 +253,14 @@
             hop.push_str(outcome.name());
         }
         if self.attempts.arrivals() > before {
-            // What followed the first arrival at another instance was paid for there.
+            // Retries at the other instance were taken from the budget there.
             self.spending.arrived();
         }
         match (&outcome, hop) {
             (Outcome::NotRun(NotRun::Unreachable | NotRun::Misdirected), _) => {
                 self.unreachable += 1;
             }
-            // The other region is as busy.
+            // The other region is full as well.
             (Outcome::NotRun(NotRun::Refused { .. }), Hop::Peer { .. }) => self.may_forward = false,
             _ => {}
         }
--- a/crates/medlarlug-gateway/src/entry/relay.rs
+++ b/crates/medlarlug-gateway/src/entry/relay.rs
@@ -1,8 +1,9 @@
-//! Passes a stream on to its caller, and goes on elsewhere when its upstream breaks off.
+//! Passes a stream on to its caller, and resumes it at another upstream when its upstream breaks
+//! off.
 //!
-//! Only whole events are passed on, so that another upstream can go on right after the last one.
-//! The answer ends well only when an upstream has ended the stream; in every other case the
-//! connection is cut, so that a caller never takes a part for the whole.
+//! Only complete events are passed on, so that another upstream can resume right after the last
+//! one. The answer ends properly only if an upstream has ended the stream; in every other case the
+//! connection is cut, so that a caller never mistakes a part for the whole.
 
 use std::rc::Rc;
 
@@ -23,19 +24,19 @@
     serve::CallOutcome,
 };
 
-/// What has become of a stream.
+/// Why passing on the stream of one upstream stopped.
 enum Step {
-    /// All of it was passed on.
+    /// The stream is complete.
     Done,
-    /// The caller has left.
+    /// The caller has disconnected.
     Left,
-    /// The time is up.
+    /// The time of the call is up.
     Late,
-    /// The upstream broke off.
+    /// The upstream broke the stream off or stopped sending.
     Broken,
 }
 
-/// Passes a stream on until it ends, its caller leaves or the time is up.
+/// Passes a stream on until it ends, its caller disconnects or the time is up.
 pub(super) async fn run(
     entry: Rc<Entry>,
     call: Call,
@@ -58,7 +59,7 @@
         }
         attempt::record_health(&entry, stream.hop(), CallEnd::Broken);
         plan.count_broken(stream.hop());
-        // Closes the connection before another upstream goes on.
+        // Closes the connection before another upstream resumes the stream.
         drop(stream);
         match resume(&entry, &call, &mut plan, &sender).await {
             Some(next) => stream = next,
@@ -107,7 +108,7 @@
     }
 }
 
-/// The next hop; waits for a permit where only upstreams with a limit are left.
+/// Chooses the next hop. Waits for a permit if only upstreams with a rate limit are left.
 async fn permitted_hop(entry: &Rc<Entry>, call: &Call, plan: &mut Plan) -> Option<Hop> {
     loop {
         let hop = plan.next_hop(entry, call);
@@ -118,7 +119,7 @@
     }
 }
 
-/// Has another upstream go on, if the route allows it.
+/// Resumes the stream at another upstream if the route allows it; `None` if that is not possible.
 async fn resume(
     entry: &Rc<Entry>,
     call: &Call,
@@ -137,7 +138,7 @@
             outcome = plan.attempt(entry, call, &hop) => outcome,
             () = sender.closed() => return None,
         };
-        tracing::info!(request = %call.id, after = plan.last_event, "stream goes on elsewhere");
+        tracing::info!(request = %call.id, after = plan.last_event, "resuming stream at another hop");
         match outcome {
             Outcome::Stream(stream) => return Some(stream),
             Outcome::Answer(_) | Outcome::NotRun(_) | Outcome::Unknown(_) => {}
--- a/crates/medlarlug-gateway/src/entry/serve.rs
+++ b/crates/medlarlug-gateway/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! Serving one call, from its route to its last answer.
+//! Serves one call, from its route to its answer.
 
 use std::{fmt, rc::Rc, time::Duration};
 
@@ -33,40 +33,42 @@
 };
 use crate::metrics as names;
 
-/// Time left below which nothing is sent any more.
+/// Remaining time below which no request is sent any more.
 const MIN_REMAINING: Duration = Duration::from_millis(20);
-/// Connections that may fail before a call is given up.
-const MAX_UNREACHABLE: u32 = 4;
-/// Time to come back when there is no table yet: an election and the way of the table.
+/// Number of failed connections after which a call is given up.
+const MAX_FAILED_CONNECTIONS: u32 = 4;
+/// `Retry-After` while there is no table yet: the time for an election, and for the table to
+/// arrive.
 const NO_TABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Mean pause between two looks at whether it is a call's turn: a few steps of an engine. It varies
-/// so that not all instances look at the same moment.
+/// Mean time between two checks whether a long prompt is admitted to its engine: a few steps of an
+/// engine. It is randomized so that instances do not check at the same moment.
 const ADMISSION_POLL_INTERVAL: Duration = Duration::from_millis(12);
-/// Part of its time that a call may wait for an instance that is starting.
-const START_SHARE: f64 = 0.35;
-/// Longest time that a call may wait for an instance that is starting.
-const START_WAIT: Duration = Duration::from_millis(1_500);
-/// Pause between two looks at whether the instance has started.
+/// Fraction of its time for which a call may wait for an instance that is starting.
+const START_WAIT_FRACTION: f64 = 0.35;
+/// Longest time for which a call may wait for an instance that is starting.
+const MAX_START_WAIT: Duration = Duration::from_millis(1_500);
+/// Time between two checks whether the instance has started.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time that a call has if neither its caller nor its route sets one.
+/// Deadline of a call if its caller sends none and the timeout of its route is not longer.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// How a call ended.
+/// How a call ended. The names are values of the label `outcome` of
+/// [`crate::metrics::CALLS_ENDED`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// With an answer of an upstream.
+    /// An upstream has answered it, possibly with an error of its own.
     Answered,
-    /// Refused; it was not run.
+    /// Refused, and guaranteed not to have run.
     Refused,
-    /// With a failure of the gateway; it may have run.
+    /// Failed in the gateway; it may have run.
     Failed,
-    /// Its time was up.
+    /// The time of the call was up.
     TimedOut,
-    /// Its stream was cut.
+    /// The stream was cut before its end.
     BrokenOff,
-    /// Its caller left first.
+    /// The caller disconnected first.
     Left,
-    /// It fits no route or breaks a limit.
+    /// The call matches no route or exceeds a size limit.
     Rejected,
 }
 
@@ -85,7 +87,8 @@
 }
 
 impl Entry {
-    /// Takes one repeat of `call` out of the budget of a service.
+    /// Takes one retry of `call` from the retry budget of a service. Returns false if the budget is
+    /// used up.
     pub(super) fn take_retry(&self, call: &Call, service: &ServiceName) -> bool {
         let bounds = self.settings.borrow().retries;
         let now = self.now();
@@ -98,12 +101,12 @@
         let Balance { calls, repeats, left } = balance;
         let (share, instances) = (share.of(bounds), share.instances);
         let up_ms = self.uptime().as_millis() as u64;
-        tracing::info!(request = %call.id, %service, is_taken, calls, repeats, left, share, instances, up_ms, "repeat asked for");
+        tracing::info!(request = %call.id, %service, is_taken, calls, repeats, left, share, instances, up_ms, "retry requested");
         is_taken
     }
 
-    /// When to come back if what keeps upstreams of a service from taking a call is a rest or a limit of
-    /// their own.
+    /// The `Retry-After` for a call that no upstream of the service accepts because they back off
+    /// or have a rate limit; `None` if neither is the reason.
     fn upstream_retry_after(&self, plan: &Plan, left: Duration) -> Option<Duration> {
         let spread = rand::rng().random();
         let interval = self.permit_interval(&self.limited_upstreams(plan));
@@ -114,7 +117,8 @@
         }
     }
 
-    /// This instance's part of what services bear beyond the ratio of repeats.
+    /// This instance's share of the retries that a service is allowed beyond the ratio to its
+    /// calls.
     fn share(&self) -> Share {
         let is_first = self.settings.borrow().first_start;
         Share {
@@ -147,7 +151,7 @@
     }
 }
 
-/// Serves a call that came from a caller.
+/// Serves a call that came directly from a caller.
 pub(super) async fn from_caller(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
     let is_draining = entry.is_draining.get();
     let mut answer = serve(&entry, request, None).await.for_caller();
@@ -158,12 +162,12 @@
     answer
 }
 
-/// Serves a call that another instance handed over.
+/// Serves a call that an instance of another region has forwarded.
 pub(super) async fn forwarded(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
     let reported = match forwarded::handover(request.headers()) {
         Some(handover) => serve(&entry, request, Some(handover)).await,
         None => {
-            tracing::warn!("a call from another instance without a readable route, refused");
+            tracing::warn!("refusing a forwarded call without a valid route");
             let call = Call::read(request.into_parts().0, &entry.names);
             refusal(&entry, &call, NO_TABLE_RETRY_AFTER, Report::REFUSED)
         }
@@ -216,8 +220,8 @@
     finish(entry, call, plan, result)
 }
 
-/// While the instance starts, waits for `holds` for a part of the time that the call has: a caller
-/// that is sent away would soon be back, and has few tries.
+/// While the instance is starting, waits until `holds` returns true, for at most a fraction of the
+/// time of the call. A caller that is refused would return soon, and has few attempts.
 async fn wait_for_start(
     entry: &Rc<Entry>,
     call: &Call,
@@ -225,13 +229,14 @@
     holds: impl Fn(&Rc<Entry>) -> bool,
 ) {
     let deadline = call.deadline.unwrap_or(DEFAULT_DEADLINE);
-    let latest = began + deadline.mul_f64(START_SHARE).min(START_WAIT);
+    let latest = began + deadline.mul_f64(START_WAIT_FRACTION).min(MAX_START_WAIT);
     while entry.is_starting() && entry.now() < latest && !holds(entry) {
         sleep(START_POLL_INTERVAL).await;
     }
 }
 
-/// The route of a call and its times.
+/// Finds the route of a call and computes its deadlines; returns the answer if the call can't be
+/// served.
 fn plan_call(
     entry: &Rc<Entry>,
     call: &Call,
@@ -283,7 +288,7 @@
     })
 }
 
-/// The last outcome of a call.
+/// The final result of a call.
 enum Resolution {
     Answer(Response<Bytes>),
     Stream(Box<attempt::EventStream>),
@@ -291,7 +296,7 @@
     Fail { status: StatusCode, why: Unknown },
 }
 
-/// Tries hops until the call is answered, or nothing more may be tried.
+/// Tries hops until the call is answered, or no further attempt is allowed.
 async fn run_attempts(entry: &Rc<Entry>, call: &Call, plan: &mut Plan) -> Resolution {
     let mut answer: Option<Response<Bytes>> = None;
     let mut unknown: Option<Unknown> = None;
@@ -300,13 +305,13 @@
         let now = entry.now();
         let left = plan.answer_by - now;
         let quarantine = entry.quarantine(call, plan);
-        let hop = match plan.unreachable < MAX_UNREACHABLE && left > MIN_REMAINING {
+        let hop = match plan.unreachable < MAX_FAILED_CONNECTIONS && left > MIN_REMAINING {
             true => plan.next_hop(entry, call),
             false => None,
         };
         if quarantine.is_none()
             && left > MIN_REMAINING
-            && plan.unreachable < MAX_UNREACHABLE
+            && plan.unreachable < MAX_FAILED_CONNECTIONS
             && plan.waits_for_permit(entry, hop.as_ref())
         {
             sleep(PERMIT_POLL_INTERVAL).await;
@@ -393,7 +398,7 @@
     }
 }
 
-/// Turns the last outcome into the answer.
+/// Converts the final result into the answer.
 fn finish(entry: &Rc<Entry>, call: Call, plan: Plan, last: Resolution) -> Reported {
     let report = plan.attempts.report(false);
     metrics::histogram!(names::HEAD_SECONDS).record((entry.now() - plan.began).as_secs_f64());
@@ -433,7 +438,7 @@
     }
 }
 
-/// Refuses a call as not run.
+/// The answer to a call that was not run; the caller may retry it after `after`.
 fn refusal(entry: &Entry, call: &Call, after: Duration, report: Report) -> Reported {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "not run; come back later");
     let seconds = format!("{:.3}", after.as_secs_f64());
@@ -442,7 +447,7 @@
     Reported { answer, report }
 }
 
-/// Rejects a call that fits no route or breaks a limit.
+/// The answer to a call that matches no route or exceeds a size limit.
 fn rejected(status: StatusCode, text: &'static str) -> Reported {
     Reported { answer: plain(status, text), report: Report::REJECTED }
 }
--- a/crates/medlarlug-gateway/src/headers.rs
+++ b/crates/medlarlug-gateway/src/headers.rs
@@ -1,4 +1,4 @@
-//! The headers that calls carry, under the names of whoever speaks to this system.
+//! Names of the headers that calls and answers carry. The embedding program chooses them.
 
 use hyper::header::HeaderName;
 
@@ -7,26 +7,27 @@
 pub struct HeaderNames {
     /// Id of a call, echoed in its answer.
     pub call_id: HeaderName,
-    /// Time that the caller waits, in milliseconds.
+    /// Time for which the caller waits, in milliseconds.
     pub deadline: HeaderName,
-    /// Last event of a stream that the caller has; the stream goes on after it.
+    /// Id of the last stream event that the caller has received; the stream resumes after it.
     pub last_event: HeaderName,
     /// Parts of the prompt: `id:tokens` with the id in hexadecimal, separated by commas.
     pub prompt_parts: HeaderName,
-    /// Tokens of the prompt and of the answer at most, separated by a comma.
+    /// Number of prompt tokens and upper bound of answer tokens, separated by a comma.
     pub token_counts: HeaderName,
-    /// The upstream that is to run the call; another one answers status 421 instead.
+    /// Id of the upstream that the call is meant for; any other upstream answers status 421.
     pub expected_upstream: HeaderName,
     /// In an answer: the call was not run.
     pub not_run: HeaderName,
-    /// In an answer: it was made by an upstream.
+    /// In an answer: it comes from an upstream, not from an intermediary.
     pub signature: HeaderName,
-    /// In an answer: the upstream that made it is leaving.
+    /// In an answer: the upstream that sent it is shutting down.
     pub leaving: HeaderName,
-    /// In an answer: requests a second that the upstream which made it takes from all instances together.
+    /// In an answer: the rate limit of the upstream that sent it, in requests per second over all
+    /// entry instances together.
     pub limit: HeaderName,
-    /// Rank of a call at an engine, 0 first.
+    /// Scheduling rank of a call at a model engine; 0 is served first.
     pub rank: HeaderName,
-    /// Headers that only the system may set; those of callers are dropped.
+    /// Headers that only the system sets; they are removed from callers' requests.
     pub reserved: Vec<HeaderName>,
 }
--- a/crates/medlarlug-gateway/src/keeper/facts.rs
+++ b/crates/medlarlug-gateway/src/keeper/facts.rs
@@ -1,13 +1,15 @@
-//! What a keeper keeps on its disk of contents that crash upstreams.
+//! Stores facts about contents that crash upstreams on the disk of a keeper.
 //!
-//! It keeps the losses of contents that more than one loss counts against, which is what keeps such
-//! contents from running; a clearance takes its content out. The whole is written anew when it has changed:
-//! one write for a crash under a quarantined or twice suspected content, and none for others. It goes to the
-//! writer before it is told on, but nobody waits for the sync: other instances keep the content from their
-//! upstreams sooner, and a loss of power within the milliseconds between costs one more crash.
+//! Stored are the crashes that involve a content with more than one crash, because these keep the
+//! content from running. A clearance removes its content. All facts are rewritten when they have
+//! changed: that is one write for a crash that involves a quarantined content or one that was
+//! suspected before, and none for other crashes. The facts are passed to the writer before they are
+//! sent on, but nothing waits for the sync: that would delay the other instances in keeping the
+//! content from their upstreams, while a loss of power within these milliseconds costs one more
+//! crash.
 //!
-//! Ages count on by the time of day while the keeper is down. A clock that was set back makes facts younger,
-//! which is the stricter case.
+//! While the keeper is down, ages advance by the wall clock. A clock that was set back makes facts
+//! younger, which keeps contents from running for longer and is thus safe.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -19,26 +21,27 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Name of the facts in the journal.
+/// Name of the group in the journal that holds the facts.
 const JOURNAL_NAME: &str = "contents-that-crash";
-/// The only entry that the journal keeps of them.
+/// Index of the single journal entry that holds all facts.
 const ENTRY_INDEX: LogIndex = LogIndex(1);
-/// Contents that are kept at most; those of the oldest losses go first. At 19 bytes each, a write takes 40 KB.
+/// Maximum number of stored contents; those of the oldest crashes are dropped first. At 19 bytes
+/// each, a write takes 40 KB.
 const MAX_STORED_CONTENTS: usize = 2_048;
 
-/// What stands on the disk.
+/// The stored format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct StoredFacts {
-    /// When it was written, in Unix milliseconds.
+    /// When the facts were written, in Unix milliseconds.
     written_ms: u64,
     facts: Vec<Fact>,
 }
 
-/// What was written last.
+/// The facts that were last passed to the writer.
 #[derive(Debug, Default)]
 pub(super) struct FactStore {
     sequence: u64,
-    /// Facts without their ages.
+    /// The facts without their ages.
     facts: Vec<Fact>,
 }
 
@@ -52,7 +55,7 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The facts that the journal holds, as old as they are now.
+/// Returns the facts in the journal, with their ages advanced to now.
 pub(super) fn restore(journal: &Journal) -> Vec<Fact> {
     let restored = journal.group(&name());
     let Some(Payload::Command(bytes)) = restored.entries.last().map(|it| &it.payload) else {
@@ -65,19 +68,19 @@
             tracing::info!(
                 facts = stored.facts.len(),
                 down_s,
-                "contents that crash upstreams restored"
+                "facts about contents that crash upstreams restored"
             );
             stored.facts.iter().map(|fact| fact.after(down)).collect()
         }
         Err(error) => {
-            tracing::error!(%error, "what was kept of contents that crash upstreams can't be read, other keepers have to tell it");
+            tracing::error!(%error, "failed to decode the stored facts about contents that crash upstreams; other keepers have to send them");
             Vec::new()
         }
     }
 }
 
 impl FactStore {
-    /// The batch to write if `facts` differ from what was written last.
+    /// Returns the batch to write if `facts` differ from those written last.
     pub(super) fn batch(&mut self, mut facts: Vec<Fact>) -> Option<Persist> {
         drop_oldest(&mut facts);
         let without_ages: Vec<Fact> = facts.iter().map(Fact::ageless).collect();
@@ -103,7 +106,7 @@
     }
 }
 
-/// Drops the oldest losses beyond what is kept.
+/// Drops the oldest crashes beyond [`MAX_STORED_CONTENTS`].
 fn drop_oldest(facts: &mut Vec<Fact>) {
     facts.sort_by_key(Fact::age);
     let mut contents = 0;
--- a/crates/medlarlug-gateway/src/keeper/loops.rs
+++ b/crates/medlarlug-gateway/src/keeper/loops.rs
@@ -1,4 +1,4 @@
-//! The loops of a keeper: links that others open, the replica's clock, and news.
+//! Background tasks of a keeper: accepting links, the clock of the replica, and periodic updates.
 
 use std::{rc::Rc, time::Duration};
 
@@ -18,11 +18,11 @@
     link::{self, LinkReceiver},
 };
 
-/// Time between two ticks of the replica, a part of its heartbeat.
+/// Time between two ticks of the replica; a fraction of its heartbeat interval.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two rounds of news; changes that matter are told at once.
+/// Time between two rounds of updates; important changes are sent at once.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for which the disk may be behind before a leader hands over.
+/// Time for which the disk may fall behind before a leader transfers leadership.
 const DISK_LAG_LIMIT: Duration = Duration::from_millis(600);
 
 pub(super) async fn accept_links(keeper: Rc<Keeper>, listener: TcpListener) {
@@ -43,7 +43,7 @@
     let (card, sender, mut receiver): (Card, _, LinkReceiver) = match link::accept(stream).await {
         Ok(accepted) => accepted,
         Err(error) => {
-            tracing::debug!(error = %error_chain(&error), "a link didn't begin");
+            tracing::debug!(error = %error_chain(&error), "link handshake failed");
             return;
         }
     };
@@ -73,7 +73,7 @@
             let stalled_ms = time.as_millis() as u64;
             tracing::warn!(
                 stalled_ms,
-                "process was stalled, announcements that queued count as old"
+                "process was stalled; queued announcements are considered old"
             );
         }
         keeper.drive_group(|group, now, out| group.tick(now, out));
@@ -81,7 +81,7 @@
         let is_behind =
             keeper.unsynced.borrow().first().is_some_and(|it| now - it.1 > DISK_LAG_LIMIT);
         if is_behind && keeper.is_leader() {
-            tracing::warn!("the disk is behind, handing leadership over");
+            tracing::warn!("the disk is falling behind; transferring leadership");
             keeper.drive_group(|group, now, out| group.transfer(now, out));
         }
     }
@@ -95,7 +95,7 @@
         let now = keeper.now();
         keeper.contacts.borrow_mut().forget(now, contacts::FORGET_AFTER);
         for id in keeper.upstreams.borrow_mut().forget(now) {
-            tracing::info!(upstream = %id, silent_s = upstreams::FORGET_AFTER.as_secs(), "upstream forgotten");
+            tracing::info!(upstream = %id, silent_s = upstreams::FORGET_AFTER.as_secs(), "upstream expired");
         }
         keeper.facts.borrow_mut().expire(now);
         keeper.store_facts();
--- a/crates/medlarlug-gateway/src/keeper/mod.rs
+++ b/crates/medlarlug-gateway/src/keeper/mod.rs
@@ -1,9 +1,9 @@
-//! A keeper: replicates the route table and the evacuated zones, takes announcements of upstreams
-//! in, and passes all news on to whoever has opened a link to it.
+//! A keeper: replicates the route table and the evacuated zones, receives the announcements of
+//! upstreams, and sends updates to all processes that have opened a link to it.
 //!
-//! Requests of operators may reach any keeper. One that does not lead the group passes them to the
-//! leader and answers what the leader answers; without a leader it answers that it is unavailable.
-//! A read is answered only after the leader has confirmed with a majority that it still leads.
+//! Operators may send requests to any keeper. A keeper that is not the leader passes them to the
+//! leader and returns its answer; without a leader it answers that it is unavailable. A read is
+//! answered only after a majority has confirmed that the leader still leads.
 
 mod facts;
 mod loops;
@@ -59,27 +59,27 @@
     subscribers::{KeeperState, Subscribers},
 };
 
-/// Heartbeat of the leader. Voters wait for four to eight of them, several round trips between
-/// regions.
-const HEARTBEAT: Duration = Duration::from_millis(150);
+/// Heartbeat interval of the leader. Voters start an election after four to eight intervals, which
+/// is several round trips between regions.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Time without a turn after which announcements that have queued count as old: as long as one may
-/// be on its way.
+/// Time without processor time after which queued announcements are considered old: as long as an
+/// announcement may be in transit.
 const STALL_LIMIT: Duration = Duration::from_millis(300);
 
-/// Why a keeper stops or does not start.
+/// Why a keeper stops or fails to start.
 #[derive(Debug, Error)]
 pub enum KeeperError {
-    /// No folder for durable state was given.
-    #[error("a keeper needs a data folder")]
+    /// The settings name no data directory.
+    #[error("no data directory configured; a keeper needs one")]
     NoFolder,
-    /// The durable state can't be used.
+    /// The durable state can't be opened.
     #[error("failed to open the durable state")]
     State(#[from] StateError),
-    /// What is stored can't be decoded.
+    /// The stored or replicated state can't be decoded.
     #[error("failed to read the replicated state")]
     Machine(#[from] MachineError),
-    /// An address can't be listened at.
+    /// An address can't be bound.
     #[error(transparent)]
     Server(#[from] ServerError),
 }
@@ -96,33 +96,34 @@
     contacts: RefCell<Contacts>,
     subscribers: RefCell<Subscribers>,
     links: Links,
-    /// Requests of this process that wait for their answer, sorted by number.
+    /// Requests of this process that wait for the answer of the leader, sorted by number.
     calls: RefCell<Vec<(u64, oneshot::Sender<GroupReply>)>>,
     last_call: Cell<u64>,
     head: RefCell<PublicationHead>,
-    /// When evacuations of zones were withdrawn.
+    /// When the evacuation of each zone was withdrawn.
     suspicions: RefCell<Suspicions>,
-    /// What entry instances have learned of contents that crash upstreams.
+    /// Facts from entry instances about contents that crash upstreams.
     facts: RefCell<FactLog>,
-    /// What of that is on the disk, or on its way there.
+    /// The facts that are on disk, or being written.
     stored_facts: RefCell<FactStore>,
-    /// The membership that was logged last.
+    /// The membership that was last logged.
     membership: RefCell<Option<Membership>>,
     table: RefCell<Option<Rc<RouteTable>>>,
     /// Stalls of this process, during which announcements queue.
     stall: RefCell<Stall>,
-    /// The oldest batch that the disk has not confirmed: its number and when it was handed over.
+    /// Batches that are not durable yet, oldest first: sequence number, and when each was passed to
+    /// the writer.
     unsynced: RefCell<Vec<(u64, Time)>>,
-    /// The state machine failed; the process has to end.
+    /// Error of the state machine; the process has to end.
     failure: RefCell<Option<MachineError>>,
 }
 
 impl Keeper {
-    /// Opens the durable state and starts the keeper's loops on the current thread.
+    /// Opens the durable state and starts the background tasks of the keeper on the current thread.
     ///
     /// # Errors
     ///
-    /// The durable state can't be used, or the internal address can't be listened at.
+    /// The durable state can't be used, or the internal address can't be bound.
     pub async fn start(settings: NodeSettings) -> Result<Rc<Keeper>, KeeperError> {
         let clock = Clock::start_after(MAX_UPDATE_AGE);
         let path = settings.data.clone().ok_or(KeeperError::NoFolder)?;
@@ -165,7 +166,7 @@
         task::spawn_local(async move {
             while let Some(report) = sync_reports.recv().await {
                 match report {
-                    // Nobody waits for the facts.
+                    // Nothing waits for the facts to become durable.
                     Ok(synced) if synced.group == facts::name() => {}
                     Ok(synced) => this.on_synced(synced.sequence),
                     Err(error) => tracing::warn!(error = %error_chain(&error), "disk failed"),
@@ -177,7 +178,7 @@
         Ok(keeper)
     }
 
-    /// Runs until the process has to stop, then hands leadership over.
+    /// Runs until the process has to stop, then transfers leadership.
     ///
     /// # Errors
     ///
@@ -192,21 +193,21 @@
                 return Err(error.into());
             }
         }
-        let deadline = self.now() + HANDOVER_TIMEOUT;
+        let deadline = self.now() + LEADERSHIP_TRANSFER_TIMEOUT;
         while self.is_leader() && self.now() < deadline {
             self.drive_group(|group, now, out| group.transfer(now, out));
-            sleep(HANDOVER_POLL_INTERVAL).await;
+            sleep(LEADERSHIP_TRANSFER_POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Takes changed settings over: other contacts.
+    /// Applies changed settings. New contacts are connected to at once.
     pub fn reload(self: &Rc<Keeper>, settings: NodeSettings) {
         *self.settings.borrow_mut() = settings;
         self.links.connect_new(self);
     }
 
-    /// The keeper's availability zone.
+    /// The availability zone of this keeper.
     pub fn zone(&self) -> ZoneId {
         self.settings.borrow().card.zone.clone()
     }
@@ -224,7 +225,7 @@
         self.drive_group(|group, now, out| group.persisted(now, sequence, out));
     }
 
-    /// Feeds the group and carries out what it asks for.
+    /// Passes an input to the group and carries out its outputs.
     fn drive_group<F>(&self, feed: F)
     where
         F: FnOnce(&mut Group, Time, &mut Vec<Output>) -> Result<(), MachineError>,
@@ -232,7 +233,7 @@
         let mut out = Vec::new();
         let result = feed(&mut self.group.borrow_mut(), self.now(), &mut out);
         if let Err(error) = result {
-            tracing::error!(error = %error_chain(&error), "the replicated state can't be decoded");
+            tracing::error!(error = %error_chain(&error), "failed to decode the replicated state");
             *self.failure.borrow_mut() = Some(error);
         }
         let mut is_changed = false;
@@ -257,7 +258,7 @@
         }
     }
 
-    /// Logs the membership when it has changed.
+    /// Logs the membership if it has changed.
     fn log_membership(&self) {
         let group = self.group.borrow();
         let members = group.replica().membership();
@@ -293,7 +294,7 @@
         self.subscribers.borrow().send(&caller.instance, &message);
     }
 
-    /// Takes over what the state machine has applied.
+    /// Updates the head and the table from the state machine.
     fn refresh_head(&self) {
         let group = self.group.borrow();
         let Some(publication) = group.machine().publication() else { return };
@@ -316,13 +317,14 @@
             match read(publication.document()) {
                 Ok(table) => *self.table.borrow_mut() = Some(Rc::new(table)),
                 Err(error) => {
-                    tracing::error!(error = %error_chain(&error), "the table in force can't be read");
+                    tracing::error!(error = %error_chain(&error), "failed to parse the table in effect");
                 }
             }
         }
         let restored = head.evacuations().restored_since(self.head.borrow().evacuations());
         let restored = restored.unwrap_or_else(|| {
-            // After a start, or a snapshot, nobody tells when that was.
+            // After a start or a snapshot it is unknown which zones were restored since, so all
+            // count as restored now.
             let settings = self.settings.borrow();
             settings.zones.iter().map(|it| it.0.clone()).collect()
         });
@@ -331,7 +333,7 @@
         *self.head.borrow_mut() = head;
     }
 
-    /// Sends everyone the news that they lack.
+    /// Sends each subscriber the changes that it has not been sent yet.
     fn push(&self) {
         let mut subscribers = self.subscribers.borrow_mut();
         let head = self.head.borrow();
@@ -350,14 +352,14 @@
 
     fn on_update(&self, from: SocketAddr, update: Update) {
         let now = self.now();
-        // News that queued during a stall are older than they say.
-        let queued = self.stall.borrow().age(now);
+        // Updates that were queued during a stall are older than they state.
+        let time_queued = self.stall.borrow().age(now);
         let mut is_changed = false;
         {
             let mut upstreams = self.upstreams.borrow_mut();
             for (upstream, age) in update.upstreams {
-                let age = Duration::from_millis(age.into()) + queued;
-                let upstream = upstream.read_late(queued);
+                let age = Duration::from_millis(age.into()) + time_queued;
+                let upstream = upstream.read_late(time_queued);
                 let is_gone = upstream.state == UpstreamState::Gone;
                 let id = upstream.id.clone();
                 let effect = match is_gone {
@@ -365,13 +367,13 @@
                     false => upstreams.announce(now, upstream, age),
                 };
                 if effect == Effect::Changed {
-                    tracing::debug!(upstream = %id, %from, "upstream changed, by another keeper");
+                    tracing::debug!(upstream = %id, %from, "upstream changed, reported by another keeper");
                     is_changed = true;
                 }
             }
-            let queued_ms = u32::try_from(queued.as_millis()).unwrap_or(u32::MAX);
+            let time_queued_ms = u32::try_from(time_queued.as_millis()).unwrap_or(u32::MAX);
             for renewal in update.renewals {
-                let age_ms = renewal.age_ms.saturating_add(queued_ms);
+                let age_ms = renewal.age_ms.saturating_add(time_queued_ms);
                 upstreams.renew(now, &Renewal { age_ms, ..renewal });
             }
             let mut contacts = self.contacts.borrow_mut();
@@ -388,7 +390,7 @@
         }
     }
 
-    /// Takes in what is known of contents that crash upstreams; tells whether any of it is new.
+    /// Applies facts about contents that crash upstreams; returns whether any of them is new.
     fn apply_facts(&self, facts: &[Fact]) -> bool {
         let now = self.now();
         let mut known = self.facts.borrow_mut();
@@ -401,7 +403,7 @@
         is_new
     }
 
-    /// Writes down what has to outlive a loss of power, if it has changed.
+    /// Writes the facts that must survive a loss of power, if they have changed.
     fn store_facts(&self) {
         let facts = self.facts.borrow().repeated_losses(self.now());
         if let Some(batch) = self.stored_facts.borrow_mut().batch(facts) {
@@ -409,7 +411,7 @@
         }
     }
 
-    /// A message that came over a link that the peer opened.
+    /// Handles a message on a link that the peer opened.
     fn on_subscriber_message(&self, link: u64, card: &Card, message: Message) {
         let now = self.now();
         match message {
@@ -445,12 +447,13 @@
                 let effect = self.upstreams.borrow_mut().leaves(&upstream, birth);
                 if effect == Effect::Changed {
                     let birth = birth.0;
-                    tracing::info!(%upstream, birth, instance = %card.id, "upstream leaves, by its answer");
+                    tracing::info!(%upstream, birth, instance = %card.id, "upstream announced in an answer that it is leaving");
                     self.push();
                 }
             }
             Message::Facts(facts) => {
-                // Clearances are many after a crash, and can wait for the next round of news.
+                // Clearances are numerous after a crash, and can wait for the next round of
+                // updates.
                 let is_urgent = facts.iter().any(|fact| matches!(fact, Fact::Lost(_)));
                 if self.apply_facts(&facts) && is_urgent {
                     self.push();
@@ -471,10 +474,10 @@
     }
 }
 
-/// Time in which a leader that stops hands over: a few round trips between regions.
-const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Pause between two looks at whether another member leads.
-const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time within which a stopping leader transfers leadership: a few round trips between regions.
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time between two checks whether another member leads.
+const LEADERSHIP_TRANSFER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl LinkOwner for Keeper {
     fn card(&self) -> Card {
@@ -496,16 +499,16 @@
         let members = group.replica().membership().map(|it| it.members()).unwrap_or_default();
         let members = members.iter().filter_map(|member| address_of(&member.key.id, port));
         let contacts = self.contacts.borrow();
-        let heard = contacts.all().iter().filter(|it| it.card.part == Part::Keeper);
+        let known = contacts.all().iter().filter(|it| it.card.part == Part::Keeper);
         let mut all: Vec<SocketAddr> = settings.contacts.clone();
         all.extend(members);
-        all.extend(heard.map(|it| it.card.internal));
+        all.extend(known.map(|it| it.card.internal));
         all.sort();
         all.dedup();
         all
     }
 
-    /// Other keepers tell each renewal, so nothing rests on what a link has told.
+    /// Other keepers send each renewal individually, so there is no state of the link to reset.
     fn link_opened(&self, _: SocketAddr) {}
 
     fn receive(&self, from: SocketAddr, message: Message) {
@@ -533,7 +536,8 @@
     let key = MemberKey { id: settings.card.id.clone(), storage: folder.storage() };
     let founders = settings.contacts.iter().filter_map(|it| instance_at(it.ip()).ok()).collect();
     let voters = 2 * settings.tolerance + 1;
-    let mut config = Config::new(key, founders).with_heartbeat_interval(HEARTBEAT).open(voters);
+    let mut config =
+        Config::new(key, founders).with_heartbeat_interval(HEARTBEAT_INTERVAL).open(voters);
     config.may_form = settings.first_start;
     let replica = Replica::new(config, restored, rand::random(), now);
     Ok(Group::new(id, replica, machine))
--- a/crates/medlarlug-gateway/src/keeper/requests.rs
+++ b/crates/medlarlug-gateway/src/keeper/requests.rs
@@ -1,4 +1,4 @@
-//! What upstreams, operators and callers ask of a keeper.
+//! Requests of upstreams, operators and callers to a keeper.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -29,26 +29,26 @@
     settings::{DocumentError, address_of},
 };
 
-/// Time that an operator's request has: callers try the next keeper after a second.
+/// Timeout of an operator's request. Clients try the next keeper after one second.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(950);
-/// Pause before a request is tried again while there is no leader.
-const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// Time that entry instances have to confirm the leaving of an upstream, which gives an answer a
-/// second.
+/// Delay before a request is retried while there is no leader.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Time within which entry instances have to confirm that an upstream is leaving. The upstream
+/// expects an answer within a second.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause between two looks at who has confirmed.
+/// Time between two checks which entry instances have confirmed.
 const CONFIRM_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after the start in which too few entry instances are linked to name them to callers.
-const WARM_UP: Duration = Duration::from_millis(1_500);
+/// Time after start in which too few entry instances are connected to list them to callers.
+const WARM_UP_TIME: Duration = Duration::from_millis(1_500);
 
-/// A request that no leader has answered; it may have been carried out.
+/// No leader answered the request in time; it may have been carried out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("no leader of the keepers answered in time")]
 pub struct Unavailable;
 
 impl Keeper {
-    /// Takes an announcement in. Returns once every linked entry instance knows of it, if the
-    /// upstream is leaving.
+    /// Applies an announcement. If the upstream is leaving, returns once every connected entry
+    /// instance knows, or when a timeout passes.
     pub async fn announce(&self, upstream: Upstream) {
         let is_leaving = upstream.state != UpstreamState::Ready;
         let id = upstream.id.clone();
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Takes in that an upstream has left. Returns once every linked entry instance knows.
+    /// Records that an upstream has left. Returns once every connected entry instance knows, or
+    /// when a timeout passes.
     pub async fn upstream_left(&self, id: &UpstreamId, unknown: Upstream) {
         let now = self.now();
         let effect = self.upstreams.borrow_mut().leave_unknown(now, unknown);
@@ -79,7 +80,8 @@
         self.wait_for_entries().await;
     }
 
-    /// Puts a table in force that was checked before.
+    /// Publishes a table that was validated before. Does nothing if it is not newer than the one in
+    /// effect.
     ///
     /// # Errors
     ///
@@ -90,14 +92,14 @@
         document: Vec<u8>,
     ) -> Result<(), Unavailable> {
         if version <= self.head.borrow().version {
-            // An applied version is committed, so it is in force or overtaken already.
+            // An applied version is committed, so it is in effect or has been replaced already.
             return Ok(());
         }
         let command = Command::Publish { version, document: ByteBuf::from(document) };
         self.submit(GroupRequest::Publish(command)).await.map(|_| ())
     }
 
-    /// Evacuates a zone, or withdraws that.
+    /// Evacuates a zone, or withdraws its evacuation.
     ///
     /// # Errors
     ///
@@ -110,7 +112,7 @@
         self.submit(GroupRequest::Publish(command)).await.map(|_| ())
     }
 
-    /// The newest replicated state, confirmed by a majority.
+    /// Reads the newest replicated state, confirmed by a majority.
     ///
     /// # Errors
     ///
@@ -122,14 +124,14 @@
         }
     }
 
-    /// Entry instances to name to a caller, near ones first; empty while too few are known.
+    /// The entry instances to list to a caller, near ones first; empty while too few are known.
     pub fn directory(
         &self,
         host: Option<&str>,
         zone: Option<&ZoneId>,
         region: Option<&RegionId>,
     ) -> Vec<SocketAddr> {
-        if self.now() - self.started < WARM_UP {
+        if self.now() - self.started < WARM_UP_TIME {
             return Vec::new();
         }
         let table = self.table.borrow();
@@ -140,11 +142,11 @@
         directory(&self.contacts.borrow(), self.now(), zone, region, &homes)
     }
 
-    /// Reads a table, as the settings say.
+    /// Parses a table with the function from the settings.
     ///
     /// # Errors
     ///
-    /// The document is no valid table.
+    /// The document is not a valid table.
     pub fn read_table(&self, document: &[u8]) -> Result<RouteTable, DocumentError> {
         let read = self.settings.borrow().read_table;
         read(document)
@@ -167,25 +169,25 @@
             }
         };
         if timeout(CONFIRM_TIMEOUT, confirmed).await.is_err() {
-            tracing::warn!("entry instances didn't confirm that an upstream leaves");
+            tracing::warn!("entry instances did not confirm in time that an upstream is leaving");
         }
     }
 
-    /// Carries a request out at the leader, wherever that is.
+    /// Carries out a request at the leader, which may be this keeper or another one.
     async fn submit(&self, request: GroupRequest) -> Result<GroupReply, Unavailable> {
-        let attempts = async {
+        let retries = async {
             loop {
                 match self.attempt(request.clone()).await {
-                    Some(GroupReply::NotLeader(_)) | None => sleep(RETRY_PAUSE).await,
+                    Some(GroupReply::NotLeader(_)) | None => sleep(RETRY_DELAY).await,
                     Some(GroupReply::Uncertain | GroupReply::Unfit) => return Err(Unavailable),
                     Some(reply) => return Ok(reply),
                 }
             }
         };
-        timeout(REQUEST_TIMEOUT, attempts).await.unwrap_or(Err(Unavailable))
+        timeout(REQUEST_TIMEOUT, retries).await.unwrap_or(Err(Unavailable))
     }
 
-    /// One attempt; `None` if no leader is known.
+    /// Makes one attempt; `None` if no leader is known or it does not answer.
     async fn attempt(&self, request: GroupRequest) -> Option<GroupReply> {
         let own = self.settings.borrow().card.id.clone();
         let leader = self.group.borrow().replica().leader().cloned()?;
@@ -208,7 +210,7 @@
         let mut calls = self.calls.borrow_mut();
         calls.retain(|it| !it.1.is_closed());
         if let Ok(at) = calls.binary_search_by(|it| it.0.cmp(&call)) {
-            // A caller that gave up in this moment needs no answer.
+            // The receiver is gone if the requester has just timed out.
             let _ = calls.remove(at).1.send(reply);
         }
     }
--- a/crates/medlarlug-gateway/src/keeper_links.rs
+++ b/crates/medlarlug-gateway/src/keeper_links.rs
@@ -1,4 +1,4 @@
-//! Keeps a link open to every keeper that is known, and hands what comes over it to its owner.
+//! Keeps a link open to every known keeper, and passes received messages to the owner of the links.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -7,34 +7,34 @@
 
 use crate::link::{self, LinkError, LinkSender, Message, PING_INTERVAL};
 
-/// Pause before a link that ended is opened again.
+/// Delay before a closed link is opened again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 
-/// What a process does with its links to keepers.
+/// The process that owns links to keepers: supplies what is sent over them and handles messages.
 pub(crate) trait LinkOwner: 'static {
-    /// How the process introduces itself.
+    /// The introduction of this process, sent when a link is opened.
     fn card(&self) -> Card;
-    /// What it tells of its state in pings.
+    /// The state that pings report.
     fn status(&self) -> Status;
-    /// Whether it wants renewals from the keeper at `address`, not only changes.
+    /// Whether this process wants renewals from the keeper at `address`, in addition to changes.
     fn is_primary(&self, address: SocketAddr) -> bool;
-    /// The keepers that it wants links to.
+    /// The keepers to keep a link to. A link to any other keeper is not reopened.
     fn keepers(&self) -> Vec<SocketAddr>;
-    /// A new link to the keeper at `address` is open.
+    /// Called when a new link to the keeper at `address` has been opened.
     fn link_opened(&self, address: SocketAddr);
-    /// Takes a message in that came from the keeper at `from`.
+    /// Handles a message from the keeper at `from`.
     fn receive(&self, from: SocketAddr, message: Message);
 }
 
-/// The keepers that a task keeps a link to, sorted, and the link while it is open.
+/// The keepers that a task maintains a link to, sorted by address, with the link while it is open.
 type LinkTable = Vec<(SocketAddr, Option<LinkSender>)>;
 
-/// The open links, by the address of the keeper.
+/// The links of a process to keepers. Clones share the same links.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Links(Rc<RefCell<LinkTable>>);
 
 impl Links {
-    /// Sends a message to the keeper at `to`, if a link to it is open.
+    /// Sends a message to the keeper at `to`. Returns false if no link to it is open.
     pub(crate) fn send(&self, to: SocketAddr, message: &Message) -> bool {
         let links = self.0.borrow();
         let at = links.binary_search_by(|it| it.0.cmp(&to));
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The keepers with an open link.
+    /// The addresses of the keepers to which a link is open.
     pub(crate) fn connected(&self) -> Vec<SocketAddr> {
         let links = self.0.borrow();
         links.iter().filter(|it| it.1.is_some()).map(|it| it.0).collect()
@@ -60,7 +60,7 @@
         self.0.borrow().iter().filter(|it| it.1.is_some()).count()
     }
 
-    /// Starts a task for each keeper of `owner` that has none.
+    /// Starts a task for each keeper of `owner` to which no task maintains a link yet.
     pub(crate) fn connect_new<O: LinkOwner>(&self, owner: &Rc<O>) {
         let own = owner.card().internal;
         for address in owner.keepers() {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Adds a keeper; returns whether it is new.
+    /// Adds a keeper; returns false if it is present already.
     fn add(&self, address: SocketAddr) -> bool {
         let mut links = self.0.borrow_mut();
         let Err(at) = links.binary_search_by(|it| it.0.cmp(&address)) else { return false };
@@ -91,7 +91,7 @@
     }
 }
 
-/// Keeps a link open as long as the keeper is wanted.
+/// Keeps a link open until the owner no longer lists the keeper.
 async fn maintain<O: LinkOwner>(links: Links, owner: Rc<O>, address: SocketAddr) {
     let mut was_open = true;
     while owner.keepers().contains(&address) {
@@ -147,7 +147,7 @@
     }
 }
 
-/// An error with its causes on one line.
+/// Formats an error and its causes on one line.
 pub(crate) fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/medlarlug-gateway/src/lib.rs
+++ b/crates/medlarlug-gateway/src/lib.rs
@@ -1,18 +1,19 @@
-//! A gateway for anonymous callers, whose processes find each other from a few contact addresses.
+//! A gateway for anonymous callers, whose processes discover each other from a few contact
+//! addresses.
 //!
-//! Two kinds of process make it up. *Keepers* replicate the route table and the evacuated
-//! availability zones, take the announcements of upstreams in, and tell callers which entry
-//! instances to use. *Entry instances* take calls in and relay them to upstreams of their region,
-//! or through an entry instance of another region.
+//! There are two kinds of process. *Keepers* replicate the route table and the evacuated
+//! availability zones, receive the announcements of upstreams, and tell callers which entry
+//! instances to use. *Entry instances* accept calls and relay them to upstreams of their region, or
+//! to an entry instance of another region.
 //!
-//! Every process opens a [`link`] to every keeper that it knows of. The keeper at the other end
-//! sends [`link::Update`] over it: changed upstreams, the version of the table, evacuated zones, and
-//! the instances of the system. So each entry instance hears from every keeper that it can reach,
-//! and needs any one of them only.
+//! Every process opens a [`link`] to every keeper that it knows. The keeper sends [`link::Update`]
+//! messages over it: changed upstreams, the version of the table, evacuated zones, and the
+//! instances of the deployment. An entry instance thus receives updates from every keeper that it
+//! can reach, and keeps working with any one of them.
 //!
-//! The decisions are in [`medlarlug_core::gateway`]; this crate carries them out. What the outside
-//! world calls things is none of its business: the names of headers come in as
-//! [`headers::HeaderNames`], and tables are read by a function in [`settings::NodeSettings`].
+//! The decisions are made by [`medlarlug_core::gateway`]; this crate does the I/O. Header names and
+//! the document format belong to the embedding program: it passes [`headers::HeaderNames`] and the
+//! function that parses tables in [`settings::NodeSettings`].
 
 pub mod entry;
 pub mod headers;
--- a/crates/medlarlug-gateway/src/link.rs
+++ b/crates/medlarlug-gateway/src/link.rs
@@ -1,8 +1,9 @@
-//! Links: TCP connections between processes that carry framed messages both ways.
+//! Links: TCP connections between processes that carry framed messages in both directions.
 //!
-//! A frame is its length as four bytes, little endian, and a postcard message. A link never blocks
-//! its users: messages go into a bounded queue, and a link whose queue is full is closed, since its
-//! peer has stopped reading. Silence is noticed by pings of the side that opened the link.
+//! A frame is its length as four little-endian bytes, followed by a postcard message. Sending never
+//! blocks: messages go into a bounded queue, and a link whose queue is full is closed, because its
+//! peer has stopped reading. The side that opened the link sends pings, by which both sides detect
+//! an unresponsive peer.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -32,58 +33,61 @@
     time::timeout,
 };
 
-/// Time between two pings; a peer that was cut off is noticed after a few.
+/// Time between two pings. Several are sent within [`LINK_TIMEOUT`].
 pub const PING_INTERVAL: Duration = Duration::from_millis(400);
-/// Silence after which a link is given up, and a new connection is tried: three pings and the way.
+/// Time without a message after which a link is closed and reopened: three pings and the time that
+/// one takes to arrive.
 pub const LINK_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time for a connection to open: a few round trips between regions, with a lost packet.
+/// Timeout for opening a connection: a few round trips between regions, with one lost packet.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest frame, in bytes.
 const MAX_FRAME_BYTES: u32 = 16 << 20;
-/// Messages that wait to be written at most.
+/// Capacity of the send queue of a link, in messages.
 const QUEUE_MESSAGES: usize = 1_024;
 
-/// What a keeper sends to those that opened a link to it. Only what is new is there.
+/// An update from a keeper to a process that opened a link to it. It holds only what has changed
+/// since the update before.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// Counts the news on this link; the receiver answers with [`Message::Acknowledged`].
+    /// Sequence number of the update on this link; the receiver confirms it with
+    /// [`Message::Acknowledged`].
     pub number: u64,
-    /// Upstreams that are new or have changed, and the age of what they said, in milliseconds.
+    /// Upstreams that are new or have changed, each with the age of its newest announcement in
+    /// milliseconds.
     pub upstreams: Vec<(Upstream, u32)>,
-    /// To keepers: upstreams that renewed themselves at the sender.
+    /// To keepers: upstreams that renewed their announcement at the sender.
     pub renewals: Vec<Renewal>,
-    /// To entry instances: that all upstreams were heard, but for some.
+    /// To entry instances: all upstreams have renewed their announcement, except for those listed.
     pub pulse: Option<Pulse>,
-    /// The replicated state.
+    /// The replicated state, if it has changed.
     pub head: Option<PublicationHead>,
-    /// With the replicated state: the zones that were evacuated before, and how long ago that was
-    /// withdrawn at most, in milliseconds.
+    /// Sent with `head`: the zones that were evacuated earlier, each with the time since the
+    /// evacuation was withdrawn, in milliseconds. The time is an upper bound.
     pub restored: Vec<(ZoneId, u32)>,
-    /// Instances that are new or have changed, whether each is ready, and for how long it was
-    /// silent, in milliseconds.
+    /// Instances that are new or have changed, whether each is ready, and the time since its last
+    /// message in milliseconds.
     pub contacts: Vec<(Card, bool, u32)>,
-    /// All live instances, and for how long each was silent, in milliseconds.
+    /// All live instances, each with the time since its last message in milliseconds.
     pub pulses: Vec<(InstanceId, u32)>,
-    /// Predicted waits by region and service.
+    /// Predicted waiting times by region and service.
     pub waits: Vec<RegionWait>,
-    /// What is known of contents that crash upstreams.
+    /// Crashes and clearances of contents that crash upstreams.
     pub facts: Vec<Fact>,
 }
 
 impl PublicationHead {
-    /// The evacuated zones.
+    /// Returns the evacuated zones with their change counter.
     pub fn evacuations(&self) -> Evacuations<'_> {
         Evacuations { round: self.round, zones: &self.evacuated }
     }
 }
 
-/// The replicated state without its document.
+/// The replicated state without the document of the table.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublicationHead {
-    /// Version of the table.
+    /// Version of the route table.
     pub version: TableVersion,
-    /// Number of changes of `evacuated`.
+    /// Number of changes of `evacuated` so far.
     pub round: u64,
     /// Evacuated zones, sorted.
     pub evacuated: Vec<ZoneId>,
@@ -92,92 +96,94 @@
 /// A message between two processes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The first message on a link, from the side that opened it.
+    /// The first message on a link, sent by the side that opened it.
     Hello(Card),
-    /// Asks for a sign of life and tells the sender's state.
+    /// Requests a sign of life and reports the sender's state.
     Ping {
-        /// The sender's state.
+        /// Readiness and spare capacity of the sender.
         status: Status,
-        /// Whether the sender wants renewals, pulses and waits from this keeper, not only changes.
+        /// Whether the sender wants renewals, pulses and waiting times from this keeper in addition
+        /// to changes.
         is_primary: bool,
     },
     /// The answer to a ping.
     Pong,
-    /// From a keeper.
+    /// Changes since the update before, from a keeper.
     #[serde(rename = "News")]
     Update(Update),
-    /// Everything up to the news with this number was taken in.
+    /// Confirms that all updates up to this sequence number have been applied.
     #[serde(rename = "Seen")]
     Acknowledged(u64),
-    /// Asks a keeper for the table, if it has this version or a higher one.
+    /// Requests the table from a keeper that has this version or a newer one.
     Fetch(TableVersion),
     /// The answer to [`Message::Fetch`].
     Document {
-        /// Version of the table.
+        /// Version of the table; it may be newer than the requested one.
         version: TableVersion,
-        /// The table, as its operator sent it.
+        /// The document as the operator published it.
         #[serde(with = "serde_bytes")]
         bytes: Vec<u8>,
     },
-    /// From an entry instance: an incarnation of an upstream has said in an answer that it is leaving.
+    /// From an entry instance: this incarnation of an upstream announced in an answer that it is
+    /// leaving.
     Leaving {
-        /// The upstream.
+        /// Id of the upstream.
         upstream: UpstreamId,
-        /// Its incarnation.
+        /// Its incarnation; a later one is not affected.
         birth: Birth,
     },
-    /// From an entry instance: what it has learned of contents that crash upstreams.
+    /// From an entry instance: facts about contents that crash upstreams.
     Facts(Vec<Fact>),
     /// Between the replicas of the publication group.
     Replication(replication::Message),
     /// A request to the leader of the publication group.
     Call {
-        /// Number of the call at the sender.
+        /// Number of the request, unique for its sender.
         call: u64,
-        /// The request.
+        /// The operation to carry out.
         request: GroupRequest,
     },
-    /// The answer to a call.
+    /// The answer to [`Message::Call`].
     Reply {
-        /// Number of the call at the receiver of this reply.
+        /// The number that the receiver of this message gave the request.
         call: u64,
-        /// The answer.
+        /// The result, or the reason why the request was not carried out.
         reply: GroupReply,
     },
 }
 
-/// Why a link ended or didn't open.
+/// Why a link was closed or could not be opened.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// The connection didn't open.
+    /// The connection could not be opened.
     #[error("failed to connect to {address}")]
     Connect {
-        /// The peer.
+        /// The peer's internal address.
         address: SocketAddr,
-        /// The system's error; `None` when the time ran out.
+        /// The error of the system; `None` if the connection attempt timed out.
         #[source]
         source: Option<io::Error>,
     },
-    /// The connection failed or was closed.
-    #[error("the connection ended")]
+    /// The connection failed or was closed by the peer.
+    #[error("connection failed or was closed by the peer")]
     Disconnected(#[source] io::Error),
-    /// Nothing was heard for [`LINK_TIMEOUT`].
-    #[error("the peer was silent for {}s", LINK_TIMEOUT.as_secs_f32())]
+    /// No message arrived within [`LINK_TIMEOUT`].
+    #[error("no message from the peer for {}s", LINK_TIMEOUT.as_secs_f32())]
     Unresponsive,
-    /// A frame is longer than permitted.
-    #[error("a frame of {bytes} bytes")]
+    /// A frame exceeds the maximum length, so the peer does not speak this protocol.
+    #[error("frame too long: {bytes} bytes")]
     FrameTooLong {
-        /// Its length.
+        /// The length that the frame announces.
         bytes: u32,
     },
-    /// A frame holds no message.
-    #[error("a frame holds no message")]
+    /// The content of a frame can't be decoded.
+    #[error("failed to decode a message")]
     Decode(#[source] postcard::Error),
-    /// The peer began with something else than its introduction.
-    #[error("the peer didn't introduce itself")]
+    /// The first message of the peer was not [`Message::Hello`].
+    #[error("the first message of the peer was not its introduction")]
     NoIntroduction,
-    /// The process gave the link up.
-    #[error("the link was closed by this process")]
+    /// This process closed the link, because a message could not be queued.
+    #[error("link closed by this process")]
     Closed,
 }
 
@@ -186,8 +192,8 @@
 pub struct LinkSender(mpsc::Sender<Bytes>);
 
 impl LinkSender {
-    /// Queues a message. Returns whether the link still works; a full queue means that it
-    /// doesn't.
+    /// Queues a message. Returns false if the link is closed or its queue is full, which means that
+    /// the peer has stopped reading.
     pub fn send(&self, message: &Message) -> bool {
         match encode(message) {
             Ok(frame) => self.0.try_send(frame).is_ok(),
@@ -198,7 +204,7 @@
         }
     }
 
-    /// Whether the link has ended.
+    /// Whether the connection has ended and queued messages will not be sent any more.
     pub fn is_closed(&self) -> bool {
         self.0.is_closed()
     }
@@ -209,11 +215,12 @@
 pub struct LinkReceiver(OwnedReadHalf);
 
 impl LinkReceiver {
-    /// The next message.
+    /// Waits for the next message.
     ///
     /// # Errors
     ///
-    /// The link ended, was silent for [`LINK_TIMEOUT`], or carries no messages.
+    /// The connection ended, no message arrived within [`LINK_TIMEOUT`], or a frame can't be
+    /// decoded.
     pub async fn receive(&mut self) -> Result<Message, LinkError> {
         match timeout(LINK_TIMEOUT, self.read()).await {
             Ok(result) => result,
@@ -232,11 +239,11 @@
     }
 }
 
-/// Opens a link and introduces this process.
+/// Opens a link and sends this process's [`Message::Hello`].
 ///
 /// # Errors
 ///
-/// The connection doesn't open in time.
+/// The connection could not be opened within [`CONNECT_TIMEOUT`].
 pub async fn open(
     address: SocketAddr,
     card: Card,
@@ -251,11 +258,11 @@
     Ok((sender, receiver))
 }
 
-/// Takes a connection in that another process opened, and learns who it is.
+/// Accepts a link that another process opened, and returns who opened it.
 ///
 /// # Errors
 ///
-/// The peer doesn't introduce itself in time.
+/// The first message is not [`Message::Hello`], or does not arrive within [`LINK_TIMEOUT`].
 pub async fn accept(stream: TcpStream) -> Result<(Card, LinkSender, LinkReceiver), LinkError> {
     let (sender, mut receiver) = split(stream);
     match receiver.receive().await? {
@@ -266,7 +273,7 @@
 
 fn split(stream: TcpStream) -> (LinkSender, LinkReceiver) {
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!(%error, "failed to switch Nagle's algorithm off");
+        tracing::debug!(%error, "failed to disable Nagle's algorithm");
     }
     let (read, write) = stream.into_split();
     let (sender, queue) = mpsc::channel(QUEUE_MESSAGES);
@@ -274,7 +281,8 @@
     (LinkSender(sender), LinkReceiver(read))
 }
 
-/// Writes frames until the queue or the connection ends; what waits goes out in one write.
+/// Writes frames until the queue is closed or the connection ends. All queued frames go out in one
+/// write.
 async fn write_frames(mut write: OwnedWriteHalf, mut queue: mpsc::Receiver<Bytes>) {
     let mut batch = Vec::new();
     while let Some(first) = queue.recv().await {
@@ -284,16 +292,16 @@
             batch.extend_from_slice(&next);
         }
         if write.write_all(&batch).await.is_err() {
-            // The reading side reports the end of the connection.
+            // The receiving half reports the error.
             return;
         }
     }
 }
 
 fn encode(message: &Message) -> Result<Bytes, postcard::Error> {
-    let frame = postcard::to_extend(message, vec![0; 4])?;
-    let length = u32::try_from(frame.len() - 4).unwrap_or(u32::MAX);
-    let mut frame = frame;
+    let encoded = postcard::to_extend(message, vec![0; 4])?;
+    let length = u32::try_from(encoded.len() - 4).unwrap_or(u32::MAX);
+    let mut frame = encoded;
     frame[..4].copy_from_slice(&length.to_le_bytes());
     Ok(frame.into())
 }
--- a/crates/medlarlug-gateway/src/load_exchange.rs
+++ b/crates/medlarlug-gateway/src/load_exchange.rs
@@ -1,10 +1,10 @@
-//! Tells the entry instances of the own region what this one has under way at upstreams.
+//! Exchanges the in-flight load at upstreams between the entry instances of a region.
 //!
-//! Who tells whom is decided by [`exchange`]. The messages are datagrams. Most hold all there is to
-//! tell and replace the one before, so a lost one costs nothing but time. A long prompt changes the
-//! queue of its engine so much that others have to know before they place their own, and so does a
-//! call to a plain service with few places: these are told at once, as the load of that upstream
-//! alone.
+//! [`medlarlug_core::gateway::exchange`] decides who reports to whom. The messages are datagrams.
+//! Most hold the complete load and replace the message before, so a lost one only delays the
+//! others' view. A long prompt changes the queue of its engine so much that the other instances
+//! must know it before they place their own, and so does a call to a plain service with few slots:
+//! such changes are sent at once, as the load of that upstream alone.
 
 use std::{
     cell::{Cell, RefCell},
@@ -27,85 +27,88 @@
 
 use crate::entry::{Entry, LimitMessage};
 
-/// Time between two whole reports to all instances of a small region.
+/// Time between two complete reports when the instances of a small region report to each other.
 const DIRECT_INTERVAL: Duration = Duration::from_millis(80);
-/// Time between two whole reports to collectors, and between two whole sums.
+/// Time between two complete reports to collectors, and between two complete aggregates.
 const AGGREGATE_INTERVAL: Duration = Duration::from_millis(240);
-/// Time after which there is a report without anything new, a part of the lifetime of reports.
+/// Time after which an unchanged report is sent again. It is a fraction of the lifetime of reports.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(400);
-/// Pause after changes were passed on by a collector: a fraction of the time in which a long prompt is
-/// read.
+/// Time between two rounds in which a collector forwards changes: a fraction of the time in which
+/// an engine processes a long prompt.
 const FORWARD_PAUSE: Duration = Duration::from_millis(20);
-/// Time for which an instance that asked a collector for sums is sent them.
+/// Time for which a collector sends aggregates to an instance that requested them.
 const SUBSCRIPTION_LIFETIME: Duration = Duration::from_secs(1);
-/// Longest datagram, below the usual size of a packet.
+/// Longest datagram, in bytes; below the usual packet size, so that it is not fragmented.
 const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Loads in one datagram at most: one takes up to ten bytes.
-const MAX_LOADS: usize = 130;
+/// Maximum number of loads in one datagram. One load takes up to ten bytes.
+const MAX_DATAGRAM_LOADS: usize = 130;
 
 /// A message between entry instances of a region.
 #[derive(Debug, Serialize, Deserialize)]
 enum Datagram {
-    /// What one instance has under way.
+    /// The in-flight load of one instance.
     Report {
         from: InstanceId,
-        /// Whether `loads` are all upstreams at which the instance has calls, or only changed ones.
+        /// Whether `loads` holds all upstreams at which the instance has calls, or only changed
+        /// ones.
         is_whole: bool,
-        /// Whether the instance wants sums from the receiver.
+        /// Whether the sender requests aggregates from the receiver.
         #[serde(rename = "asks")]
         wants_aggregate: bool,
         loads: Vec<LoadReport>,
     },
-    /// What several instances have under way: those of a zone, or else all of the region but the
-    /// receiver.
+    /// The aggregate load of several instances: those of a zone, or else all instances of the
+    /// region except the receiver.
     #[serde(rename = "Sum")]
     Aggregate {
         zone: Option<ZoneId>,
         is_whole: bool,
-        /// How many they are.
+        /// Number of instances that the aggregate covers.
         instances: usize,
         loads: Vec<LoadReport>,
     },
-    /// About the limits that upstreams name.
+    /// A message about the rate limits that upstreams name.
     Limit(LimitMessage),
 }
 
-/// A peer that the plan names.
+/// Id and internal address of another instance.
 type Peer = (InstanceId, SocketAddr);
 
-/// What an instance knows of the exchange of loads.
+/// The state of the load exchange at one instance.
 #[derive(Debug, Default)]
 pub(crate) struct Exchange {
-    /// Upstreams whose load peers have to know at once, sorted.
+    /// Upstreams whose changed load is to be reported at once, sorted.
     changed: RefCell<Vec<UpstreamId>>,
     has_changed: Notify,
     role: Cell<Option<Role>>,
-    /// To whom this instance reports, collectors in their order.
+    /// The instances that this one reports to. If they are collectors, in order of preference.
     report_to: RefCell<Vec<Peer>>,
-    /// To whom the sum over the own zone goes.
+    /// The instances that receive the aggregate of the own zone.
     aggregate_to: RefCell<Vec<Peer>>,
-    /// Instances that asked for sums, and when they last did; sorted.
+    /// Instances that requested aggregates, and when each last did so; sorted.
     subscriptions: RefCell<Vec<(Peer, Time)>>,
-    /// At a collector: upstreams whose load was told since changes were last passed on, sorted.
+    /// At a collector: upstreams whose load has changed since changes were last forwarded, sorted.
     to_forward: RefCell<Vec<UpstreamKey>>,
-    /// Those of them that the own zone told; what other zones tell does not go back to them.
+    /// The part of `to_forward` that was reported by the own zone; changes from other zones are not
+    /// sent back to them.
     from_own_zone: RefCell<Vec<UpstreamKey>>,
     has_to_forward: Notify,
-    /// When the collector that is asked first was last heard.
+    /// When the preferred collector last sent an aggregate.
     aggregate_received: Cell<Option<Time>>,
-    /// Live entry instances of the region, this one included.
+    /// Number of live entry instances of the region, this one included.
     instances: Cell<usize>,
 }
 
 impl Exchange {
-    /// Has the load of an upstream told.
+    /// Reports the load of an upstream to the peers at once.
     pub(crate) fn report_at_once(&self, upstream: &UpstreamId) {
         insert_sorted(&mut self.changed.borrow_mut(), upstream.clone());
         self.has_changed.notify_one();
         self.forward(UpstreamKey::of(upstream), true);
     }
 
-    /// Has a collector pass on the load of an upstream; `is_own` tells whether the own zone told it.
+    /// At a collector: queues the load of an upstream for forwarding; `is_own_zone` tells whether
+    /// the report came from the own zone.
     fn forward(&self, upstream: UpstreamKey, is_own_zone: bool) {
         if !matches!(self.role.get(), Some(Role::Collector { .. })) {
             return;
@@ -117,7 +120,7 @@
         self.has_to_forward.notify_one();
     }
 
-    /// Live entry instances of the region, this one included, as of the last round.
+    /// Number of live entry instances of the region, this one included, as of the last round.
     pub(crate) fn instances(&self) -> usize {
         self.instances.get().max(1)
     }
@@ -127,7 +130,7 @@
         std::mem::take(&mut *self.changed.borrow_mut())
     }
 
-    /// Plans anew by who is alive now.
+    /// Assigns roles from the instances that are alive now.
     fn plan(&self, own: &Member, region: &[(Member, SocketAddr)]) {
         let members: Vec<Member> = region.iter().map(|it| it.0.clone()).collect();
         let plan = Plan::of(own, &members);
@@ -140,11 +143,12 @@
         self.instances.set(members.len());
         if self.role.replace(Some(plan.role)) != Some(plan.role) {
             let instances = members.len();
-            tracing::info!(role = ?plan.role, instances, "part in the exchange of loads changed");
+            tracing::info!(role = ?plan.role, instances, "role in the load exchange changed");
         }
     }
 
-    /// Whether the collector at `place` is asked for sums.
+    /// Whether to request aggregates from the collector at position `place`. The others are asked
+    /// only while the preferred one is unresponsive.
     fn wants_aggregate(&self, now: Time, place: usize) -> bool {
         let is_silent = self.aggregate_received.get().is_none_or(|heard| now - heard > SILENCE);
         self.role.get() == Some(Role::Reporter) && (place == 0 || is_silent)
@@ -158,7 +162,7 @@
         }
     }
 
-    /// Those that have asked for sums lately.
+    /// The instances that have requested aggregates within [`SUBSCRIPTION_LIFETIME`].
     fn subscribers(&self, now: Time) -> Vec<Peer> {
         let mut subscriptions = self.subscriptions.borrow_mut();
         subscriptions.retain(|it| now - it.1 < SUBSCRIPTION_LIFETIME);
@@ -166,14 +170,14 @@
     }
 }
 
-/// Adds to a sorted list what it lacks.
+/// Inserts an item into a sorted list unless it is present.
 fn insert_sorted<T: Ord>(list: &mut Vec<T>, item: T) {
     if let Err(at) = list.binary_search(&item) {
         list.insert(at, item);
     }
 }
 
-/// Opens the socket of the exchange.
+/// Opens the UDP socket of the load exchange.
 ///
 /// # Errors
 ///
@@ -182,7 +186,7 @@
     UdpSocket::bind(address).await
 }
 
-/// Sends whole reports and sums for as long as the process runs.
+/// Sends complete reports and aggregates for as long as the process runs.
 pub(crate) async fn send_reports(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     let (mut last, mut reported) = (Vec::new(), Time::ZERO);
     loop {
@@ -198,7 +202,7 @@
         match exchange.role.get() {
             Some(Role::Collector { place }) => {
                 entry.expire_peer_loads();
-                // The others stand in for the first one, as far as whole sums do.
+                // The other collectors take over complete aggregates if the first one fails.
                 send_aggregate(&entry, &socket, None);
                 if place <= 1 {
                     send_zone_aggregate(&entry, &socket, None);
@@ -211,7 +215,7 @@
     }
 }
 
-/// Reports noted changes for as long as the process runs.
+/// Reports changes that peers have to know at once, for as long as the process runs.
 pub(crate) async fn send_changes(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     loop {
         let upstreams = entry.exchange().next_changes().await;
@@ -219,7 +223,7 @@
     }
 }
 
-/// Passes changes on as a collector, for as long as the process runs.
+/// Forwards changes if this instance is a collector, for as long as the process runs.
 pub(crate) async fn forward_changes(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     let exchange = entry.exchange();
     loop {
@@ -241,11 +245,12 @@
     let now = entry.now();
     for (place, peer) in exchange.report_to.borrow().iter().enumerate() {
         let (from, wants_aggregate) = (entry.id(), exchange.wants_aggregate(now, place));
-        let loads = fit(loads.to_vec());
+        let loads = truncate(loads.to_vec());
         send(socket, &Datagram::Report { from, is_whole, wants_aggregate, loads }, peer.1);
     }
 }
-/// Sends those that asked what all others have under way: everything, or what has `changed`.
+/// Sends each subscriber the aggregate load of all instances but itself: all upstreams, or only
+/// those in `changed`.
 fn send_aggregate(entry: &Entry, socket: &UdpSocket, changed: Option<&[UpstreamKey]>) {
     for (id, address) in entry.exchange().subscribers(entry.now()) {
         let (instances, loads) = entry.aggregate_for(&id);
@@ -253,7 +258,7 @@
     }
 }
 
-/// Sends other zones what the instances of the own one have under way: everything, or what has
+/// Sends the aggregate load of the own zone to other zones: all upstreams, or only those in
 /// `changed`.
 fn send_zone_aggregate(entry: &Entry, socket: &UdpSocket, changed: Option<&[UpstreamKey]>) {
     let (zone, instances, loads) = entry.zone_aggregate();
@@ -272,15 +277,16 @@
         Some(changed) => changed.iter().map(|it| find(&loads, *it)).collect(),
         None => loads,
     };
-    Datagram::Aggregate { zone, is_whole, instances, loads: fit(loads) }
+    Datagram::Aggregate { zone, is_whole, instances, loads: truncate(loads) }
 }
 
-/// The heaviest loads that fit into a datagram; the others matter least.
-fn fit(mut loads: Vec<LoadReport>) -> Vec<LoadReport> {
-    if loads.len() > MAX_LOADS {
-        tracing::debug!(loads = loads.len(), "the lightest loads are left out of a report");
+/// Truncates `loads` to what fits into a datagram. The heaviest are kept, because they matter most
+/// to placement.
+fn truncate(mut loads: Vec<LoadReport>) -> Vec<LoadReport> {
+    if loads.len() > MAX_DATAGRAM_LOADS {
+        tracing::debug!(loads = loads.len(), "load report truncated to the heaviest loads");
         loads.sort_by_key(|it| std::cmp::Reverse((it.unread, it.running)));
-        loads.truncate(MAX_LOADS);
+        loads.truncate(MAX_DATAGRAM_LOADS);
         loads.sort_by_key(|it| it.upstream);
     }
     loads
@@ -297,19 +303,19 @@
     }
 }
 
-/// Sends a message about a limit that an upstream names.
+/// Sends a message about the rate limit of an upstream.
 pub(crate) fn send_limit(socket: &UdpSocket, message: LimitMessage, to: SocketAddr) {
     send(socket, &Datagram::Limit(message), to);
 }
 
-/// Takes reports and sums in for as long as the process runs.
+/// Receives datagrams for as long as the process runs.
 pub(crate) async fn receive_datagrams(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((bytes, from)) => match postcard::from_bytes(&buffer[..bytes]) {
                 Ok(datagram) => handle_datagram(&entry, from, datagram),
-                Err(error) => tracing::debug!(%error, "load report can't be read"),
+                Err(error) => tracing::debug!(%error, "failed to decode a load report"),
             },
             Err(error) => {
                 tracing::debug!(%error, "failed to receive a load report");
@@ -319,8 +325,8 @@
     }
 }
 
-/// Takes a message in if it fits the own part: another instance may not know yet that this one has
-/// another part.
+/// Handles a datagram if it matches the role of this instance. Otherwise it is dropped: the sender
+/// may not know yet that the role has changed.
 fn handle_datagram(entry: &Entry, address: SocketAddr, datagram: Datagram) {
     let exchange = entry.exchange();
     let now = entry.now();
--- a/crates/medlarlug-gateway/src/metrics.rs
+++ b/crates/medlarlug-gateway/src/metrics.rs
@@ -4,42 +4,43 @@
 
 /// Counter: calls that ended. Label: `outcome` (see [`crate::entry::CallOutcome`]).
 pub const CALLS_ENDED: &str = "medlarlug_gateway_calls_total";
-/// Histogram in seconds: from the arrival of a call to the head of its answer.
+/// Histogram in seconds: from the arrival of a call until its answer is chosen, or the first events
+/// of its stream have arrived.
 pub const HEAD_SECONDS: &str = "medlarlug_gateway_head_seconds";
 /// Counter: requests to upstreams beyond the first of their call.
 pub const RETRIES: &str = "medlarlug_gateway_repeats_total";
-/// Counter: repeats that the budget of their service did not allow.
+/// Counter: retries that were denied by the retry budget of their service.
 pub const RETRIES_DENIED: &str = "medlarlug_gateway_repeats_denied_total";
-/// Counter: requests to upstreams that count as cold.
+/// Counter: requests to upstreams that are considered cold.
 pub const COLD_REQUESTS: &str = "medlarlug_gateway_cold_sends_total";
-/// Counter: upstreams that said in an answer that they are leaving.
+/// Counter: upstreams that announced in an answer that they are leaving.
 pub const LEAVING_UPSTREAMS: &str = "medlarlug_gateway_leaving_total";
-/// Counter: rests that upstreams asked for.
+/// Counter: backoffs that upstreams requested with `Retry-After`.
 pub const BACKOFFS: &str = "medlarlug_gateway_rests_total";
-/// Counter: limits that upstreams named.
+/// Counter: rate limits that upstreams named in answers.
 pub const NAMED_LIMITS: &str = "medlarlug_gateway_named_limits_total";
-/// Counter: requests to upstreams that have named a limit.
+/// Counter: requests to upstreams that have named a rate limit.
 pub const LIMITED_REQUESTS: &str = "medlarlug_gateway_limited_sends_total";
 /// Counter: upstreams that crashed with requests of this instance in flight.
 pub const UPSTREAM_CRASHES: &str = "medlarlug_gateway_crashes_total";
 /// Counter: calls that were not run because their content crashes upstreams.
 pub const QUARANTINED_CALLS: &str = "medlarlug_gateway_quarantined_total";
-/// Counter: calls handed to another region.
+/// Counter: calls forwarded to another region.
 pub const FORWARDED_CALLS: &str = "medlarlug_gateway_forwarded_total";
 /// Counter in bytes: load reports sent to other instances of the region.
 pub const LOAD_BYTES: &str = "medlarlug_gateway_load_bytes_total";
-/// Gauge: version of the route table in force.
+/// Gauge: version of the route table in effect.
 pub const TABLE_VERSION: &str = "medlarlug_gateway_table_version";
-/// Gauge: upstreams that are known and take calls.
+/// Gauge: upstreams that accept calls.
 pub const READY_UPSTREAMS: &str = "medlarlug_gateway_upstreams";
 /// Gauge: open links to keepers.
 pub const OPEN_LINKS: &str = "medlarlug_gateway_links";
-/// Counter: announcements of upstreams. Label: `effect`.
+/// Counter: announcements received from upstreams. Label: `effect`.
 pub const ANNOUNCEMENTS: &str = "medlarlug_gateway_announcements_total";
-/// Counter: announcements that could not be read.
+/// Counter: announcements that could not be parsed.
 pub const INVALID_ANNOUNCEMENTS: &str = "medlarlug_gateway_unreadable_announcements_total";
 
-/// Describes the metrics to the recorder.
+/// Registers the descriptions of all metrics with the installed recorder.
 pub fn describe() {
     describe_counter!(CALLS_ENDED, "Calls that ended, by outcome");
     describe_histogram!(HEAD_SECONDS, Unit::Seconds, "Arrival of a call to the head of its answer");
--- a/crates/medlarlug-gateway/src/settings.rs
+++ b/crates/medlarlug-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process is told at its start.
+//! Settings of a process, as the embedding program passes them at start and on reload.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -16,61 +16,64 @@
 };
 use thiserror::Error;
 
-/// A document that is no valid table.
+/// The document is not a valid route table.
 #[derive(Debug, Error)]
 pub enum DocumentError {
-    /// It can't be read.
+    /// The document can't be parsed.
     #[error("the document can't be read: {reason}")]
     Unreadable {
-        /// What is wrong with it, and where.
+        /// What is wrong, and where in the document.
         reason: String,
     },
-    /// Its parts don't fit together.
+    /// The document parses, but the table is inconsistent.
     #[error(transparent)]
     Table(#[from] medlarlug_core::gateway::table::TableError),
 }
 
-/// Reads a table out of the document that an operator sent.
+/// Parses a route table from the document that an operator published.
 pub type ReadTable = fn(&[u8]) -> Result<RouteTable, DocumentError>;
 
-/// What a process is told at its start.
+/// Settings of an entry instance or a keeper.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// The process's own id, zone and addresses.
+    /// Id, role, zone, region and addresses of this process.
     pub card: Card,
     /// Region of each zone, sorted by zone.
     pub zones: Vec<(ZoneId, RegionId)>,
-    /// Internal addresses of some keepers.
+    /// Internal addresses of some keepers, from which the others are discovered.
     pub contacts: Vec<SocketAddr>,
-    /// Whether the system starts for the first time.
+    /// Whether the deployment starts for the first time. Only then may keepers form a new group,
+    /// and only then do entry instances assume that no retry budget has been spent before.
     pub first_start: bool,
-    /// Keepers whose loss at the same time has to be borne.
+    /// Number of keepers that may fail at the same time. The group has `2 * tolerance + 1` voters.
     pub tolerance: usize,
-    /// Folder for durable state; keepers only.
+    /// Directory for durable state; required for keepers.
     pub data: Option<PathBuf>,
-    /// Bounds on retries.
+    /// Bounds on the retries of each service, over all entry instances.
     pub retries: RetryBounds,
-    /// Time between a request to stop and the end of the process.
+    /// Time between a request to stop and the end of the process, within which open calls may
+    /// complete.
     pub grace: Duration,
-    /// Reads tables.
+    /// Parses the tables that operators publish.
     pub read_table: ReadTable,
 }
 
 impl NodeSettings {
-    /// The region of a zone.
+    /// The region of a zone; `None` if the zone is not configured.
     pub fn region_of(&self, zone: &ZoneId) -> Option<&RegionId> {
         let at = self.zones.binary_search_by(|it| it.0.cmp(zone)).ok()?;
         Some(&self.zones[at].1)
     }
 
-    /// Whether the process is a keeper.
+    /// Whether the process runs as a keeper rather than as an entry instance.
     pub fn is_keeper(&self) -> bool {
         self.card.part == Part::Keeper
     }
 }
 
-/// The id of the instance at an address. A machine that lost its disk comes back at its address,
-/// so addresses name instances, also those that are only known as contacts.
+/// Returns the id of the instance at an address. Ids are derived from addresses because a machine
+/// that lost its disk returns at its old address, and so that contacts have an id before they are
+/// connected.
 ///
 /// # Errors
 ///
@@ -85,15 +88,16 @@
     ip.to_string().replace(['.', ':'], "-").parse()
 }
 
-/// The address of an instance, see [`instance_at`]; `None` if the id names none.
+/// Returns the address of an instance, the inverse of [`instance_at`]; `None` if the id is not
+/// derived from an IPv4 address.
 pub fn address_of(id: &InstanceId, port: u16) -> Option<SocketAddr> {
     let ip: IpAddr = id.as_str().replace('-', ".").parse().ok()?;
     Some(SocketAddr::new(ip, port))
 }
 
-/// Age up to which a process that has just started can tell how old news are: longer than anything is
-/// remembered.
+/// The clock of a process starts at this time, so that updates that are older than the process have
+/// a timestamp. It exceeds every retention period.
 pub(crate) const MAX_UPDATE_AGE: Duration = Duration::from_secs(25 * 3_600);
 
-/// The version before the first table.
+/// The version that is in effect before the first table is published.
 pub const NO_TABLE: TableVersion = TableVersion(0);
--- a/crates/medlarlug-gateway/src/subscribers.rs
+++ b/crates/medlarlug-gateway/src/subscribers.rs
@@ -1,9 +1,10 @@
-//! The links that other processes opened to a keeper, and the news that each still lacks.
+//! The links that other processes opened to a keeper, and which changes each has been sent.
 //!
-//! What changes is told to everybody at once. That nothing has changed, renewals of upstreams and
-//! signs of life of instances, would be most of the news, and grow with upstreams times instances. An
-//! entry instance gets it from the few keepers that it has chosen, and of upstreams only who is late; a
-//! keeper gets it from whoever has heard it first.
+//! Changes are sent to all links at once. Renewals of upstreams and signs of life of instances
+//! would be most of the traffic, and grow with upstreams times instances. They go to an entry
+//! instance only from the few keepers that it has chosen as primary, and for upstreams as a pulse
+//! that lists only the late ones; another keeper receives a renewal from the keeper that the
+//! upstream renewed itself at.
 
 use std::{cell::OnceCell, time::Duration};
 
@@ -20,31 +21,32 @@
 
 use crate::link::{LinkSender, Message, PublicationHead, Update};
 
-/// Time between two tellings of the signs of life of all instances on one link.
+/// Time between two transmissions of the signs of life of all instances on one link.
 const PULSE_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Late upstreams up to which a pulse goes out in each round of news: behind a cut, all are late.
+/// Up to this number of late upstreams, a pulse is sent in every round of updates. Behind a network
+/// partition all upstreams are late, and the pulse goes out once per [`PULSE_INTERVAL`] only.
 const MAX_LATE_EVERY_ROUND: usize = 60;
 
-/// One link that another process opened.
+/// A link that another process opened.
 #[derive(Debug)]
 struct Subscriber {
     id: InstanceId,
     part: Part,
-    /// Differs for each link, also of one process.
+    /// Number of the link, unique in this process; one peer may have several links.
     link: u64,
     sender: LinkSender,
-    /// Whether renewals, signs of life and waits are wanted.
+    /// Whether the peer wants renewals, pulses and waiting times.
     is_primary: bool,
-    /// Last changes that were sent.
+    /// What has been sent so far.
     sent: SentState,
-    /// Number of the last news that was sent.
+    /// Sequence number of the last update that was sent.
     number: u64,
-    /// Number of the last news that was taken in.
+    /// Sequence number of the last update that the peer acknowledged.
     acknowledged: u64,
 }
 
-/// Up to where a link has been told.
+/// How far the changes of each kind have been sent on a link.
 #[derive(Debug, Default)]
 struct SentState {
     upstreams: u64,
@@ -57,7 +59,7 @@
     facts: u64,
 }
 
-/// What a keeper knows and tells.
+/// The state of a keeper that updates are made from.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct KeeperState<'a> {
     pub(crate) upstreams: &'a Upstreams,
@@ -67,7 +69,7 @@
     pub(crate) facts: &'a FactLog,
 }
 
-/// What is the same for all links that are told it in one round.
+/// Parts of an update that are computed once per round and shared by all links.
 struct UpdateRound<'a> {
     now: Time,
     state: KeeperState<'a>,
@@ -126,12 +128,11 @@
         link
     }
 
-    /// Removes a link.
     pub(crate) fn remove(&mut self, link: u64) {
         self.links.retain(|it| it.link != link);
     }
 
-    /// The peer has taken in the news up to `number`.
+    /// The peer acknowledged the updates up to `number`.
     pub(crate) fn acknowledged(&mut self, link: u64, number: u64) {
         if let Ok(at) = self.position(link) {
             let it = &mut self.links[at];
@@ -139,7 +140,7 @@
         }
     }
 
-    /// The peer wants renewals, or no longer does.
+    /// Sets whether the peer wants renewals. Keepers always do.
     pub(crate) fn set_primary(&mut self, link: u64, is_primary: bool) {
         if let Ok(at) = self.position(link) {
             let it = &mut self.links[at];
@@ -147,13 +148,13 @@
         }
     }
 
-    /// Sends a message to a process over its newest link.
+    /// Sends a message to a process over its newest link. Returns false if there is none.
     pub(crate) fn send(&self, id: &InstanceId, message: &Message) -> bool {
         let link = self.links.iter().rfind(|it| it.id == *id);
         link.is_some_and(|it| it.sender.send(message))
     }
 
-    /// Sends to each link what it lacks.
+    /// Sends each link the changes that it has not been sent yet.
     pub(crate) fn push(&mut self, now: Time, state: KeeperState) {
         let round = UpdateRound::new(now, state);
         for link in &mut self.links {
@@ -167,13 +168,14 @@
         self.links.binary_search_by_key(&link, |it| it.link)
     }
 
-    /// The news that entry instances have been sent and not taken in yet: pairs of link and number.
+    /// The updates that entry instances have been sent but have not acknowledged, as pairs of link
+    /// and sequence number.
     pub(crate) fn unacknowledged_by_entries(&self) -> Vec<(u64, u64)> {
         let is_waiting = |it: &&Subscriber| it.part == Part::Entry && it.acknowledged < it.number;
         self.links.iter().filter(is_waiting).map(|it| (it.link, it.number)).collect()
     }
 
-    /// Whether none of `waited` is missing any more; links that ended don't count.
+    /// Whether all of `waited` have been acknowledged; closed links count as acknowledged.
     pub(crate) fn all_acknowledged(&self, waited: &[(u64, u64)]) -> bool {
         let is_acknowledged = |(link, number): &(u64, u64)| {
             self.position(*link).map_or(true, |at| self.links[at].acknowledged >= *number)
@@ -188,7 +190,8 @@
         let KeeperState { upstreams, contacts, head, suspicions, facts } = round.state;
         let mut update = Update::default();
         let is_keeper = self.part == Part::Keeper;
-        // Another keeper hears the rest from whoever has heard it first.
+        // Other keepers receive the remaining upstreams from the keeper that those announced
+        // themselves to.
         let is_forwarded = |known: &&Known| !is_keeper || known.is_local;
         if upstreams.change() > self.sent.upstreams {
             let changed = upstreams.since(self.sent.upstreams).filter(is_forwarded);
@@ -226,9 +229,9 @@
             update.waits.clone_from(round.waits());
             self.sent.waits.clone_from(round.waits());
         }
-        // One keeper has heard them from another, and entry instances from any: two sources are
-        // enough for what is new. Whoever has just connected knows nothing, and is told with the table's
-        // version, before it has the table.
+        // Keepers forward facts to each other, so for new facts the two primary keepers of an entry
+        // instance suffice. A process that has just connected knows none of them, and gets all
+        // together with the version of the table, before it can fetch the table and serve calls.
         let is_first = self.number == 0;
         if (self.is_primary || is_first) && facts.end() > self.sent.facts {
             update.facts = facts.since(now, self.sent.facts);
@@ -252,7 +255,7 @@
     }
 }
 
-/// An age in milliseconds, as it is sent.
+/// Converts an age to milliseconds for the wire.
 fn millis(age: Duration) -> u32 {
     u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
 }
