--- a/crates/medlarlug-gateway/src/entry/crashes.rs
+++ b/crates/medlarlug-gateway/src/entry/crashes.rs
@@ -17,7 +17,7 @@
     fingerprint::Fingerprint,
     gateway::upstreams::{Birth, Upstream},
     ids::{Incarnation, InstanceId, RegionId, RequestId, UpstreamId},
-    suspects::{self, Effect, Event, Fact, LossKey, Suspects},
+    suspects::{self, CrashId, Effect, Event, Fact, SuspectTracker},
     time::Time,
 };
 use tokio::{task, time::sleep};
@@ -43,13 +43,13 @@
 /// The state of crash detection at this instance.
 #[derive(Default)]
 pub(super) struct Crashes {
-    suspects: Suspects,
+    suspects: SuspectTracker,
     /// Number of requests sent to upstreams so far.
     sequence: u64,
     /// Requests that ended without an answer, and when.
     unanswered: Vec<(InFlight, Time)>,
     /// Upstreams that [`check_for_crash`] is running for.
-    under_check: Vec<LossKey>,
+    under_check: Vec<CrashId>,
     /// Trials of quarantined contents at this instance.
     trials: Vec<ContentTrials>,
 }
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct InFlight {
     request: RequestId,
-    key: LossKey,
+    key: CrashId,
 }
 
 /// How a request to an upstream ended.
@@ -84,8 +84,8 @@
     Other,
 }
 
-fn key(upstream: &UpstreamId, birth: Birth) -> LossKey {
-    LossKey { upstream: upstream.clone(), incarnation: Incarnation(birth.0) }
+fn key(upstream: &UpstreamId, birth: Birth) -> CrashId {
+    CrashId { upstream: upstream.clone(), incarnation: Incarnation(birth.0) }
 }
 
 impl Crashes {
@@ -107,7 +107,7 @@
         &mut self.trials[at]
     }
 
-    fn has_unanswered(&self, key: &LossKey) -> bool {
+    fn has_unanswered(&self, key: &CrashId) -> bool {
         self.unanswered.iter().any(|(in_flight, _)| in_flight.key == *key)
     }
 }
@@ -131,9 +131,9 @@
         let own_trials = crashes.trials.iter().find(|it| it.content == content).cloned();
         let (attempts, last_sent) =
             own_trials.as_ref().map_or((0, None), |it| (it.attempts, it.last_sent));
-        let next = trials.next(attempts, last_sent);
+        let next = trials.next_trial_at(attempts, last_sent);
         let is_reserved = own_trials.is_some_and(|it| it.reserved_until > now);
-        let is_free = now >= next && !is_reserved && !crashes.suspects.is_tried(content);
+        let is_free = now >= next && !is_reserved && !crashes.suspects.is_on_trial(content);
         if !plan.is_trial && is_free && self.runs_trial(content, plan) {
             crashes.trials_of(content).reserved_until = now + TRIAL_RESERVATION;
             (plan.is_trial, plan.may_forward) = (true, false);
@@ -159,7 +159,8 @@
         if can_try(&own.region) {
             instances.push(own.id.clone());
         }
-        self.view.borrow().is_settled(now) && suspects::tester(content, &instances) == Some(&own.id)
+        self.view.borrow().is_settled(now)
+            && suspects::trial_instance(content, &instances) == Some(&own.id)
     }
 
     /// Records that a request is sent to an incarnation of an upstream.
@@ -195,9 +196,11 @@
     pub(super) fn request_ended(&self, in_flight: InFlight, request_end: RequestEnd) {
         match request_end {
             RequestEnd::Answered => {
-                self.handle_event(Event::Answered { request: in_flight.request })
+                self.handle_event(Event::Completed { request: in_flight.request })
+            }
+            RequestEnd::Other => {
+                self.handle_event(Event::Inconclusive { request: in_flight.request })
             }
-            RequestEnd::Other => self.handle_event(Event::Ended { request: in_flight.request }),
             RequestEnd::Unanswered => {
                 let now = self.now();
                 let mut crashes = self.crashes.borrow_mut();
@@ -219,7 +222,7 @@
         }
     }
 
-    fn newest_incarnation(&self, upstream: &UpstreamId) -> Option<LossKey> {
+    fn newest_incarnation(&self, upstream: &UpstreamId) -> Option<CrashId> {
         let upstreams = self.upstreams.borrow();
         upstreams.get(upstream).map(|it| key(upstream, it.upstream.birth))
     }
@@ -250,11 +253,11 @@
     pub(super) fn apply_facts(&self, facts: Vec<Fact>) {
         let now = self.now();
         let reported = facts.iter().filter_map(|fact| match fact {
-            Fact::Lost(report) => Some((report.key.clone(), now.saturating_sub(report.age))),
+            Fact::Crashed(report) => Some((report.key.clone(), now.saturating_sub(report.age))),
             Fact::Cleared { .. } => None,
         });
-        let reported: Vec<(LossKey, Time)> = reported.collect();
-        self.update_suspects(|suspects, now, out| suspects.learn_all(now, &facts, out));
+        let reported: Vec<(CrashId, Time)> = reported.collect();
+        self.update_suspects(|suspects, now, out| suspects.apply_all(now, &facts, out));
         for (key, when) in reported {
             // The upstream is cold when it returns.
             if self.newest_incarnation(&key.upstream).as_ref() == Some(&key) {
@@ -268,7 +271,7 @@
 
     /// The facts that a keeper needs again if it has lost its memory.
     pub(super) fn facts_to_resend(&self) -> Vec<Fact> {
-        self.crashes.borrow().suspects.ledger().repeated_losses(self.now())
+        self.crashes.borrow().suspects.ledger().repeated_crashes(self.now())
     }
 
     /// Removes requests and trials that have expired.
@@ -285,17 +288,17 @@
             trials.retain(|it| suspects.ledger().trials(it.content).is_some());
         }
         for in_flight in expired {
-            self.handle_event(Event::Ended { request: in_flight.request });
+            self.handle_event(Event::Inconclusive { request: in_flight.request });
         }
         self.handle_event(Event::Tick);
     }
 
     /// Records that an upstream has crashed with all requests that were in flight there.
-    fn record_crash(&self, key: LossKey, evidence: &'static str) {
+    fn record_crash(&self, key: CrashId, evidence: &'static str) {
         self.crashes.borrow_mut().unanswered.retain(|(in_flight, _)| in_flight.key != key);
         metrics::counter!(names::UPSTREAM_CRASHES).increment(1);
         tracing::warn!(upstream = %key.upstream, birth = key.incarnation.0, evidence, "upstream crashed");
-        self.handle_event(Event::UpstreamLost {
+        self.handle_event(Event::UpstreamCrashed {
             upstream: key.upstream,
             incarnation: key.incarnation,
         });
@@ -308,23 +311,25 @@
 
     /// Changes the suspects, logs contents that became quarantined, and sends the resulting facts
     /// to the keepers.
-    fn update_suspects(&self, change: impl FnOnce(&mut Suspects, Time, &mut Vec<Effect>)) {
+    fn update_suspects(&self, change: impl FnOnce(&mut SuspectTracker, Time, &mut Vec<Effect>)) {
         let mut effects = Vec::new();
         self.log_new_quarantines(|suspects, now| change(suspects, now, &mut effects));
         let facts = effects.into_iter().filter_map(|effect| match effect {
-            Effect::Share(fact) => Some(fact),
+            Effect::Publish(fact) => Some(fact),
             // The gateway does not reserve upstreams for suspects: an upstream runs a hundred
             // requests at the same time.
-            Effect::Reserve { .. } | Effect::Free { .. } | Effect::Lost { .. } => None,
+            Effect::Reserve { .. }
+            | Effect::ReleaseReservation { .. }
+            | Effect::Interrupted { .. } => None,
         });
         let facts: Vec<Fact> = facts.collect();
         if facts.is_empty() {
             return;
         }
         for fact in &facts {
-            if let Fact::Lost(report) = fact {
+            if let Fact::Crashed(report) = fact {
                 let (upstream, birth) = (&report.key.upstream, report.key.incarnation.0);
-                let contents = report.flying.len();
+                let contents = report.in_flight.len();
                 tracing::info!(%upstream, birth, contents, "contents in flight at a crashed upstream are suspects");
             }
         }
@@ -332,14 +337,14 @@
     }
 
     /// Changes the suspects and logs contents that became quarantined.
-    fn log_new_quarantines(&self, change: impl FnOnce(&mut Suspects, Time)) {
+    fn log_new_quarantines(&self, change: impl FnOnce(&mut SuspectTracker, Time)) {
         let now = self.now();
         let suspects = &mut self.crashes.borrow_mut().suspects;
         let before = suspects.ledger().quarantines(now);
         change(suspects, now);
         for (content, _) in suspects.ledger().quarantines(now) {
             if before.binary_search_by_key(&content, |it| it.0).is_err() {
-                let losses = suspects.ledger().losses_of(content);
+                let losses = suspects.ledger().crashes_of(content);
                 let upstreams = losses.iter().map(|it| it.upstream.as_str());
                 let upstreams = upstreams.collect::<Vec<_>>().join(",");
                 let failed = suspects.ledger().trials(content).map_or(0, |it| it.failed);
@@ -351,7 +356,7 @@
 
 /// Considers an upstream crashed if no other connection to it outlasts one that broke. The contents
 /// in flight there become suspects only if it refuses a new connection, too.
-async fn check_for_crash(entry: Rc<Entry>, key: LossKey, address: SocketAddr) {
+async fn check_for_crash(entry: Rc<Entry>, key: CrashId, address: SocketAddr) {
     let began = entry.now();
     sleep(CRASH_SETTLE_TIME).await;
     let running = entry.loads.borrow().report_of(&key.upstream).running;
--- a/crates/medlarlug-gateway/src/keeper/facts.rs
+++ b/crates/medlarlug-gateway/src/keeper/facts.rs
@@ -70,7 +70,7 @@
                 down_s,
                 "facts about contents that crash upstreams restored"
             );
-            stored.facts.iter().map(|fact| fact.after(down)).collect()
+            stored.facts.iter().map(|fact| fact.aged_by(down)).collect()
         }
         Err(error) => {
             tracing::error!(%error, "failed to decode the stored facts about contents that crash upstreams; other keepers have to send them");
@@ -83,7 +83,7 @@
     /// Returns the batch to write if `facts` differ from those written last.
     pub(super) fn batch(&mut self, mut facts: Vec<Fact>) -> Option<Persist> {
         drop_oldest(&mut facts);
-        let without_ages: Vec<Fact> = facts.iter().map(Fact::ageless).collect();
+        let without_ages: Vec<Fact> = facts.iter().map(Fact::without_age).collect();
         if without_ages == self.facts {
             return None;
         }
@@ -111,7 +111,7 @@
     facts.sort_by_key(Fact::age);
     let mut contents = 0;
     facts.retain(|fact| {
-        contents += fact.contents();
+        contents += fact.content_count();
         contents <= MAX_STORED_CONTENTS
     });
 }
--- a/crates/medlarlug-gateway/src/keeper/mod.rs
+++ b/crates/medlarlug-gateway/src/keeper/mod.rs
@@ -132,7 +132,7 @@
         let group = new_group(&settings, &folder, &journal, clock.now())?;
         let mut facts = FactLog::default();
         for fact in facts::restore(&journal) {
-            facts.learn(clock.now(), &fact);
+            facts.apply(clock.now(), &fact);
         }
         let (writer, mut sync_reports) = Writer::start_persistent(journal)?;
         let listener = http_server::listen("peers", settings.card.internal).await?;
@@ -394,7 +394,7 @@
     fn apply_facts(&self, facts: &[Fact]) -> bool {
         let now = self.now();
         let mut known = self.facts.borrow_mut();
-        let new = facts.iter().filter(|fact| known.learn(now, fact));
+        let new = facts.iter().filter(|fact| known.apply(now, fact));
         let is_new = new.count() > 0;
         drop(known);
         if is_new {
@@ -405,7 +405,7 @@
 
     /// Writes the facts that must survive a loss of power, if they have changed.
     fn store_facts(&self) {
-        let facts = self.facts.borrow().repeated_losses(self.now());
+        let facts = self.facts.borrow().repeated_crashes(self.now());
         if let Some(batch) = self.stored_facts.borrow_mut().batch(facts) {
             self.writer.persist(facts::name(), batch);
         }
@@ -454,7 +454,7 @@
             Message::Facts(facts) => {
                 // Clearances are numerous after a crash, and can wait for the next round of
                 // updates.
-                let is_urgent = facts.iter().any(|fact| matches!(fact, Fact::Lost(_)));
+                let is_urgent = facts.iter().any(|fact| matches!(fact, Fact::Crashed(_)));
                 if self.apply_facts(&facts) && is_urgent {
                     self.push();
                 }
