--- a/crates/medlarlug-gateway/src/entry/limited.rs
+++ b/crates/medlarlug-gateway/src/entry/limited.rs
@@ -28,7 +28,7 @@
 use tokio::{net::UdpSocket, sync::Notify, time::timeout};
 
 use super::{Entry, call::Call, plan::Plan};
-use crate::{load_exchange, metrics as names};
+use crate::{loads, metrics as names};
 
 /// Time between two rounds of the allotter while instances wait for permits: the time that a
 /// datagram takes between availability zones.
@@ -323,9 +323,7 @@
 pub(super) async fn run(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     loop {
         let (messages, has_more) = entry.allotment_round();
-        messages
-            .into_iter()
-            .for_each(|(to, message)| load_exchange::send_limit(&socket, message, to));
+        messages.into_iter().for_each(|(to, message)| loads::send_limit(&socket, message, to));
         let wake = entry.limited.wake.notified();
         match has_more {
             // A time-out is no error: the next round is due then.
--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -71,7 +71,7 @@
     headers::HeaderNames,
     keeper_links::{LinkOwner, Links, error_chain},
     link::{Message, PublicationHead, Update},
-    load_exchange::{self, Exchange},
+    loads::{self, Exchange},
     metrics as names,
     settings::{MAX_UPDATE_AGE, NodeSettings},
 };
@@ -193,17 +193,17 @@
         entry.links.connect_new(&entry);
         task::spawn_local(upkeep(entry.clone()));
         let address = entry.card().internal;
-        let socket = load_exchange::open(address).await.map_err(|source| ServerError::Listen {
+        let socket = loads::open(address).await.map_err(|source| ServerError::Listen {
             role: "load reports",
             address,
             source,
         })?;
         let socket = Rc::new(socket);
-        task::spawn_local(load_exchange::send_reports(entry.clone(), socket.clone()));
-        task::spawn_local(load_exchange::send_changes(entry.clone(), socket.clone()));
-        task::spawn_local(load_exchange::forward_changes(entry.clone(), socket.clone()));
+        task::spawn_local(loads::send_reports(entry.clone(), socket.clone()));
+        task::spawn_local(loads::send_changes(entry.clone(), socket.clone()));
+        task::spawn_local(loads::forward_changes(entry.clone(), socket.clone()));
         task::spawn_local(limited::run(entry.clone(), socket.clone()));
-        task::spawn_local(load_exchange::receive_datagrams(entry.clone(), socket));
+        task::spawn_local(loads::receive_datagrams(entry.clone(), socket));
         let this = entry.clone();
         task::spawn_local(http_server::serve(
             internal,
--- a/crates/medlarlug-gateway/src/lib.rs
+++ b/crates/medlarlug-gateway/src/lib.rs
@@ -23,5 +23,6 @@
 pub mod settings;
 
 mod keeper_links;
-mod load_exchange;
+mod loads;
+
 mod subscribers;
