--- a/crates/medlarlug-core/src/replication/append.rs
+++ b/crates/medlarlug-core/src/replication/append.rs
@@ -14,7 +14,7 @@
 impl Replica {
     pub(super) fn on_append(
         &mut self,
-        asker: (MemberKey, FormationId),
+        requester: (MemberKey, FormationId),
         prev: Position,
         entries: Vec<Entry>,
         (commit, round): (LogIndex, u64),
@@ -22,32 +22,32 @@
     ) {
         let is_prefix = prev.index <= self.commit;
         if !is_prefix && self.log.term_at(prev.index) != Some(prev.term) {
-            let next = self.resume_at(prev.index);
+            let next = self.next_index_after_mismatch(prev.index);
             let body = Body::Refused { prev: prev.index, next, round };
-            let answer = self.envelope(asker.0, asker.1, body);
+            let answer = self.envelope(requester.0, requester.1, body);
             return self.send(answer, out);
         }
         let last = LogIndex(prev.index.0 + entries.len() as u64);
         for entry in entries {
-            self.take_entry(entry);
+            self.store_entry(entry);
         }
         self.commit = self.commit.max(commit.min(last));
-        self.acknowledge(asker, last, round, out);
+        self.acknowledge(requester, last, round, out);
     }
 
-    fn take_entry(&mut self, entry: Entry) {
+    fn store_entry(&mut self, entry: Entry) {
         if entry.index <= self.commit || self.log.term_at(entry.index) == Some(entry.term) {
             return;
         }
         if entry.index <= self.log.last().index {
-            self.cut(entry.index);
+            self.truncate_from(entry.index);
         }
         self.log.append(entry.clone());
         self.dirty.entries.push(entry);
     }
 
     /// Where a leader should go on that sent entries after the unknown entry `prev`.
-    fn resume_at(&self, prev: LogIndex) -> LogIndex {
+    fn next_index_after_mismatch(&self, prev: LogIndex) -> LogIndex {
         let last = self.log.last().index;
         let next = if prev > last { last.next() } else { self.log.term_start(prev) };
         next.max(self.commit.next())
@@ -56,29 +56,29 @@
     /// Confirms the log up to `last`: at once as far as it is synced, the rest after its sync.
     pub(super) fn acknowledge(
         &mut self,
-        asker: (MemberKey, FormationId),
+        requester: (MemberKey, FormationId),
         last: LogIndex,
         round: u64,
         out: &mut Vec<Effect>,
     ) {
-        if self.is_hard_synced() {
+        if self.is_hard_state_synced() {
             let body = Body::Appended { last: last.min(self.synced), round };
-            let answer = self.envelope(asker.0.clone(), asker.1, body);
+            let answer = self.envelope(requester.0.clone(), requester.1, body);
             self.send(answer, out);
             if last <= self.synced {
                 return;
             }
         }
-        let answer = self.envelope(asker.0, asker.1, Body::Appended { last, round });
-        self.send_synced(answer, out);
+        let answer = self.envelope(requester.0, requester.1, Body::Appended { last, round });
+        self.send_after_sync(answer, out);
     }
 
     pub(super) fn on_appended(&mut self, from: &MemberKey, last: LogIndex, round: u64, now: Time) {
         if let State::Leader(leader) = &mut self.state
             && let Some(progress) = leader.progress_mut(from)
         {
-            progress.hear(round, now);
-            progress.accept(last);
+            progress.record_contact(round, now);
+            progress.record_match(last);
         }
     }
 
@@ -92,46 +92,46 @@
         if let State::Leader(leader) = &mut self.state
             && let Some(progress) = leader.progress_mut(from)
         {
-            progress.hear(round, now);
-            progress.refuse(prev, next);
+            progress.record_contact(round, now);
+            progress.record_mismatch(prev, next);
         }
     }
 
     /// Sends every member what its window allows.
-    pub(super) fn supply_all(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn replicate_to_all(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.with_leader(|replica, leader| {
             for progress in &mut leader.progress {
-                replica.supply(progress, leader.round, now, out);
+                replica.replicate_to(progress, leader.round, now, out);
             }
         });
     }
 
-    fn supply(&self, progress: &mut Progress, round: u64, now: Time, out: &mut Vec<Effect>) {
+    fn replicate_to(&self, progress: &mut Progress, round: u64, now: Time, out: &mut Vec<Effect>) {
         loop {
             let is_due = match progress.mode {
-                Mode::Probe { is_waiting } => !is_waiting,
+                Mode::Probe { is_in_flight } => !is_in_flight,
                 Mode::Stream => {
                     let has_room = progress.inflight.len() < self.config.max_inflight;
-                    has_room && progress.next <= self.log.last().index
+                    has_room && progress.next_index <= self.log.last().index
                 }
                 Mode::Snapshot { .. } => false,
             };
             if !is_due {
                 return;
             }
-            let prev = LogIndex(progress.next.0 - 1);
+            let prev = LogIndex(progress.next_index.0 - 1);
             if self.log.term_at(prev).is_none() {
                 self.begin_snapshot(progress, now);
                 return self.send_chunk(progress, round, out);
             }
-            let entries = self.log.batch(progress.next, self.config.batch_bytes);
+            let entries = self.log.entries_from(progress.next_index, self.config.batch_bytes);
             let last = LogIndex(prev.0 + entries.len() as u64);
             self.send_append(progress, prev, entries, round, out);
             match &mut progress.mode {
-                Mode::Probe { is_waiting } => *is_waiting = true,
+                Mode::Probe { is_in_flight } => *is_in_flight = true,
                 Mode::Stream => {
                     progress.inflight.push_back(last);
-                    progress.next = last.next();
+                    progress.next_index = last.next();
                 }
                 Mode::Snapshot { .. } => {}
             }
@@ -155,14 +155,14 @@
     }
 
     /// Sends every member a message that it has to answer.
-    pub(super) fn heartbeat(&mut self, leader: &mut Leader, out: &mut Vec<Effect>) {
+    pub(super) fn send_heartbeats(&mut self, leader: &mut Leader, out: &mut Vec<Effect>) {
         for progress in &mut leader.progress {
             match &mut progress.mode {
-                Mode::Probe { is_waiting } => *is_waiting = false,
+                Mode::Probe { is_in_flight } => *is_in_flight = false,
                 Mode::Stream => {
-                    let prev = LogIndex(progress.next.0 - 1);
+                    let prev = LogIndex(progress.next_index.0 - 1);
                     if self.log.term_at(prev).is_none() {
-                        progress.mode = Mode::Probe { is_waiting: false };
+                        progress.mode = Mode::Probe { is_in_flight: false };
                         continue;
                     }
                     self.send_append(progress, prev, Vec::new(), leader.round, out);
--- a/crates/medlarlug-core/src/replication/election.rs
+++ b/crates/medlarlug-core/src/replication/election.rs
@@ -18,10 +18,10 @@
         if matches!(self.state, State::Leader(_)) {
             return self.tick_leader(now, out);
         }
-        self.greet(now, out);
-        self.try_form(now);
-        if now >= self.deadline && self.may_campaign() {
-            self.retry_after(now);
+        self.send_hellos(now, out);
+        self.try_form_group(now);
+        if now >= self.election_deadline && self.may_campaign() {
+            self.reset_campaign_deadline(now);
             self.campaign(now, out);
         }
     }
@@ -34,36 +34,36 @@
 
     fn campaign(&mut self, now: Time, out: &mut Vec<Effect>) {
         if !self.config.pre_vote {
-            return self.stand(false, now, out);
+            return self.start_election(false, now, out);
         }
         self.leader = None;
-        self.campaigned = Some(now);
+        self.pre_vote_started_at = Some(now);
         let old_role = self.role();
         self.state = State::PreCandidate(vec![self.config.key.clone()]);
         if old_role != Role::Follower {
             out.push(Effect::RoleChanged { role: Role::Follower, term: self.hard.term });
         }
         let body = Body::PreVote { term: self.hard.term.next(), last: self.log.last() };
-        self.ask_voters(body, false, out);
+        self.send_to_voters(body, false, out);
         self.count_pre_votes(now, out);
     }
 
     /// Campaigns in the next term.
-    pub(super) fn stand(&mut self, handover: bool, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn start_election(&mut self, handover: bool, now: Time, out: &mut Vec<Effect>) {
         let own = self.config.key.clone();
         self.set_term(self.hard.term.next(), Some(own));
         self.leader = None;
         self.state = State::Candidate(Vec::new());
         self.incoming = None;
-        self.retry_after(now);
+        self.reset_campaign_deadline(now);
         out.push(Effect::RoleChanged { role: Role::Candidate, term: self.hard.term });
-        self.vote_self_synced();
+        self.vote_self_after_sync();
         let body = Body::Vote { last: self.log.last(), handover };
-        self.ask_voters(body, true, out);
+        self.send_to_voters(body, true, out);
     }
 
-    fn ask_voters(&mut self, body: Body, synced: bool, out: &mut Vec<Effect>) {
-        let Some(members) = self.log.members() else {
+    fn send_to_voters(&mut self, body: Body, synced: bool, out: &mut Vec<Effect>) {
+        let Some(members) = self.log.membership() else {
             return;
         };
         let own = &self.config.key;
@@ -73,7 +73,7 @@
         for key in others {
             let envelope = self.envelope(key, formation, body.clone());
             match synced {
-                true => self.send_synced(envelope, out),
+                true => self.send_after_sync(envelope, out),
                 false => self.send(envelope, out),
             }
         }
@@ -81,27 +81,29 @@
 
     pub(super) fn on_pre_vote(
         &mut self,
-        asker: (MemberKey, FormationId),
+        requester: (MemberKey, FormationId),
         term: Term,
         last: Position,
         now: Time,
         out: &mut Vec<Effect>,
     ) {
         let is_new = term > self.hard.term && last >= self.log.last();
-        let yields = !self.takes_precedence(&asker.0, last, now);
+        let yields = !self.takes_precedence(&requester.0, last, now);
         let granted = is_new && yields && !self.has_live_leader(now);
-        let answer = self.envelope(asker.0, asker.1, Body::PreVoted { term, granted });
+        let answer = self.envelope(requester.0, requester.1, Body::PreVoted { term, granted });
         self.send(answer, out);
     }
 
-    /// Whether the replica has just asked for permission itself and goes before `asker`.
+    /// Whether the replica has just asked for permission itself and goes before `requester`.
     ///
     /// Two members that ask at the same time would both get permission and then split the votes.
-    fn takes_precedence(&self, asker: &MemberKey, last: Position, now: Time) -> bool {
+    fn takes_precedence(&self, requester: &MemberKey, last: Position, now: Time) -> bool {
         let is_asking = matches!(self.state, State::PreCandidate(_));
         let limit = self.config.election_timeout_min / 2;
-        let is_recent = self.campaigned.is_some_and(|campaigned| now - campaigned < limit);
-        is_asking && is_recent && (self.log.last(), &self.config.key) > (last, asker)
+        let is_recent = self
+            .pre_vote_started_at
+            .is_some_and(|pre_vote_started_at| now - pre_vote_started_at < limit);
+        is_asking && is_recent && (self.log.last(), &self.config.key) > (last, requester)
     }
 
     pub(super) fn on_pre_voted(
@@ -123,32 +125,33 @@
 
     fn count_pre_votes(&mut self, now: Time, out: &mut Vec<Effect>) {
         if let State::PreCandidate(votes) = &self.state
-            && self.log.members().is_some_and(|m| m.has_majority(|key| votes.contains(key)))
+            && self.log.membership().is_some_and(|m| m.has_majority(|key| votes.contains(key)))
         {
-            self.stand(false, now, out);
+            self.start_election(false, now, out);
         }
     }
 
     pub(super) fn on_vote(
         &mut self,
-        asker: (MemberKey, FormationId),
+        requester: (MemberKey, FormationId),
         last: Position,
         now: Time,
         out: &mut Vec<Effect>,
     ) {
-        let is_free = match &self.hard.vote {
-            Some(vote) => *vote == asker.0,
+        let can_vote_for_requester = match &self.hard.vote {
+            Some(vote) => *vote == requester.0,
             None => true,
         };
-        let granted = is_free && last >= self.log.last() && self.role() != Role::Leader;
+        let granted =
+            can_vote_for_requester && last >= self.log.last() && self.role() != Role::Leader;
         if granted {
-            self.reset_deadline(now);
+            self.reset_election_deadline(now);
             if self.hard.vote.is_none() {
-                self.set_term(self.hard.term, Some(asker.0.clone()));
+                self.set_term(self.hard.term, Some(requester.0.clone()));
             }
         }
-        let answer = self.envelope(asker.0, asker.1, Body::Voted { granted });
-        self.send_synced(answer, out);
+        let answer = self.envelope(requester.0, requester.1, Body::Voted { granted });
+        self.send_after_sync(answer, out);
     }
 
     pub(super) fn on_voted(&mut self, from: MemberKey, now: Time, out: &mut Vec<Effect>) {
@@ -168,20 +171,20 @@
 
     fn count_votes(&mut self, now: Time, out: &mut Vec<Effect>) {
         if let State::Candidate(votes) = &self.state
-            && self.log.members().is_some_and(|m| m.has_majority(|key| votes.contains(key)))
+            && self.log.membership().is_some_and(|m| m.has_majority(|key| votes.contains(key)))
         {
-            self.lead(now, out);
+            self.become_leader(now, out);
         }
     }
 
-    fn lead(&mut self, now: Time, out: &mut Vec<Effect>) {
+    fn become_leader(&mut self, now: Time, out: &mut Vec<Effect>) {
         let last = self.log.last().index;
         self.leader = Some(self.config.key.id.clone());
         self.state = State::Leader(Leader::new(last.next(), now));
         out.push(Effect::RoleChanged { role: Role::Leader, term: self.hard.term });
         self.track_members(now);
-        self.append_own(Payload::Empty);
-        self.start_round(now, out);
+        self.append_as_leader(Payload::Empty);
+        self.start_quorum_round(now, out);
     }
 
     pub(super) fn on_envelope(
@@ -196,9 +199,9 @@
             return;
         }
         let from = MemberKey { id: from, storage: envelope.from };
-        let asker = (from.clone(), envelope.formation);
+        let requester = (from.clone(), envelope.formation);
         if let Body::PreVote { term, last } = envelope.body {
-            return self.on_pre_vote(asker, term, last, now, out);
+            return self.on_pre_vote(requester, term, last, now, out);
         }
         if let Body::Vote { handover: false, .. } = envelope.body
             && self.has_live_leader(now)
@@ -211,7 +214,7 @@
             return self.on_pre_voted(from, term, now, out);
         }
         if envelope.term < self.hard.term {
-            return self.correct(from, envelope, out);
+            return self.reject_stale_term(from, envelope, out);
         }
         if envelope.term > self.hard.term {
             self.become_follower(envelope.term, None, now, out);
@@ -220,30 +223,36 @@
     }
 
     /// Tells a sender with an old term of the newer one.
-    fn correct(&mut self, from: MemberKey, envelope: Envelope, out: &mut Vec<Effect>) {
+    fn reject_stale_term(&mut self, from: MemberKey, envelope: Envelope, out: &mut Vec<Effect>) {
         if matches!(envelope.body, Body::Append { .. } | Body::Chunk { .. } | Body::Vote { .. }) {
             let body = Body::Voted { granted: false };
             let answer = self.envelope(from, envelope.formation, body);
-            self.send_synced(answer, out);
+            self.send_after_sync(answer, out);
         }
     }
 
     fn dispatch(&mut self, from: MemberKey, envelope: Envelope, now: Time, out: &mut Vec<Effect>) {
-        let asker = (from.clone(), envelope.formation);
+        let requester = (from.clone(), envelope.formation);
         match envelope.body {
             Body::PreVote { .. } | Body::PreVoted { .. } => {}
-            Body::Vote { last, .. } => self.on_vote(asker, last, now, out),
+            Body::Vote { last, .. } => self.on_vote(requester, last, now, out),
             Body::Voted { granted: true } => self.on_voted(from, now, out),
             Body::Voted { granted: false } => {}
             Body::Append { prev, entries, commit, round } => {
-                if self.follow(&asker.0, now, out) {
-                    self.on_append(asker, prev, entries, (commit, round), out);
+                if self.accept_leader(&requester.0, now, out) {
+                    self.on_append(requester, prev, entries, (commit, round), out);
                 }
             }
             Body::Chunk { at, members, offset, total, data, round } => {
-                if self.follow(&asker.0, now, out) {
-                    let part = super::transfer::Part { at, members, offset, total, data };
-                    self.on_chunk(asker, part, round, out);
+                if self.accept_leader(&requester.0, now, out) {
+                    let chunk = super::snapshot_transfer::SnapshotChunk {
+                        at,
+                        members,
+                        offset,
+                        total,
+                        data,
+                    };
+                    self.on_chunk(requester, chunk, round, out);
                 }
             }
             Body::Appended { last, round } => self.on_appended(&from, last, round, now),
@@ -253,20 +262,20 @@
             }
             Body::Campaign => {
                 if self.may_campaign() && self.role() != Role::Leader {
-                    self.stand(true, now, out);
+                    self.start_election(true, now, out);
                 }
             }
         }
     }
 
     /// Follows the leader of the current term.
-    fn follow(&mut self, from: &MemberKey, now: Time, out: &mut Vec<Effect>) -> bool {
+    fn accept_leader(&mut self, from: &MemberKey, now: Time, out: &mut Vec<Effect>) -> bool {
         if self.role() == Role::Leader {
             return false;
         }
         self.become_follower(self.hard.term, Some(from.id.clone()), now, out);
-        self.heard = Some(now);
-        self.reset_deadline(now);
+        self.last_leader_contact = Some(now);
+        self.reset_election_deadline(now);
         true
     }
 }
--- a/crates/medlarlug-core/src/replication/formation.rs
+++ b/crates/medlarlug-core/src/replication/formation.rs
@@ -17,31 +17,31 @@
 };
 
 /// Members of an open group at most; further strangers wait outside.
-const MAX_MEMBERS: usize = 9;
+const MAX_OPEN_GROUP_MEMBERS: usize = 9;
 
 /// Silence after which a member without a vote is removed, as a multiple of that of a voter.
-const LEARNER_PATIENCE: u32 = 4;
+const LEARNER_REMOVAL_FACTOR: u32 = 4;
 
 /// Unanswered heartbeats after which a member is removed whose instance has returned.
-const SILENT_HEARTBEATS: u32 = 3;
+const UNRESPONSIVE_HEARTBEATS: u32 = 3;
 
 /// A replica that asks to be let in.
 #[derive(Debug)]
 pub(super) struct Applicant {
     hello: Hello,
-    heard: Time,
+    received_at: Time,
 }
 
 impl Replica {
     /// Introduces itself to the founders while no leader is heard.
-    pub(super) fn greet(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn send_hellos(&mut self, now: Time, out: &mut Vec<Effect>) {
         let limit = self.config.election_timeout_max;
-        let has_leader = self.heard.is_some_and(|heard| now - heard < limit);
-        if has_leader || now < self.greeting {
+        let has_leader = self.last_leader_contact.is_some_and(|heard| now - heard < limit);
+        if has_leader || now < self.next_hello {
             return;
         }
-        self.greeting = now + self.config.heartbeat_interval;
-        let hint = self.hint.take().filter(|hint| !self.config.founders.contains(hint));
+        self.next_hello = now + self.config.heartbeat_interval;
+        let hint = self.leader_hint.take().filter(|hint| !self.config.founders.contains(hint));
         for to in self.config.founders.iter().chain(&hint) {
             if *to != self.config.key.id {
                 let message = Message::Hello(self.hello(to));
@@ -63,27 +63,27 @@
     }
 
     pub(super) fn on_hello(&mut self, hello: Hello, now: Time, out: &mut Vec<Effect>) {
-        let is_stranger =
-            self.log.members().is_some_and(|members| members.get(&hello.key).is_none());
-        let is_lost = hello.leader.is_none();
-        if !is_lost {
-            self.hint.clone_from(&hello.leader);
+        let is_non_member =
+            self.log.membership().is_some_and(|members| members.get(&hello.key).is_none());
+        let lacks_leader = hello.leader.is_none();
+        if !lacks_leader {
+            self.leader_hint.clone_from(&hello.leader);
         }
         self.applicants.retain(|applicant| applicant.hello.key.id != hello.key.id);
         let to = hello.key.id.clone();
-        self.applicants.push(Applicant { hello, heard: now });
-        if is_stranger && is_lost && self.leader.is_some() {
+        self.applicants.push(Applicant { hello, received_at: now });
+        if is_non_member && lacks_leader && self.leader.is_some() {
             let message = Message::Hello(self.hello(&to));
             out.push(Effect::Send { to, message });
         }
     }
 
     /// Forms the group if this is the first founder and every founder comes with new storage.
-    pub(super) fn try_form(&mut self, now: Time) {
+    pub(super) fn try_form_group(&mut self, now: Time) {
         let founders = &self.config.founders;
         let is_first = founders.first() == Some(&self.config.key.id);
-        let is_new = self.log.last().index == LogIndex(0) && self.log.members().is_none();
-        if !self.config.may_form || !is_first || !is_new || self.hard.term > Term(0) {
+        let is_unformed = self.log.last().index == LogIndex(0) && self.log.membership().is_none();
+        if !self.config.may_form || !is_first || !is_unformed || self.hard.term > Term(0) {
             return;
         }
         let voter = |key: &MemberKey, durable| Member {
@@ -93,7 +93,7 @@
         };
         let mut members = vec![voter(&self.config.key, self.config.durable)];
         for founder in &founders[1..] {
-            let Some(hello) = self.fresh_hello(founder, now) else {
+            let Some(hello) = self.new_founder_hello(founder, now) else {
                 return;
             };
             members.push(voter(&hello.key, hello.durable));
@@ -104,43 +104,44 @@
         self.set_term(Term(1), Some(self.config.key.clone()));
         self.log.append(entry.clone());
         self.dirty.entries.push(entry);
-        self.deadline = now;
+        self.election_deadline = now;
     }
 
-    fn fresh_hello(&self, id: &InstanceId, now: Time) -> Option<&Hello> {
+    fn new_founder_hello(&self, id: &InstanceId, now: Time) -> Option<&Hello> {
         let limit = self.config.election_timeout_max;
         let applicant = self.applicants.iter().find(|a| a.hello.key.id == *id)?;
         let hello = &applicant.hello;
-        let is_new = hello.formation.is_none() && hello.founders == self.config.founders;
+        let is_unformed = hello.formation.is_none() && hello.founders == self.config.founders;
         let is_answer = hello.heard == Some(self.config.key.storage);
-        (is_new && is_answer && now - applicant.heard < limit).then_some(hello)
+        (is_unformed && is_answer && now - applicant.received_at < limit).then_some(hello)
     }
 
-    pub(super) fn change(
+    pub(super) fn change_membership(
         &mut self,
         ticket: Ticket,
         change: &Change,
         now: Time,
         out: &mut Vec<Effect>,
     ) {
-        match self.try_change(change, now) {
+        match self.try_change_membership(change, now) {
             Ok(index) => {
                 if let State::Leader(leader) = &mut self.state {
-                    leader.add_ticket(index, ticket);
+                    leader.add_proposal(index, ticket);
                 }
             }
             Err(reason) => self.reject(ticket, reason, out),
         }
     }
 
-    fn try_change(&mut self, change: &Change, now: Time) -> Result<LogIndex, Rejection> {
+    fn try_change_membership(&mut self, change: &Change, now: Time) -> Result<LogIndex, Rejection> {
         let State::Leader(leader) = &self.state else {
             return Err(self.not_leader());
         };
-        if leader.is_handing_over() {
+        if leader.is_transferring() {
             return Err(Rejection::TransferringLeadership);
         }
-        let is_settled = self.log.members_index().max(leader.first) <= leader.agreed;
+        let is_settled =
+            self.log.membership_index().max(leader.first_index) <= leader.majority_index;
         if !is_settled {
             return Err(Rejection::ChangePending);
         }
@@ -149,9 +150,9 @@
         {
             return Err(Rejection::NotCaughtUp { key: key.clone() });
         }
-        let members = self.log.members().and_then(|members| members.with_change(change));
+        let members = self.log.membership().and_then(|members| members.with_change(change));
         let members = members.ok_or(Rejection::InvalidChange)?;
-        let index = self.append_own(Payload::Members(members));
+        let index = self.append_as_leader(Payload::Members(members));
         self.track_members(now);
         Ok(index)
     }
@@ -161,85 +162,88 @@
             return false;
         };
         leader.progress(key).is_some_and(|progress| {
-            let is_heard =
-                progress.has_answered && now - progress.heard < self.config.election_timeout_min;
-            is_heard && progress.matched >= leader.agreed.max(self.commit)
+            let is_heard = progress.has_answered
+                && now - progress.last_contact < self.config.election_timeout_min;
+            is_heard && progress.match_index >= leader.majority_index.max(self.commit)
         })
     }
 
     /// Lets members back in that lost their storage: add, catch up, remove the old, promote.
-    pub(super) fn reconcile(&mut self, now: Time, _out: &mut Vec<Effect>) {
-        let change = self.next_change(now).or_else(|| self.next_open_change(now));
+    pub(super) fn reconcile_membership(&mut self, now: Time, _out: &mut Vec<Effect>) {
+        let change = self.next_replacement_change(now).or_else(|| self.next_open_change(now));
         if let Some(change) = change {
             // A change that does not fit yet is tried again at the next tick.
-            let _ = self.try_change(&change, now);
+            let _ = self.try_change_membership(&change, now);
         }
     }
 
-    fn next_change(&self, now: Time) -> Option<Change> {
-        let members = self.log.members()?;
+    fn next_replacement_change(&self, now: Time) -> Option<Change> {
+        let members = self.log.membership()?;
         let applicant = self.applicants.iter().find_map(|applicant| {
-            let is_fresh = now - applicant.heard < self.config.election_timeout_max;
-            is_fresh.then(|| self.replacement(&applicant.hello, members)).flatten()
+            let is_fresh = now - applicant.received_at < self.config.election_timeout_max;
+            is_fresh.then(|| self.admitted_member(&applicant.hello, members)).flatten()
         });
         if let Some(member) = applicant {
             return Some(Change::Add(member));
         }
-        let returned = members.members().iter().find(|member| {
-            let has_other = self.has_namesake(member, members);
-            let is_open = has_other || member.role == MemberRole::Joining;
-            is_open && self.is_caught_up(&member.key, now)
+        let joining = members.members().iter().find(|member| {
+            let has_other = self.has_other_storage(member, members);
+            let is_unfinished = has_other || member.role == MemberRole::Joining;
+            is_unfinished && self.is_caught_up(&member.key, now)
         })?;
-        if let Some(old) = self.predecessor(returned, members, now) {
+        if let Some(old) = self.predecessor(joining, members, now) {
             return Some(Change::Remove(old.key.clone()));
         }
-        let is_alone = !self.has_namesake(returned, members);
-        is_alone.then(|| Change::Promote(returned.key.clone()))
+        let has_no_predecessor = !self.has_other_storage(joining, members);
+        has_no_predecessor.then(|| Change::Promote(joining.key.clone()))
     }
 
     /// In an open group: gives a vote to a member without one while votes are missing or a voter
     /// is silent, then takes the silent one's.
     fn next_open_change(&self, now: Time) -> Option<Change> {
-        let wanted = self.config.target_voters?;
-        let members = self.log.members()?;
+        let target = self.config.target_voters?;
+        let members = self.log.membership()?;
         let limit = self.config.replace_after;
-        let silent_for = |member: &Member, limit: Duration| {
-            member.key != self.config.key && self.silence(&member.key, now) >= limit
+        let is_unresponsive = |member: &Member, limit: Duration| {
+            member.key != self.config.key && self.time_since_contact(&member.key, now) >= limit
         };
-        let dead = members.voters().find(|voter| silent_for(voter, limit));
+        let unresponsive = members.voters().find(|voter| is_unresponsive(voter, limit));
         let count = members.voters().count();
-        if count > wanted
-            && let Some(dead) = dead
+        if count > target
+            && let Some(unresponsive) = unresponsive
         {
-            return Some(Change::Remove(dead.key.clone()));
+            return Some(Change::Remove(unresponsive.key.clone()));
         }
         let mut learners = members.members().iter().filter(|it| it.role == MemberRole::Learner);
-        let fit = learners.clone().find(|it| self.is_caught_up(&it.key, now));
-        if let Some(fit) = fit
-            && (count < wanted || dead.is_some())
+        let caught_up = learners.clone().find(|it| self.is_caught_up(&it.key, now));
+        if let Some(caught_up) = caught_up
+            && (count < target || unresponsive.is_some())
         {
-            return Some(Change::Promote(fit.key.clone()));
+            return Some(Change::Promote(caught_up.key.clone()));
         }
-        let lost = learners.find(|it| silent_for(it, limit * LEARNER_PATIENCE))?;
-        Some(Change::Remove(lost.key.clone()))
+        let stale = learners.find(|it| is_unresponsive(it, limit * LEARNER_REMOVAL_FACTOR))?;
+        Some(Change::Remove(stale.key.clone()))
     }
 
     /// Time for which the leader has not heard a member.
-    fn silence(&self, key: &MemberKey, now: Time) -> Duration {
+    fn time_since_contact(&self, key: &MemberKey, now: Time) -> Duration {
         let State::Leader(leader) = &self.state else { return Duration::ZERO };
-        leader.progress(key).map_or(Duration::ZERO, |progress| now - progress.heard)
+        leader.progress(key).map_or(Duration::ZERO, |progress| now - progress.last_contact)
     }
 
     /// The member that an instance with new storage becomes.
-    fn replacement(&self, hello: &Hello, members: &Membership) -> Option<Member> {
-        let is_foreign = hello.formation.is_some_and(|own| own != members.formation);
-        if is_foreign || members.get(&hello.key).is_some() || hello.key.id == self.config.key.id {
+    fn admitted_member(&self, hello: &Hello, members: &Membership) -> Option<Member> {
+        let is_of_other_group = hello.formation.is_some_and(|own| own != members.formation);
+        if is_of_other_group
+            || members.get(&hello.key).is_some()
+            || hello.key.id == self.config.key.id
+        {
             return None;
         }
         let mut old = members.members().iter().filter(|m| m.key.id == hello.key.id).peekable();
-        let is_stranger = old.peek().is_none();
-        let is_full = members.members().len() >= MAX_MEMBERS;
-        if is_stranger && (self.config.target_voters.is_none() || is_full) {
+        let is_new_instance = old.peek().is_none();
+        let is_full = members.members().len() >= MAX_OPEN_GROUP_MEMBERS;
+        if is_new_instance && (self.config.target_voters.is_none() || is_full) {
             return None;
         }
         let role = match old.any(|member| member.role != MemberRole::Learner) {
@@ -259,15 +263,16 @@
         let State::Leader(leader) = &self.state else {
             return None;
         };
-        let limit = self.config.heartbeat_interval * SILENT_HEARTBEATS;
+        let limit = self.config.heartbeat_interval * UNRESPONSIVE_HEARTBEATS;
         members.members().iter().find(|other| {
             let progress = leader.progress(&other.key);
-            let is_silent = progress.is_some_and(|progress| now - progress.heard >= limit);
-            other.key.id == member.key.id && other.key != member.key && is_silent
+            let is_unresponsive =
+                progress.is_some_and(|progress| now - progress.last_contact >= limit);
+            other.key.id == member.key.id && other.key != member.key && is_unresponsive
         })
     }
 
-    fn has_namesake(&self, member: &Member, members: &Membership) -> bool {
+    fn has_other_storage(&self, member: &Member, members: &Membership) -> bool {
         let is_other = |m: &Member| m.key.id == member.key.id && m.key != member.key;
         members.members().iter().any(is_other)
     }
--- a/crates/medlarlug-core/src/replication/leader.rs
+++ b/crates/medlarlug-core/src/replication/leader.rs
@@ -22,7 +22,7 @@
 
 /// Leadership on its way to another member.
 #[derive(Debug)]
-pub(super) struct Handover {
+pub(super) struct LeadershipTransfer {
     target: MemberKey,
     deadline: Time,
     is_sent: bool,
@@ -34,31 +34,31 @@
     /// The other members, sorted by key.
     pub(super) progress: Vec<Progress>,
     /// The first entry of the leader's term.
-    pub(super) first: LogIndex,
+    pub(super) first_index: LogIndex,
     /// Last entry that a majority holds; changes of the membership build on it, since a commit may
     /// have to wait for a durable member that they bring in.
-    pub(super) agreed: LogIndex,
+    pub(super) majority_index: LogIndex,
     /// Number of the last quorum round that was begun.
     pub(super) round: u64,
-    confirmed: u64,
-    reads: VecDeque<PendingRead>,
-    tickets: VecDeque<(LogIndex, Ticket)>,
-    heartbeat: Time,
-    handover: Option<Handover>,
+    confirmed_round: u64,
+    pending_reads: VecDeque<PendingRead>,
+    pending_proposals: VecDeque<(LogIndex, Ticket)>,
+    next_heartbeat: Time,
+    transfer: Option<LeadershipTransfer>,
 }
 
 impl Leader {
-    pub(super) fn new(first: LogIndex, now: Time) -> Leader {
+    pub(super) fn new(first_index: LogIndex, now: Time) -> Leader {
         Leader {
             progress: Vec::new(),
-            first,
-            agreed: LogIndex(0),
+            first_index,
+            majority_index: LogIndex(0),
             round: 0,
-            confirmed: 0,
-            reads: VecDeque::new(),
-            tickets: VecDeque::new(),
-            heartbeat: now,
-            handover: None,
+            confirmed_round: 0,
+            pending_reads: VecDeque::new(),
+            pending_proposals: VecDeque::new(),
+            next_heartbeat: now,
+            transfer: None,
         }
     }
 
@@ -73,16 +73,16 @@
     }
 
     /// Sets the time of the next heartbeat, as every member is just being sent a message.
-    fn beat_after(&mut self, next: Time) {
-        self.heartbeat = next;
+    fn set_next_heartbeat(&mut self, next: Time) {
+        self.next_heartbeat = next;
     }
 
-    pub(super) fn is_handing_over(&self) -> bool {
-        self.handover.is_some()
+    pub(super) fn is_transferring(&self) -> bool {
+        self.transfer.is_some()
     }
 
-    pub(super) fn add_ticket(&mut self, index: LogIndex, ticket: Ticket) {
-        self.tickets.push_back((index, ticket));
+    pub(super) fn add_proposal(&mut self, index: LogIndex, ticket: Ticket) {
+        self.pending_proposals.push_back((index, ticket));
     }
 }
 
@@ -96,10 +96,10 @@
     ) {
         let limit = self.config.max_proposals;
         let refusal = match &self.state {
-            State::Leader(leader) if leader.is_handing_over() => {
+            State::Leader(leader) if leader.is_transferring() => {
                 Some(Rejection::TransferringLeadership)
             }
-            State::Leader(leader) if leader.tickets.len() >= limit => {
+            State::Leader(leader) if leader.pending_proposals.len() >= limit => {
                 Some(Rejection::Busy { limit })
             }
             State::Leader(_) => None,
@@ -108,16 +108,16 @@
         if let Some(reason) = refusal {
             return self.reject(ticket, reason, out);
         }
-        let index = self.append_own(Payload::Command(command));
+        let index = self.append_as_leader(Payload::Command(command));
         if let State::Leader(leader) = &mut self.state {
-            leader.add_ticket(index, ticket);
+            leader.add_proposal(index, ticket);
         }
     }
 
     /// Follows the newest membership with the leader's list of members.
     pub(super) fn track_members(&mut self, now: Time) {
         let last = self.log.last().index;
-        let Some(members) = self.log.members() else {
+        let Some(members) = self.log.membership() else {
             return;
         };
         let State::Leader(leader) = &mut self.state else {
@@ -134,100 +134,104 @@
     }
 
     pub(super) fn tick_leader(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if self.config.check_quorum && !self.hears_quorum(now) {
+        if self.config.check_quorum && !self.has_quorum_contact(now) {
             return self.become_follower(self.hard.term, None, now, out);
         }
-        self.reconcile(now, out);
+        self.reconcile_membership(now, out);
         let heartbeat = self.config.heartbeat_interval;
         self.with_leader(|replica, leader| {
-            if now < leader.heartbeat {
+            if now < leader.next_heartbeat {
                 return;
             }
-            leader.beat_after(now + heartbeat);
-            replica.heartbeat(leader, out);
+            leader.set_next_heartbeat(now + heartbeat);
+            replica.send_heartbeats(leader, out);
         });
-        self.drive_handover(now, out);
+        self.drive_leadership_transfer(now, out);
     }
 
-    fn hears_quorum(&self, now: Time) -> bool {
+    fn has_quorum_contact(&self, now: Time) -> bool {
         let State::Leader(leader) = &self.state else {
             return false;
         };
         let limit = self.config.election_timeout_max;
         let hears = |key: &MemberKey| {
-            let is_heard = |progress: &Progress| now - progress.heard < limit;
+            let is_heard = |progress: &Progress| now - progress.last_contact < limit;
             *key == self.config.key || leader.progress(key).is_some_and(is_heard)
         };
-        self.log.members().is_some_and(|members| members.has_majority(hears))
+        self.log.membership().is_some_and(|members| members.has_majority(hears))
     }
 
     /// Moves the agreed index to the last entry of this term that a majority holds, and the commit
     /// index to the last one that satisfies the rule for durable members as well.
     pub(super) fn advance_commit(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let (State::Leader(leader), Some(members)) = (&self.state, self.log.members()) else {
+        let (State::Leader(leader), Some(members)) = (&self.state, self.log.membership()) else {
             return;
         };
-        let matched = |key: &MemberKey| match *key == self.config.key {
+        let match_index = |key: &MemberKey| match *key == self.config.key {
             true => self.synced,
-            false => leader.progress(key).map(|progress| progress.matched).unwrap_or_default(),
+            false => leader.progress(key).map(|progress| progress.match_index).unwrap_or_default(),
         };
-        let mut ends: Vec<LogIndex> = members.voters().map(|m| matched(&m.key)).collect();
-        ends.extend(members.members().iter().map(|member| matched(&member.key)));
-        ends.sort();
-        ends.retain(|end| self.log.term_at(*end) == Some(self.hard.term));
-        let is_agreed = |end: &&LogIndex| members.has_majority(|key| matched(key) >= **end);
-        let is_committed = |end: &&LogIndex| members.has_commit_quorum(|key| matched(key) >= **end);
-        let agreed = ends.iter().rfind(is_agreed).copied().unwrap_or_default();
-        let commit = ends.iter().rfind(is_committed).copied().unwrap_or_default();
+        let mut match_indexes: Vec<LogIndex> =
+            members.voters().map(|m| match_index(&m.key)).collect();
+        match_indexes.extend(members.members().iter().map(|member| match_index(&member.key)));
+        match_indexes.sort();
+        match_indexes.retain(|index| self.log.term_at(*index) == Some(self.hard.term));
+        let is_held_by_majority =
+            |index: &&LogIndex| members.has_majority(|key| match_index(key) >= **index);
+        let is_committed =
+            |index: &&LogIndex| members.has_commit_quorum(|key| match_index(key) >= **index);
+        let majority_index =
+            match_indexes.iter().rfind(is_held_by_majority).copied().unwrap_or_default();
+        let commit = match_indexes.iter().rfind(is_committed).copied().unwrap_or_default();
         if let State::Leader(leader) = &mut self.state {
-            leader.agreed = leader.agreed.max(agreed);
+            leader.majority_index = leader.majority_index.max(majority_index);
         }
         if commit > self.commit {
             self.commit = commit;
-            self.announce_commit(now, out);
+            self.broadcast_commit(now, out);
         }
     }
 
     /// Tells the members of a new commit index when nothing else is on its way to them.
-    fn announce_commit(&mut self, now: Time, out: &mut Vec<Effect>) {
+    fn broadcast_commit(&mut self, now: Time, out: &mut Vec<Effect>) {
         let last = self.log.last().index;
         if self.commit < last {
             return;
         }
         let next = now + self.config.heartbeat_interval;
         self.with_leader(|replica, leader| {
-            leader.beat_after(next);
-            replica.heartbeat(leader, out);
+            leader.set_next_heartbeat(next);
+            replica.send_heartbeats(leader, out);
         });
     }
 
     /// Answers the proposals up to the applied entry `index`.
-    pub(super) fn settle(&mut self, index: LogIndex, out: &mut Vec<Effect>) {
+    pub(super) fn complete_proposals(&mut self, index: LogIndex, out: &mut Vec<Effect>) {
         if let State::Leader(leader) = &mut self.state {
-            while let Some((at, ticket)) = leader.tickets.front().copied() {
+            while let Some((at, ticket)) = leader.pending_proposals.front().copied() {
                 if at > index {
                     return;
                 }
-                leader.tickets.pop_front();
+                leader.pending_proposals.pop_front();
                 out.push(Effect::Committed { ticket, index: at });
             }
         }
     }
 
     /// Answers what a former leader leaves open.
-    pub(super) fn abandon(&mut self, leader: Leader, out: &mut Vec<Effect>) {
-        for (_, ticket) in leader.tickets {
+    pub(super) fn reject_pending(&mut self, leader: Leader, out: &mut Vec<Effect>) {
+        for (_, ticket) in leader.pending_proposals {
             let reason = Rejection::LeadershipLost { leader: self.leader.clone() };
             self.reject(ticket, reason, out);
         }
-        for read in leader.reads {
+        for read in leader.pending_reads {
             self.reject(read.ticket, self.not_leader(), out);
         }
     }
 
     /// Steps down when the membership without this replica is committed.
-    pub(super) fn retire(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let is_settled = self.log.members_index() <= self.applied;
+    pub(super) fn step_down_if_removed(&mut self, now: Time, out: &mut Vec<Effect>) {
+        let is_settled = self.log.membership_index() <= self.applied;
         if matches!(self.state, State::Leader(_)) && is_settled && !self.is_voter() {
             self.become_follower(self.hard.term, None, now, out);
         }
@@ -238,95 +242,100 @@
         let State::Leader(leader) = &mut self.state else {
             return self.reject(ticket, self.not_leader(), out);
         };
-        let index = commit.max(leader.first);
+        let index = commit.max(leader.first_index);
         let round = leader.round + 1;
-        let is_idle = leader.confirmed == leader.round;
-        leader.reads.push_back(PendingRead { ticket, index, round });
+        let is_idle = leader.confirmed_round == leader.round;
+        leader.pending_reads.push_back(PendingRead { ticket, index, round });
         if is_idle {
-            self.start_round(now, out);
+            self.start_quorum_round(now, out);
         }
     }
 
     /// Asks every member to confirm that this replica still leads.
-    pub(super) fn start_round(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn start_quorum_round(&mut self, now: Time, out: &mut Vec<Effect>) {
         let next = now + self.config.heartbeat_interval;
         self.with_leader(|replica, leader| {
             leader.round += 1;
-            leader.beat_after(next);
-            replica.heartbeat(leader, out);
+            leader.set_next_heartbeat(next);
+            replica.send_heartbeats(leader, out);
         });
     }
 
     pub(super) fn serve_reads(&mut self, now: Time, out: &mut Vec<Effect>) {
         let applied = self.applied;
         let own = self.config.key.clone();
-        let (State::Leader(leader), Some(members)) = (&mut self.state, self.log.members()) else {
+        let (State::Leader(leader), Some(members)) = (&mut self.state, self.log.membership())
+        else {
             return;
         };
         let round = leader.round;
         let confirms = |key: &MemberKey| {
-            *key == own || leader.progress(key).is_some_and(|progress| progress.round >= round)
+            *key == own
+                || leader.progress(key).is_some_and(|progress| progress.confirmed_round >= round)
         };
         if members.has_majority(confirms) {
-            leader.confirmed = round;
+            leader.confirmed_round = round;
         }
-        while let Some(read) = leader.reads.front() {
-            if read.round > leader.confirmed || read.index > applied {
+        while let Some(read) = leader.pending_reads.front() {
+            if read.round > leader.confirmed_round || read.index > applied {
                 break;
             }
             out.push(Effect::ReadReady { ticket: read.ticket, index: read.index });
-            leader.reads.pop_front();
+            leader.pending_reads.pop_front();
         }
-        let wants_round = leader.reads.back().is_some_and(|read| read.round > round);
-        if wants_round && leader.confirmed == round {
-            self.start_round(now, out);
-            if members_are_alone(self) {
+        let needs_round = leader.pending_reads.back().is_some_and(|read| read.round > round);
+        if needs_round && leader.confirmed_round == round {
+            self.start_quorum_round(now, out);
+            if has_single_voter(self) {
                 self.serve_reads(now, out);
             }
         }
     }
 
-    pub(super) fn hand_over(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn transfer_leadership(&mut self, now: Time, out: &mut Vec<Effect>) {
         let deadline = now + self.config.election_timeout_min;
         let limit = self.config.election_timeout_min;
-        let (State::Leader(leader), Some(members)) = (&mut self.state, self.log.members()) else {
+        let (State::Leader(leader), Some(members)) = (&mut self.state, self.log.membership())
+        else {
             return;
         };
-        let is_fit = |p: &&Progress| members.is_voter(&p.key) && now - p.heard < limit;
-        let best = leader.progress.iter().filter(is_fit).max_by_key(|progress| progress.matched);
+        let is_eligible = |p: &&Progress| members.is_voter(&p.key) && now - p.last_contact < limit;
+        let best =
+            leader.progress.iter().filter(is_eligible).max_by_key(|progress| progress.match_index);
         if let Some(progress) = best {
             let target = progress.key.clone();
-            leader.handover = Some(Handover { target, deadline, is_sent: false });
+            leader.transfer = Some(LeadershipTransfer { target, deadline, is_sent: false });
         }
-        self.drive_handover(now, out);
+        self.drive_leadership_transfer(now, out);
     }
 
-    pub(super) fn drive_handover(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(super) fn drive_leadership_transfer(&mut self, now: Time, out: &mut Vec<Effect>) {
         let last = self.log.last().index;
         let formation = self.formation();
         let State::Leader(leader) = &mut self.state else {
             return;
         };
-        let Some(handover) = &mut leader.handover else {
+        let Some(transfer) = &mut leader.transfer else {
             return;
         };
-        if now >= handover.deadline {
-            leader.handover = None;
+        if now >= transfer.deadline {
+            leader.transfer = None;
             return;
         }
-        let target = handover.target.clone();
-        let is_level = |progress: &Progress| progress.key == target && progress.matched == last;
-        if handover.is_sent || !leader.progress.iter().any(is_level) {
+        let target = transfer.target.clone();
+        let has_full_log =
+            |progress: &Progress| progress.key == target && progress.match_index == last;
+        if transfer.is_sent || !leader.progress.iter().any(has_full_log) {
             return;
         }
-        handover.is_sent = true;
+        transfer.is_sent = true;
         if let Some(formation) = formation {
             let envelope = self.envelope(target, formation, Body::Campaign);
-            self.send_synced(envelope, out);
+            self.send_after_sync(envelope, out);
         }
     }
 }
 
-fn members_are_alone(replica: &Replica) -> bool {
-    replica.log.members().is_some_and(|members| members.voters().count() == 1)
+fn has_single_voter(replica: &Replica) -> bool {
+    replica.log.membership().is_some_and(|members| members.voters().count() == 1)
 }
--- a/crates/medlarlug-core/src/replication/log.rs
+++ b/crates/medlarlug-core/src/replication/log.rs
@@ -14,14 +14,14 @@
     snapshot: Option<Snapshot>,
     entries: Vec<Entry>,
     /// Memberships by the index that they hold from, ascending.
-    members: Vec<(LogIndex, Membership)>,
+    memberships: Vec<(LogIndex, Membership)>,
 }
 
 impl Log {
     pub(super) fn new(restored: StoredState) -> Log {
-        let mut log = Log { snapshot: None, entries: Vec::new(), members: Vec::new() };
+        let mut log = Log { snapshot: None, entries: Vec::new(), memberships: Vec::new() };
         if let Some(snapshot) = restored.snapshot {
-            log.members.push((snapshot.index, snapshot.members.clone()));
+            log.memberships.push((snapshot.index, snapshot.members.clone()));
             log.snapshot = Some(snapshot);
         }
         for entry in restored.entries {
@@ -31,7 +31,7 @@
     }
 
     /// The entry that the newest snapshot ends with.
-    pub(super) fn base(&self) -> Position {
+    pub(super) fn snapshot_position(&self) -> Position {
         let position =
             |snapshot: &Snapshot| Position { term: snapshot.term, index: snapshot.index };
         self.snapshot.as_ref().map(position).unwrap_or_default()
@@ -44,13 +44,13 @@
     pub(super) fn last(&self) -> Position {
         match self.entries.last() {
             Some(entry) => Position { term: entry.term, index: entry.index },
-            None => self.base(),
+            None => self.snapshot_position(),
         }
     }
 
     /// Term of the entry at `index`; `None` if the log lacks it or has compacted it.
     pub(super) fn term_at(&self, index: LogIndex) -> Option<Term> {
-        let base = self.base();
+        let base = self.snapshot_position();
         if index == base.index {
             return Some(base.term);
         }
@@ -58,17 +58,17 @@
     }
 
     pub(super) fn get(&self, index: LogIndex) -> Option<&Entry> {
-        let offset = index.0.checked_sub(self.base().index.0 + 1)?;
+        let offset = index.0.checked_sub(self.snapshot_position().index.0 + 1)?;
         self.entries.get(offset as usize)
     }
 
     /// Entries from `index` on, up to `bytes` of payload but at least one.
-    pub(super) fn batch(&self, index: LogIndex, bytes: usize) -> Vec<Entry> {
-        let start = index.0.saturating_sub(self.base().index.0 + 1) as usize;
+    pub(super) fn entries_from(&self, index: LogIndex, bytes: usize) -> Vec<Entry> {
+        let start = index.0.saturating_sub(self.snapshot_position().index.0 + 1) as usize;
         let mut total = 0;
         let mut batch = Vec::new();
         for entry in self.entries.iter().skip(start) {
-            total += entry.payload.len() + ENTRY_OVERHEAD;
+            total += entry.payload.len() + ENTRY_OVERHEAD_BYTES;
             if !batch.is_empty() && total > bytes {
                 break;
             }
@@ -79,59 +79,61 @@
 
     pub(super) fn append(&mut self, entry: Entry) {
         if let Payload::Members(members) = &entry.payload {
-            self.members.push((entry.index, members.clone()));
+            self.memberships.push((entry.index, members.clone()));
         }
         self.entries.push(entry);
     }
 
     /// Drops the entries at and after `index`.
-    pub(super) fn cut(&mut self, index: LogIndex) {
-        let keep = index.0.saturating_sub(self.base().index.0 + 1) as usize;
+    pub(super) fn truncate_from(&mut self, index: LogIndex) {
+        let keep = index.0.saturating_sub(self.snapshot_position().index.0 + 1) as usize;
         self.entries.truncate(keep);
-        self.members.retain(|(from, _)| *from < index);
+        self.memberships.retain(|(from, _)| *from < index);
     }
 
     /// The first entry of the term that the entry at `index` belongs to.
     pub(super) fn term_start(&self, index: LogIndex) -> LogIndex {
         let term = self.term_at(index);
         let mut first = index;
-        while first.0 > self.base().index.0 + 1 && self.term_at(LogIndex(first.0 - 1)) == term {
+        while first.0 > self.snapshot_position().index.0 + 1
+            && self.term_at(LogIndex(first.0 - 1)) == term
+        {
             first = LogIndex(first.0 - 1);
         }
         first
     }
 
     /// The newest membership.
-    pub(super) fn members(&self) -> Option<&Membership> {
-        self.members.last().map(|(_, members)| members)
+    pub(super) fn membership(&self) -> Option<&Membership> {
+        self.memberships.last().map(|(_, members)| members)
     }
 
     /// Index of the entry that holds the newest membership.
-    pub(super) fn members_index(&self) -> LogIndex {
-        self.members.last().map(|(index, _)| *index).unwrap_or_default()
+    pub(super) fn membership_index(&self) -> LogIndex {
+        self.memberships.last().map(|(index, _)| *index).unwrap_or_default()
     }
 
     /// Whether `key` has a vote in the membership in force at `commit` or in a later one.
     pub(super) fn is_voter_since(&self, commit: LogIndex, key: &MemberKey) -> bool {
-        let count = self.members.partition_point(|(from, _)| *from <= commit);
-        let since = &self.members[count.saturating_sub(1)..];
+        let count = self.memberships.partition_point(|(from, _)| *from <= commit);
+        let since = &self.memberships[count.saturating_sub(1)..];
         since.iter().any(|(_, members)| members.is_voter(key))
     }
 
-    fn members_at(&self, index: LogIndex) -> Option<&Membership> {
-        let count = self.members.partition_point(|(from, _)| *from <= index);
-        self.members[..count].last().map(|(_, members)| members)
+    fn membership_at(&self, index: LogIndex) -> Option<&Membership> {
+        let count = self.memberships.partition_point(|(from, _)| *from <= index);
+        self.memberships[..count].last().map(|(_, members)| members)
     }
 
     /// Replaces the entries up to `index` by a snapshot and returns it.
     pub(super) fn compact(&mut self, index: LogIndex, data: Vec<u8>) -> Option<Snapshot> {
-        if index <= self.base().index {
+        if index <= self.snapshot_position().index {
             return None;
         }
         let term = self.term_at(index)?;
-        let members = self.members_at(index)?.clone();
+        let members = self.membership_at(index)?.clone();
         let snapshot = Snapshot { index, term, members, data };
-        self.keep_after(snapshot.clone());
+        self.discard_covered(snapshot.clone());
         Some(snapshot)
     }
 
@@ -139,23 +141,23 @@
     pub(super) fn install(&mut self, snapshot: Snapshot) -> bool {
         let is_prefix = self.term_at(snapshot.index) == Some(snapshot.term);
         if is_prefix {
-            self.keep_after(snapshot);
+            self.discard_covered(snapshot);
             return false;
         }
         self.entries.clear();
-        self.members = vec![(snapshot.index, snapshot.members.clone())];
+        self.memberships = vec![(snapshot.index, snapshot.members.clone())];
         self.snapshot = Some(snapshot);
         true
     }
 
-    fn keep_after(&mut self, snapshot: Snapshot) {
-        let count = (snapshot.index.0 - self.base().index.0) as usize;
+    fn discard_covered(&mut self, snapshot: Snapshot) {
+        let count = (snapshot.index.0 - self.snapshot_position().index.0) as usize;
         self.entries.drain(..count);
-        self.members.retain(|(from, _)| *from > snapshot.index);
-        self.members.insert(0, (snapshot.index, snapshot.members.clone()));
+        self.memberships.retain(|(from, _)| *from > snapshot.index);
+        self.memberships.insert(0, (snapshot.index, snapshot.members.clone()));
         self.snapshot = Some(snapshot);
     }
 }
 
 /// Bytes that an entry takes in a message besides its payload.
-const ENTRY_OVERHEAD: usize = 24;
+const ENTRY_OVERHEAD_BYTES: usize = 24;
--- a/crates/medlarlug-core/src/replication/replica.rs
+++ b/crates/medlarlug-core/src/replication/replica.rs
@@ -18,7 +18,7 @@
     log::Log,
     membership::{FormationId, MemberKey, Membership},
     message::{Body, Entry, Envelope, HardState, Message, Payload},
-    transfer::Incoming,
+    snapshot_transfer::IncomingSnapshot,
 };
 
 /// The part of a replica with the state that belongs to it.
@@ -41,7 +41,7 @@
 
 /// What waits for a sync.
 #[derive(Debug)]
-enum Held {
+enum Deferred {
     Send(Outgoing),
     /// The replica's own vote in a term.
     OwnVote(Term),
@@ -66,17 +66,17 @@
     pub(super) state: State,
     pub(super) leader: Option<InstanceId>,
     /// When the leader was last heard.
-    pub(super) heard: Option<Time>,
+    pub(super) last_leader_contact: Option<Time>,
     /// When to campaign.
-    pub(super) deadline: Time,
+    pub(super) election_deadline: Time,
     /// When the replica last asked for permission to campaign.
-    pub(super) campaigned: Option<Time>,
+    pub(super) pre_vote_started_at: Option<Time>,
     /// When to introduce itself again.
-    pub(super) greeting: Time,
+    pub(super) next_hello: Time,
     /// A leader that others have named to a replica that hears none.
-    pub(super) hint: Option<InstanceId>,
+    pub(super) leader_hint: Option<InstanceId>,
     pub(super) applicants: Vec<Applicant>,
-    pub(super) incoming: Option<Incoming>,
+    pub(super) incoming: Option<IncomingSnapshot>,
     pub(super) commit: LogIndex,
     pub(super) applied: LogIndex,
     /// Last entry that is synced.
@@ -85,11 +85,11 @@
     /// Sequence number of the last batch handed to storage.
     sequence: u64,
     /// Last batch that storage has confirmed.
-    confirmed: u64,
+    persisted_sequence: u64,
     /// Batch that holds the newest term and vote.
     hard_sequence: u64,
     unsynced: VecDeque<Unsynced>,
-    held: VecDeque<(u64, Held)>,
+    deferred: VecDeque<(u64, Deferred)>,
 }
 
 impl Replica {
@@ -109,7 +109,7 @@
     pub fn new(config: Config, restored: StoredState, seed: u64, now: Time) -> Replica {
         let hard = restored.hard.clone();
         let log = Log::new(restored);
-        let base = log.base().index;
+        let base = log.snapshot_position().index;
         let last = log.last().index;
         let mut replica = Replica {
             config,
@@ -118,11 +118,11 @@
             log,
             state: State::Follower,
             leader: None,
-            heard: None,
-            deadline: now,
-            campaigned: None,
-            greeting: now,
-            hint: None,
+            last_leader_contact: None,
+            election_deadline: now,
+            pre_vote_started_at: None,
+            next_hello: now,
+            leader_hint: None,
             applicants: Vec::new(),
             incoming: None,
             commit: base,
@@ -130,16 +130,16 @@
             synced: last,
             dirty: Persist::default(),
             sequence: 0,
-            confirmed: 0,
+            persisted_sequence: 0,
             hard_sequence: 0,
             unsynced: VecDeque::new(),
-            held: VecDeque::new(),
+            deferred: VecDeque::new(),
         };
         replica.config.founders.sort();
         replica.config.founders.dedup();
         // A leader that stands is heard long before, and one that has fallen is not waited for:
         // nobody gives a pre-vote who has heard a leader.
-        replica.retry_after(now);
+        replica.reset_campaign_deadline(now);
         replica
     }
 
@@ -158,9 +158,11 @@
             Event::Propose { ticket, command } => self.propose(ticket, command, now, out),
             Event::Read { ticket } => self.read(ticket, now, out),
             Event::Persisted { sequence } => self.on_persisted(sequence, now, out),
-            Event::ChangeMembership { ticket, change } => self.change(ticket, &change, now, out),
+            Event::ChangeMembership { ticket, change } => {
+                self.change_membership(ticket, &change, now, out)
+            }
             Event::Compact { index, snapshot } => self.compact(index, snapshot, now),
-            Event::TransferLeadership => self.hand_over(now, out),
+            Event::TransferLeadership => self.transfer_leadership(now, out),
         }
         self.advance_commit(now, out);
         self.apply(now, out);
@@ -189,7 +191,7 @@
 
     /// The newest membership in the log; `None` before the replica belongs to a group.
     pub fn membership(&self) -> Option<&Membership> {
-        self.log.members()
+        self.log.membership()
     }
 
     /// Last committed entry, as far as known.
@@ -209,33 +211,34 @@
 
     /// Last entry that the newest snapshot covers.
     pub fn snapshot_index(&self) -> LogIndex {
-        self.log.base().index
+        self.log.snapshot_position().index
     }
 
     pub(super) fn formation(&self) -> Option<FormationId> {
-        self.log.members().map(|members| members.formation)
+        self.log.membership().map(|members| members.formation)
     }
 
     pub(super) fn is_voter(&self) -> bool {
-        self.log.members().is_some_and(|members| members.is_voter(&self.config.key))
+        self.log.membership().is_some_and(|members| members.is_voter(&self.config.key))
     }
 
-    pub(super) fn reset_deadline(&mut self, now: Time) {
+    pub(super) fn reset_election_deadline(&mut self, now: Time) {
         let min = self.config.election_timeout_min;
         let spread = self.config.election_timeout_max.saturating_sub(min);
-        self.deadline = now + min + spread.mul_f64(self.rng.random::<f64>());
+        self.election_deadline = now + min + spread.mul_f64(self.rng.random::<f64>());
     }
 
     /// Sets the deadline after a campaign of its own; shorter, since no leader is expected.
-    pub(super) fn retry_after(&mut self, now: Time) {
+    pub(super) fn reset_campaign_deadline(&mut self, now: Time) {
         let min = self.config.election_timeout_min;
-        self.deadline = now + min.mul_f64(0.5 + 0.5 * self.rng.random::<f64>());
+        self.election_deadline = now + min.mul_f64(0.5 + 0.5 * self.rng.random::<f64>());
     }
 
     /// Whether a leader was heard too recently to help replacing it.
     pub(super) fn has_live_leader(&self, now: Time) -> bool {
         let min = self.config.election_timeout_min;
-        matches!(self.state, State::Leader(_)) || self.heard.is_some_and(|heard| now - heard < min)
+        matches!(self.state, State::Leader(_))
+            || self.last_leader_contact.is_some_and(|heard| now - heard < min)
     }
 
     pub(super) fn set_term(&mut self, term: Term, vote: Option<MemberKey>) {
@@ -258,8 +261,8 @@
         let state = std::mem::replace(&mut self.state, State::Follower);
         self.leader = leader;
         if let State::Leader(leader) = state {
-            self.reset_deadline(now);
-            self.abandon(leader, out);
+            self.reset_election_deadline(now);
+            self.reject_pending(leader, out);
         }
         if old_role != Role::Follower {
             out.push(Effect::RoleChanged { role: Role::Follower, term: self.hard.term });
@@ -267,7 +270,7 @@
     }
 
     /// Appends an entry of the leader's own to the log.
-    pub(super) fn append_own(&mut self, payload: Payload) -> LogIndex {
+    pub(super) fn append_as_leader(&mut self, payload: Payload) -> LogIndex {
         let index = self.log.last().index.next();
         let entry = Entry { index, term: self.hard.term, payload };
         self.log.append(entry.clone());
@@ -276,8 +279,8 @@
     }
 
     /// Drops the log from `index` on, in memory and in storage.
-    pub(super) fn cut(&mut self, index: LogIndex) {
-        self.log.cut(index);
+    pub(super) fn truncate_from(&mut self, index: LogIndex) {
+        self.log.truncate_from(index);
         self.dirty.cut = Some(index);
         self.limit_synced(LogIndex(index.0 - 1));
     }
@@ -309,40 +312,40 @@
     }
 
     /// Sends once everything written so far is synced.
-    pub(super) fn send_synced(&mut self, outgoing: Outgoing, out: &mut Vec<Effect>) {
+    pub(super) fn send_after_sync(&mut self, outgoing: Outgoing, out: &mut Vec<Effect>) {
         let sequence = self.needed_sequence();
-        if sequence <= self.confirmed {
+        if sequence <= self.persisted_sequence {
             return self.send(outgoing, out);
         }
-        self.held.push_back((sequence, Held::Send(outgoing)));
+        self.deferred.push_back((sequence, Deferred::Send(outgoing)));
     }
 
-    pub(super) fn vote_self_synced(&mut self) {
+    pub(super) fn vote_self_after_sync(&mut self) {
         let sequence = self.needed_sequence();
-        self.held.push_back((sequence, Held::OwnVote(self.hard.term)));
+        self.deferred.push_back((sequence, Deferred::OwnVote(self.hard.term)));
     }
 
     /// Whether term and vote are synced.
-    pub(super) fn is_hard_synced(&self) -> bool {
-        self.dirty.hard.is_none() && self.hard_sequence <= self.confirmed
+    pub(super) fn is_hard_state_synced(&self) -> bool {
+        self.dirty.hard.is_none() && self.hard_sequence <= self.persisted_sequence
     }
 
     fn on_persisted(&mut self, sequence: u64, now: Time, out: &mut Vec<Effect>) {
-        self.confirmed = self.confirmed.max(sequence.min(self.sequence));
+        self.persisted_sequence = self.persisted_sequence.max(sequence.min(self.sequence));
         while let Some(batch) = self.unsynced.front() {
-            if batch.sequence > self.confirmed {
+            if batch.sequence > self.persisted_sequence {
                 break;
             }
             self.synced = batch.last;
             self.unsynced.pop_front();
         }
-        while let Some((needed, _)) = self.held.front() {
-            if *needed > self.confirmed {
+        while let Some((needed, _)) = self.deferred.front() {
+            if *needed > self.persisted_sequence {
                 break;
             }
-            match self.held.pop_front() {
-                Some((_, Held::Send(outgoing))) => self.send(outgoing, out),
-                Some((_, Held::OwnVote(term))) => self.on_own_vote(term, now, out),
+            match self.deferred.pop_front() {
+                Some((_, Deferred::Send(outgoing))) => self.send(outgoing, out),
+                Some((_, Deferred::OwnVote(term))) => self.on_own_vote(term, now, out),
                 None => {}
             }
         }
@@ -350,7 +353,7 @@
 
     /// Hands what has changed to storage.
     fn flush(&mut self, now: Time, out: &mut Vec<Effect>) {
-        self.supply_all(now, out);
+        self.replicate_to_all(now, out);
         if !has_content(&self.dirty) {
             return;
         }
@@ -377,9 +380,9 @@
                 out.push(Effect::Apply { index, term: entry.term, command: command.clone() });
             }
             self.applied = index;
-            self.settle(index, out);
+            self.complete_proposals(index, out);
         }
-        self.retire(now, out);
+        self.step_down_if_removed(now, out);
     }
 
     fn compact(&mut self, index: LogIndex, data: Vec<u8>, now: Time) {
--- a/crates/medlarlug-core/src/replication/transfer.rs
+++ b/crates/medlarlug-core/src/replication/snapshot_transfer.rs
@@ -12,7 +12,7 @@
 
 /// A part of a snapshot.
 #[derive(Debug)]
-pub(super) struct Part {
+pub(super) struct SnapshotChunk {
     pub(super) at: Position,
     pub(super) members: Membership,
     pub(super) offset: u64,
@@ -22,7 +22,7 @@
 
 /// A snapshot that is arriving.
 #[derive(Debug)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     from: MemberKey,
     at: Position,
     data: Vec<u8>,
@@ -31,7 +31,7 @@
 impl Replica {
     pub(super) fn begin_snapshot(&self, progress: &mut Progress, _now: Time) {
         progress.inflight.clear();
-        progress.mode = Mode::Snapshot { index: self.log.base().index, offset: 0 };
+        progress.mode = Mode::Snapshot { index: self.log.snapshot_position().index, offset: 0 };
     }
 
     /// Whether a live member is receiving the newest snapshot, which a newer one would interrupt.
@@ -42,7 +42,7 @@
         let limit = self.config.election_timeout_max;
         leader.progress.iter().any(|progress| {
             let is_sending = matches!(progress.mode, Mode::Snapshot { .. });
-            is_sending && now - progress.heard < limit
+            is_sending && now - progress.last_contact < limit
         })
     }
 
@@ -74,40 +74,44 @@
 
     pub(super) fn on_chunk(
         &mut self,
-        asker: (MemberKey, FormationId),
-        part: Part,
+        requester: (MemberKey, FormationId),
+        chunk: SnapshotChunk,
         round: u64,
         out: &mut Vec<Effect>,
     ) {
-        if part.at.index <= self.commit {
-            return self.acknowledge(asker, self.commit, round, out);
+        if chunk.at.index <= self.commit {
+            return self.acknowledge(requester, self.commit, round, out);
         }
         let is_same =
-            self.incoming.as_ref().is_some_and(|own| own.from == asker.0 && own.at == part.at);
+            self.incoming.as_ref().is_some_and(|own| own.from == requester.0 && own.at == chunk.at);
         if !is_same {
-            self.incoming = Some(Incoming { from: asker.0.clone(), at: part.at, data: Vec::new() });
+            self.incoming = Some(IncomingSnapshot {
+                from: requester.0.clone(),
+                at: chunk.at,
+                data: Vec::new(),
+            });
         }
         let Some(incoming) = &mut self.incoming else {
             return;
         };
-        if part.offset == incoming.data.len() as u64 {
-            incoming.data.extend_from_slice(&part.data);
+        if chunk.offset == incoming.data.len() as u64 {
+            incoming.data.extend_from_slice(&chunk.data);
         }
         let received = incoming.data.len() as u64;
-        if received < part.total {
-            let body = Body::Received { index: part.at.index, offset: received, round };
-            let answer = self.envelope(asker.0, asker.1, body);
+        if received < chunk.total {
+            let body = Body::Received { index: chunk.at.index, offset: received, round };
+            let answer = self.envelope(requester.0, requester.1, body);
             return self.send(answer, out);
         }
         let data = std::mem::take(&mut incoming.data);
         self.incoming = None;
-        self.install(part, data, out);
-        self.acknowledge(asker, self.commit, round, out);
+        self.install(chunk, data, out);
+        self.acknowledge(requester, self.commit, round, out);
     }
 
-    fn install(&mut self, part: Part, data: Vec<u8>, out: &mut Vec<Effect>) {
-        let Position { term, index } = part.at;
-        let snapshot = Snapshot { index, term, members: part.members, data: data.clone() };
+    fn install(&mut self, chunk: SnapshotChunk, data: Vec<u8>, out: &mut Vec<Effect>) {
+        let Position { term, index } = chunk.at;
+        let snapshot = Snapshot { index, term, members: chunk.members, data: data.clone() };
         if self.log.install(snapshot.clone()) {
             self.dirty.cut = Some(index.next());
             self.limit_synced(index);
@@ -131,7 +135,7 @@
             let Some(progress) = leader.progress_mut(from) else {
                 return;
             };
-            progress.hear(round, now);
+            progress.record_contact(round, now);
             if let Mode::Snapshot { index: sent, offset } = &mut progress.mode
                 && *sent == index
                 && *offset != received
