--- a/crates/medlarlug-core/src/replication/config.rs
+++ b/crates/medlarlug-core/src/replication/config.rs
@@ -54,11 +54,11 @@
     /// let config = Config::new(key, founders).with_heartbeat_interval(Duration::from_millis(250));
     /// assert_eq!(config.election_timeout_max, Duration::from_secs(2));
     /// ```
-    pub fn with_heartbeat_interval(self, interval: Duration) -> Config {
+    pub fn with_heartbeat_interval(self, heartbeat_interval: Duration) -> Config {
         Config {
-            heartbeat_interval: interval,
-            election_timeout_min: interval * 4,
-            election_timeout_max: interval * 8,
+            heartbeat_interval,
+            election_timeout_min: heartbeat_interval * 4,
+            election_timeout_max: heartbeat_interval * 8,
             ..self
         }
     }
--- a/crates/medlarlug-core/src/replication/election.rs
+++ b/crates/medlarlug-core/src/replication/election.rs
@@ -100,9 +100,7 @@
     fn takes_precedence(&self, requester: &MemberKey, last: Position, now: Time) -> bool {
         let is_asking = matches!(self.state, State::PreCandidate(_));
         let limit = self.config.election_timeout_min / 2;
-        let is_recent = self
-            .pre_vote_started_at
-            .is_some_and(|pre_vote_started_at| now - pre_vote_started_at < limit);
+        let is_recent = self.pre_vote_started_at.is_some_and(|started| now - started < limit);
         is_asking && is_recent && (self.log.last(), &self.config.key) > (last, requester)
     }
 
--- a/crates/medlarlug-core/src/replication/event.rs
+++ b/crates/medlarlug-core/src/replication/event.rs
@@ -104,7 +104,7 @@
     },
     /// The leader is handing over. The request has no effect.
     #[error("leadership is being handed over")]
-    TransferringLeadership,
+    TransferPending,
     /// Too many proposals wait. The request has no effect.
     #[error("{limit} proposals wait for their commit")]
     Busy {
--- a/crates/medlarlug-core/src/replication/formation.rs
+++ b/crates/medlarlug-core/src/replication/formation.rs
@@ -116,7 +116,7 @@
         (is_unformed && is_answer && now - applicant.received_at < limit).then_some(hello)
     }
 
-    pub(super) fn change_membership(
+    pub(super) fn on_change(
         &mut self,
         ticket: Ticket,
         change: &Change,
@@ -138,7 +138,7 @@
             return Err(self.not_leader());
         };
         if leader.is_transferring() {
-            return Err(Rejection::TransferringLeadership);
+            return Err(Rejection::TransferPending);
         }
         let is_settled =
             self.log.membership_index().max(leader.first_index) <= leader.majority_index;
@@ -162,9 +162,9 @@
             return false;
         };
         leader.progress(key).is_some_and(|progress| {
-            let is_heard = progress.has_answered
+            let is_responsive = progress.has_answered
                 && now - progress.last_contact < self.config.election_timeout_min;
-            is_heard && progress.match_index >= leader.majority_index.max(self.commit)
+            is_responsive && progress.match_index >= leader.majority_index.max(self.commit)
         })
     }
 
@@ -194,8 +194,8 @@
         if let Some(old) = self.predecessor(joining, members, now) {
             return Some(Change::Remove(old.key.clone()));
         }
-        let has_no_predecessor = !self.has_other_storage(joining, members);
-        has_no_predecessor.then(|| Change::Promote(joining.key.clone()))
+        let is_only_storage = !self.has_other_storage(joining, members);
+        is_only_storage.then(|| Change::Promote(joining.key.clone()))
     }
 
     /// In an open group: gives a vote to a member without one while votes are missing or a voter
--- a/crates/medlarlug-core/src/replication/leader.rs
+++ b/crates/medlarlug-core/src/replication/leader.rs
@@ -96,9 +96,7 @@
     ) {
         let limit = self.config.max_proposals;
         let refusal = match &self.state {
-            State::Leader(leader) if leader.is_transferring() => {
-                Some(Rejection::TransferringLeadership)
-            }
+            State::Leader(leader) if leader.is_transferring() => Some(Rejection::TransferPending),
             State::Leader(leader) if leader.pending_proposals.len() >= limit => {
                 Some(Rejection::Busy { limit })
             }
@@ -154,11 +152,11 @@
             return false;
         };
         let limit = self.config.election_timeout_max;
-        let hears = |key: &MemberKey| {
-            let is_heard = |progress: &Progress| now - progress.last_contact < limit;
-            *key == self.config.key || leader.progress(key).is_some_and(is_heard)
+        let is_in_contact = |key: &MemberKey| {
+            let is_responsive = |progress: &Progress| now - progress.last_contact < limit;
+            *key == self.config.key || leader.progress(key).is_some_and(is_responsive)
         };
-        self.log.membership().is_some_and(|members| members.has_majority(hears))
+        self.log.membership().is_some_and(|members| members.has_majority(is_in_contact))
     }
 
     /// Moves the agreed index to the last entry of this term that a majority holds, and the commit
--- a/crates/medlarlug-core/src/replication/replica.rs
+++ b/crates/medlarlug-core/src/replication/replica.rs
@@ -158,9 +158,7 @@
             Event::Propose { ticket, command } => self.propose(ticket, command, now, out),
             Event::Read { ticket } => self.read(ticket, now, out),
             Event::Persisted { sequence } => self.on_persisted(sequence, now, out),
-            Event::ChangeMembership { ticket, change } => {
-                self.change_membership(ticket, &change, now, out)
-            }
+            Event::ChangeMembership { ticket, change } => self.on_change(ticket, &change, now, out),
             Event::Compact { index, snapshot } => self.compact(index, snapshot, now),
             Event::TransferLeadership => self.transfer_leadership(now, out),
         }
