--- a/crates/medlarlug-core/src/replication/append.rs
+++ b/crates/medlarlug-core/src/replication/append.rs
@@ -1,4 +1,4 @@
-//! Replication of entries: the leader's supply and the follower's side.
+//! Replication of entries, on the leader and on the follower.
 
 use crate::{ids::LogIndex, time::Time};
 
@@ -46,14 +46,14 @@
         self.dirty.entries.push(entry);
     }
 
-    /// Where a leader should go on that sent entries after the unknown entry `prev`.
+    /// Entry that the leader should send next after it sent entries that follow the missing entry `prev`.
     fn next_index_after_mismatch(&self, prev: LogIndex) -> LogIndex {
         let last = self.log.last().index;
         let next = if prev > last { last.next() } else { self.log.term_start(prev) };
         next.max(self.commit.next())
     }
 
-    /// Confirms the log up to `last`: at once as far as it is synced, the rest after its sync.
+    /// Acknowledges the log up to `last`: the synced part immediately, the rest after its sync.
     pub(super) fn acknowledge(
         &mut self,
         requester: (MemberKey, FormationId),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Sends every member what its window allows.
+    /// Sends each member the entries that its window allows.
     pub(super) fn replicate_to_all(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.with_leader(|replica, leader| {
             for progress in &mut leader.progress {
@@ -154,7 +154,7 @@
         self.send(self.envelope(progress.key.clone(), formation, body), out);
     }
 
-    /// Sends every member a message that it has to answer.
+    /// Sends each member a message that requires an answer. In probe mode, it permits the next append.
     pub(super) fn send_heartbeats(&mut self, leader: &mut Leader, out: &mut Vec<Effect>) {
         for progress in &mut leader.progress {
             match &mut progress.mode {
--- a/crates/medlarlug-core/src/replication/config.rs
+++ b/crates/medlarlug-core/src/replication/config.rs
@@ -9,40 +9,42 @@
 /// Settings of a replica.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The replica's own instance and storage.
+    /// Instance and storage of this replica.
     pub key: MemberKey,
-    /// Whether the storage outlives the process.
+    /// Whether the storage survives a restart of the process.
     pub durable: bool,
-    /// The instances that form the group, the same at each of them.
+    /// Instances that form the group; has to be equal at all of them.
     pub founders: Vec<InstanceId>,
-    /// Whether a group may be formed when every founder comes with new storage.
+    /// Whether a group may be formed when every founder has new storage.
     pub may_form: bool,
-    /// Time between two heartbeats of a leader.
+    /// Time between two heartbeats of the leader.
     pub heartbeat_interval: Duration,
-    /// Shortest silence of the leader after which a voter asks for votes.
+    /// Shortest time without a message from a leader after which a voter campaigns. A voter that
+    /// received one more recently refuses its vote to others.
     pub election_timeout_min: Duration,
-    /// Longest silence of the leader after which a voter asks for votes.
+    /// Longest time without a message from a leader after which a voter campaigns; the actual timeout
+    /// is drawn at random between the two. A leader without a majority steps down after this time.
     pub election_timeout_max: Duration,
-    /// Whether a candidate asks for permission before it raises the term.
+    /// Whether a voter asks for pre-votes before it raises the term.
     pub pre_vote: bool,
-    /// Whether a leader steps down that does not hear from a majority.
+    /// Whether a leader steps down when a majority no longer answers it.
     pub check_quorum: bool,
-    /// Payload of one append message, in bytes; a larger single entry goes alone.
+    /// Most payload in one append message, in bytes; a larger entry is sent in a message of its own.
     pub batch_bytes: usize,
-    /// Append messages under way to one member.
+    /// Most unacknowledged append messages to one member.
     pub max_inflight: usize,
-    /// Proposals that wait for their commit.
+    /// Most uncommitted proposals; further ones are rejected as [`Rejection::Busy`](super::Rejection::Busy).
     pub max_proposals: usize,
-    /// Payload of one snapshot message, in bytes.
+    /// Most payload in one snapshot message, in bytes.
     pub chunk_bytes: usize,
-    /// For an open group, into which strangers are let: the voters that it is to have.
+    /// Number of voters that an open group aims at; `None` if the group is not open.
     pub target_voters: Option<usize>,
-    /// In an open group, silence of a voter after which another member takes its vote.
+    /// In an open group, time without an answer from a voter after which another member replaces it.
     pub replace_after: Duration,
 }
 
 impl Config {
-    /// The same with another time between heartbeats; a voter waits for four to eight of them.
+    /// Changes the heartbeat interval, and the election timeout to four to eight intervals.
     ///
     /// ```
     /// use std::time::Duration;
@@ -63,8 +65,8 @@
         }
     }
 
-    /// The same for an open group that is to have `voters` voters: strangers are let in without a
-    /// vote, and get one while votes are missing or their owners are silent.
+    /// Makes the group an open one with a target of `voters` voters: instances that are not members are
+    /// admitted without a vote, and are promoted while voters are missing or unresponsive.
     ///
     /// ```
     /// use medlarlug_core::replication::{Config, MemberKey, StorageId};
@@ -77,7 +79,7 @@
         Config { target_voters: Some(voters), ..self }
     }
 
-    /// The defaults for the replica `key`.
+    /// Defaults for the replica `key` in a group that `founders` form.
     pub fn new(key: MemberKey, founders: Vec<InstanceId>) -> Config {
         Config {
             key,
--- a/crates/medlarlug-core/src/replication/election.rs
+++ b/crates/medlarlug-core/src/replication/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote and the timer that starts them.
+//! Elections: election timer, pre-vote, vote, and dispatch of messages by their term.
 
 use crate::{
     ids::{InstanceId, Term},
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Whether the replica has a vote, or keeps one until its removal is known to be committed: the
-    /// group may need the entries that it alone holds.
+    /// Whether the replica has a vote, or had one and does not know yet that its removal is committed.
+    /// In the latter case the group may need entries that only this replica holds.
     fn may_campaign(&self) -> bool {
         self.log.is_voter_since(self.commit, &self.config.key)
     }
@@ -48,7 +48,7 @@
         self.count_pre_votes(now, out);
     }
 
-    /// Campaigns in the next term.
+    /// Raises the term and asks for votes. `handover` says that the leader transferred leadership.
     pub(super) fn start_election(&mut self, handover: bool, now: Time, out: &mut Vec<Effect>) {
         let own = self.config.key.clone();
         self.set_term(self.hard.term.next(), Some(own));
@@ -94,9 +94,10 @@
         self.send(answer, out);
     }
 
-    /// Whether the replica has just asked for permission itself and goes before `requester`.
+    /// Whether the replica has recently asked for pre-votes itself and goes before `requester`.
     ///
-    /// Two members that ask at the same time would both get permission and then split the votes.
+    /// Otherwise two members that ask at the same time would both get pre-votes and then split the
+    /// votes.
     fn takes_precedence(&self, requester: &MemberKey, last: Position, now: Time) -> bool {
         let is_asking = matches!(self.state, State::PreCandidate(_));
         let limit = self.config.election_timeout_min / 2;
@@ -220,7 +221,7 @@
         self.dispatch(from, envelope, now, out);
     }
 
-    /// Tells a sender with an old term of the newer one.
+    /// Answers a request with an outdated term, so that the sender learns the current one.
     fn reject_stale_term(&mut self, from: MemberKey, envelope: Envelope, out: &mut Vec<Effect>) {
         if matches!(envelope.body, Body::Append { .. } | Body::Chunk { .. } | Body::Vote { .. }) {
             let body = Body::Voted { granted: false };
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Follows the leader of the current term.
+    /// Accepts the sender as the leader of the current term. Returns `false` if this replica leads.
     fn accept_leader(&mut self, from: &MemberKey, now: Time, out: &mut Vec<Effect>) -> bool {
         if self.role() == Role::Leader {
             return false;
--- a/crates/medlarlug-core/src/replication/event.rs
+++ b/crates/medlarlug-core/src/replication/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a replica and what comes out.
+//! Events that a replica handles and effects that it requests.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -10,199 +10,201 @@
     message::{Entry, HardState, Message, Payload, Snapshot},
 };
 
-/// State that a replica is started from; empty for new storage.
+/// State that a replica is started from, as storage holds it; empty for new storage.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredState {
     /// Term and vote.
     pub hard: HardState,
-    /// Newest snapshot.
+    /// Newest snapshot, if one has been taken.
     pub snapshot: Option<Snapshot>,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// Names a request of the embedding program in the answer to it.
+/// Correlates a request of the embedding program with its answer; chosen by the program.
 pub type Ticket = u64;
 
 /// Input of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// Time has passed.
+    /// Time has passed. Sent at regular intervals shorter than the heartbeat interval.
     Tick,
-    /// A message has arrived from an instance.
+    /// A message has been received.
     Message {
-        /// The instance that sent it.
+        /// Instance that sent the message.
         from: InstanceId,
         /// The message.
         message: Message,
     },
-    /// Replicate a command. Answered by [`Effect::Committed`] or [`Effect::Rejected`].
+    /// Replicates a command. Answered by [`Effect::Committed`] or [`Effect::Rejected`].
     Propose {
-        /// Names the request.
+        /// Returned in the answer.
         ticket: Ticket,
         /// The command.
         command: Vec<u8>,
     },
     /// Linearizable read. Answered by [`Effect::ReadReady`] or [`Effect::Rejected`].
     Read {
-        /// Names the request.
+        /// Returned in the answer.
         ticket: Ticket,
     },
-    /// Every [`Persist`] up to `sequence` is synced.
+    /// Storage has synced every [`Persist`] batch up to `sequence`.
     Persisted {
-        /// Sequence number of the last synced one.
+        /// Sequence number of the last synced batch.
         sequence: u64,
     },
-    /// Change the membership. Answered as a proposal is.
+    /// Changes the membership. Answered as [`Event::Propose`] is.
     ChangeMembership {
-        /// Names the request.
+        /// Returned in the answer.
         ticket: Ticket,
         /// The change.
         change: Change,
     },
-    /// Replace the log up to `index` by a snapshot of the applied state. Ignored while a member is
-    /// receiving the snapshot before: ask again when the log has grown further.
+    /// Replaces the log up to `index` by a snapshot of the applied state. Ignored while a member is
+    /// receiving the previous snapshot; retry once the log has grown further.
     Compact {
         /// Last entry that the snapshot covers; at most the last applied one.
         index: LogIndex,
-        /// State of the embedding program.
+        /// Encoded state of the embedding program.
         snapshot: Vec<u8>,
     },
-    /// Hand leadership over, as before a graceful shutdown.
+    /// Transfers leadership to the voter with the most complete log, as before a graceful shutdown.
     TransferLeadership,
 }
 
-/// What storage is to write, in this order: hard state, snapshot, cut, entries.
+/// Batch for storage, which writes it in this order: hard state, snapshot, cut, entries.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Persist {
-    /// Comes back in [`Event::Persisted`].
+    /// Returned in [`Event::Persisted`].
     pub sequence: u64,
-    /// New term and vote.
+    /// New term and vote, if they changed.
     pub hard: Option<HardState>,
-    /// New snapshot; the entries that it covers are dropped.
+    /// New snapshot; storage drops the entries that it covers.
     pub snapshot: Option<Snapshot>,
-    /// Drop the entries at and after this index.
+    /// Storage drops the entries at and after this index.
     pub cut: Option<LogIndex>,
-    /// Entries to append.
+    /// Entries that storage appends.
     pub entries: Vec<Entry>,
 }
 
-/// Why a request was not carried out.
+/// Reason for which a request was not carried out.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Rejection {
-    /// Another replica leads, or none. The request has no effect.
+    /// This replica is not the leader. The request has no effect.
     #[error("this replica is not the leader")]
     NotLeader {
         /// The leader, if known.
         leader: Option<InstanceId>,
     },
-    /// Leadership was lost before the answer. A proposal may still commit.
-    #[error("leadership was lost; the proposal may still commit")]
+    /// The replica lost leadership before it answered. The proposal may still be committed.
+    #[error("leadership was lost before the answer; the proposal may still be committed")]
     LeadershipLost {
         /// The leader, if known.
         leader: Option<InstanceId>,
     },
-    /// The leader is handing over. The request has no effect.
-    #[error("leadership is being handed over")]
+    /// A leadership transfer is in progress. The request has no effect.
+    #[error("a leadership transfer is in progress")]
     TransferPending,
-    /// Too many proposals wait. The request has no effect.
-    #[error("{limit} proposals wait for their commit")]
+    /// Too many proposals are uncommitted. The request has no effect.
+    #[error("the limit of {limit} uncommitted proposals is reached")]
     Busy {
-        /// The limit.
+        /// Limit set by [`Config::max_proposals`](super::Config::max_proposals).
         limit: usize,
     },
-    /// An earlier change of the membership is not committed yet. The request has no effect.
-    #[error("an earlier change of the membership is under way")]
+    /// An earlier membership change is not committed yet. The request has no effect.
+    #[error("an earlier membership change is not committed yet")]
     ChangePending,
-    /// The change does not fit the membership. The request has no effect.
-    #[error("the change does not fit the membership")]
+    /// The change cannot be applied to the current membership. The request has no effect.
+    #[error("the change cannot be applied to the current membership")]
     InvalidChange,
-    /// The member to promote lacks committed entries. The request has no effect.
-    #[error("{key} has not caught up")]
+    /// The member to promote has not answered recently or lacks entries that a majority holds. The
+    /// request has no effect.
+    #[error("member {key} has not caught up with the log")]
     NotCaughtUp {
-        /// The member.
+        /// Member to promote.
         key: MemberKey,
     },
 }
 
 impl Rejection {
-    /// Whether the request certainly has no effect, now or later.
+    /// Whether the request certainly has no effect, now or later, so that it can be sent again.
     pub fn is_final(&self) -> bool {
         !matches!(self, Rejection::LeadershipLost { .. })
     }
 }
 
-/// The part that a replica plays in its group.
+/// Role of a replica in its group, as visible from outside.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader or waits for one.
+    /// Follows a leader, waits for one or asks for pre-votes.
     Follower,
-    /// Asks for votes.
+    /// Asks for votes in its term.
     Candidate,
-    /// Leads.
+    /// Accepts proposals and replicates them.
     Leader,
 }
 
-/// Output of a replica.
+/// Action that a replica requests from the embedding program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a message; it may be lost, delayed, repeated or reordered.
+    /// Sends a message. It may be lost, delayed, duplicated or reordered.
     Send {
         /// Receiving instance.
         to: InstanceId,
         /// The message.
         message: Message,
     },
-    /// Write and sync, then answer [`Event::Persisted`]. Storage without a disk answers at once.
+    /// Writes and syncs a batch, answered by [`Event::Persisted`]. Storage without a disk answers
+    /// immediately.
     Persist(Persist),
-    /// Apply a committed command. Commands come once each, in order.
+    /// Applies a committed command. Each command is requested once, in log order.
     Apply {
-        /// Position of the command.
+        /// Entry that holds the command.
         index: LogIndex,
-        /// Term of the command.
+        /// Term of that entry.
         term: Term,
         /// The command.
         command: Vec<u8>,
     },
-    /// The proposal is committed, and applied if it was a command.
+    /// The proposal is committed and, if it was a command, applied by an earlier effect.
     Committed {
-        /// Names the request.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// Position of the entry.
+        /// Entry that holds the proposal.
         index: LogIndex,
     },
     /// The request was not carried out.
     Rejected {
-        /// Names the request.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// Why.
+        /// Reason.
         reason: Rejection,
     },
-    /// The state as applied now serves the read.
+    /// The read may be answered from the state applied so far.
     ReadReady {
-        /// Names the request.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// Entry up to which the read sees the log, at least.
+        /// Entry up to which the applied state reaches at least.
         index: LogIndex,
     },
-    /// Replace the applied state by this snapshot's.
+    /// Replaces the applied state by that of a snapshot.
     InstallSnapshot {
-        /// Last entry that it covers.
+        /// Last entry that the snapshot covers.
         index: LogIndex,
-        /// State of the embedding program.
+        /// Encoded state of the embedding program.
         data: Vec<u8>,
     },
-    /// The replica's part has changed.
+    /// The role of the replica has changed.
     RoleChanged {
-        /// The new part.
+        /// New role.
         role: Role,
-        /// The term.
+        /// Term in which the replica takes the role.
         term: Term,
     },
 }
 
 impl StoredState {
-    /// Takes a batch over, as storage does.
+    /// Applies a batch in the way that storage does.
     ///
     /// ```
     /// use medlarlug_core::{ids::Term, replication::{HardState, Persist, StoredState}};
@@ -227,7 +229,7 @@
         self.entries.extend(batch.entries);
     }
 
-    /// The newest membership that the state holds.
+    /// Newest membership in the log or, failing that, in the snapshot.
     pub fn membership(&self) -> Option<&Membership> {
         let members = |entry: &Entry| match &entry.payload {
             Payload::Members(_) => true,
@@ -239,14 +241,15 @@
         }
     }
 
-    /// Turns the state of a survivor into a group of its own, for an operator after the loss of a
-    /// majority.
+    /// Turns the state of a survivor into a new group with `member` as its only voter. An operator
+    /// orders this after the loss of a majority.
     ///
-    /// Every entry that the survivor holds becomes committed, acknowledged or not; what it lacks
-    /// is lost. The other voters lose their votes; each is let in again once it returns with new
-    /// storage. Earlier memberships in the state take the new formation, too: a returning voter that
-    /// has received a part of them belongs to the group all the same. `command`, if any, becomes the first command of the new group. Returns `None` if
-    /// the state belongs to no group.
+    /// Every entry that the survivor holds becomes committed, whether or not it was acknowledged;
+    /// entries that it lacks are lost. The other voters lose their votes, and each is readmitted once
+    /// it returns with new storage. Earlier memberships in the state get the new formation as well, so
+    /// that a returning voter belongs to the new group even if it has received only some of them.
+    /// `command`, if any, becomes the first command of the new group. Returns `None` if the state
+    /// belongs to no group.
     pub fn rebuild(
         mut self,
         member: Member,
--- a/crates/medlarlug-core/src/replication/formation.rs
+++ b/crates/medlarlug-core/src/replication/formation.rs
@@ -1,4 +1,4 @@
-//! Formation of a group, and the way back for members that lost their storage.
+//! Formation of a group, membership changes, and readmission of members that lost their storage.
 
 use std::time::Duration;
 
@@ -16,16 +16,18 @@
     replica::{Replica, State},
 };
 
-/// Members of an open group at most; further strangers wait outside.
+/// Most members of an open group; further instances are not admitted.
 const MAX_OPEN_GROUP_MEMBERS: usize = 9;
 
-/// Silence after which a member without a vote is removed, as a multiple of that of a voter.
+/// Time without an answer after which a member without a vote is removed, as a multiple of the time
+/// after which a voter is replaced.
 const LEARNER_REMOVAL_FACTOR: u32 = 4;
 
-/// Unanswered heartbeats after which a member is removed whose instance has returned.
+/// Heartbeat intervals without an answer after which a member is removed if its instance has returned
+/// with new storage.
 const UNRESPONSIVE_HEARTBEATS: u32 = 3;
 
-/// A replica that asks to be let in.
+/// Instance that has sent a hello.
 #[derive(Debug)]
 pub(super) struct Applicant {
     hello: Hello,
@@ -33,7 +35,7 @@
 }
 
 impl Replica {
-    /// Introduces itself to the founders while no leader is heard.
+    /// Sends a hello to the founders, and to a leader that was named, while no leader sends messages.
     pub(super) fn send_hellos(&mut self, now: Time, out: &mut Vec<Effect>) {
         let limit = self.config.election_timeout_max;
         let has_leader = self.last_leader_contact.is_some_and(|heard| now - heard < limit);
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Forms the group if this is the first founder and every founder comes with new storage.
+    /// Forms the group if this is the first founder and every founder has new storage.
     pub(super) fn try_form_group(&mut self, now: Time) {
         let founders = &self.config.founders;
         let is_first = founders.first() == Some(&self.config.key.id);
@@ -107,6 +109,7 @@
         self.election_deadline = now;
     }
 
+    /// Hello that proves that the founder `id` has new storage and answers this replica.
     fn new_founder_hello(&self, id: &InstanceId, now: Time) -> Option<&Hello> {
         let limit = self.config.election_timeout_max;
         let applicant = self.applicants.iter().find(|a| a.hello.key.id == *id)?;
@@ -168,15 +171,17 @@
         })
     }
 
-    /// Lets members back in that lost their storage: add, catch up, remove the old, promote.
+    /// Begins the next membership change, if one is due. A member that lost its storage is added under
+    /// the new one, catches up, its predecessor is removed, and it is promoted.
     pub(super) fn reconcile_membership(&mut self, now: Time, _out: &mut Vec<Effect>) {
         let change = self.next_replacement_change(now).or_else(|| self.next_open_change(now));
         if let Some(change) = change {
-            // A change that does not fit yet is tried again at the next tick.
+            // A rejected change is retried at the next tick.
             let _ = self.try_change_membership(&change, now);
         }
     }
 
+    /// Next step towards replacing a member whose instance returned with new storage.
     fn next_replacement_change(&self, now: Time) -> Option<Change> {
         let members = self.log.membership()?;
         let applicant = self.applicants.iter().find_map(|applicant| {
@@ -198,8 +203,8 @@
         is_only_storage.then(|| Change::Promote(joining.key.clone()))
     }
 
-    /// In an open group: gives a vote to a member without one while votes are missing or a voter
-    /// is silent, then takes the silent one's.
+    /// In an open group: promotes a member without a vote while voters are missing or one is
+    /// unresponsive, then removes the unresponsive voter.
     fn next_open_change(&self, now: Time) -> Option<Change> {
         let target = self.config.target_voters?;
         let members = self.log.membership()?;
@@ -225,13 +230,13 @@
         Some(Change::Remove(stale.key.clone()))
     }
 
-    /// Time for which the leader has not heard a member.
+    /// Time since the leader last received a message from a member.
     fn time_since_contact(&self, key: &MemberKey, now: Time) -> Duration {
         let State::Leader(leader) = &self.state else { return Duration::ZERO };
         leader.progress(key).map_or(Duration::ZERO, |progress| now - progress.last_contact)
     }
 
-    /// The member that an instance with new storage becomes.
+    /// Member to add for an instance with new storage; `None` if it is not to be admitted.
     fn admitted_member(&self, hello: &Hello, members: &Membership) -> Option<Member> {
         let is_of_other_group = hello.formation.is_some_and(|own| own != members.formation);
         if is_of_other_group
@@ -253,7 +258,7 @@
         Some(Member { key: hello.key.clone(), role, durable: hello.durable })
     }
 
-    /// Another, silent member of the same instance.
+    /// Unresponsive member with the same instance as `member` and another storage.
     fn predecessor<'a>(
         &self,
         member: &Member,
@@ -272,6 +277,7 @@
         })
     }
 
+    /// Whether the instance of `member` is a member with another storage as well.
     fn has_other_storage(&self, member: &Member, members: &Membership) -> bool {
         let is_other = |m: &Member| m.key.id == member.key.id && m.key != member.key;
         members.members().iter().any(is_other)
--- a/crates/medlarlug-core/src/replication/leader.rs
+++ b/crates/medlarlug-core/src/replication/leader.rs
@@ -1,4 +1,4 @@
-//! A leader's work: proposals, commit, reads, the quorum check and handing over.
+//! Leader: proposals, commits, linearizable reads, quorum checks and leadership transfer.
 
 use std::collections::VecDeque;
 
@@ -12,7 +12,7 @@
     replica::{Replica, State},
 };
 
-/// A read that waits for its quorum round.
+/// Read that waits until a majority has confirmed its quorum round and `index` is applied.
 #[derive(Debug)]
 pub(super) struct PendingRead {
     ticket: Ticket,
@@ -20,7 +20,7 @@
     round: u64,
 }
 
-/// Leadership on its way to another member.
+/// Leadership transfer to another voter, which ends at the deadline if it fails.
 #[derive(Debug)]
 pub(super) struct LeadershipTransfer {
     target: MemberKey,
@@ -33,15 +33,17 @@
 pub(super) struct Leader {
     /// The other members, sorted by key.
     pub(super) progress: Vec<Progress>,
-    /// The first entry of the leader's term.
+    /// First entry of the leader's term.
     pub(super) first_index: LogIndex,
-    /// Last entry that a majority holds; changes of the membership build on it, since a commit may
-    /// have to wait for a durable member that they bring in.
+    /// Last entry of the term that a majority holds. Membership changes wait for this index and not for
+    /// the commit index, since the commit may need a durable member that the change adds.
     pub(super) majority_index: LogIndex,
-    /// Number of the last quorum round that was begun.
+    /// Last quorum round that the leader has started.
     pub(super) round: u64,
+    /// Last quorum round that a majority has confirmed.
     confirmed_round: u64,
     pending_reads: VecDeque<PendingRead>,
+    /// Unanswered proposals and membership changes in log order.
     pending_proposals: VecDeque<(LogIndex, Ticket)>,
     next_heartbeat: Time,
     transfer: Option<LeadershipTransfer>,
@@ -72,7 +74,7 @@
         Some(&mut self.progress[at])
     }
 
-    /// Sets the time of the next heartbeat, as every member is just being sent a message.
+    /// Sets the time of the next heartbeat, for use when every member is sent a message now.
     fn set_next_heartbeat(&mut self, next: Time) {
         self.next_heartbeat = next;
     }
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Follows the newest membership with the leader's list of members.
+    /// Updates the leader's list of members to the newest membership.
     pub(super) fn track_members(&mut self, now: Time) {
         let last = self.log.last().index;
         let Some(members) = self.log.membership() else {
@@ -159,8 +161,8 @@
         self.log.membership().is_some_and(|members| members.has_majority(is_in_contact))
     }
 
-    /// Moves the agreed index to the last entry of this term that a majority holds, and the commit
-    /// index to the last one that satisfies the rule for durable members as well.
+    /// Advances the majority index to the last entry of this term that a majority holds, and the commit
+    /// index to the last one that also satisfies the rule for durable members.
     pub(super) fn advance_commit(&mut self, now: Time, out: &mut Vec<Effect>) {
         let (State::Leader(leader), Some(members)) = (&self.state, self.log.membership()) else {
             return;
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Tells the members of a new commit index when nothing else is on its way to them.
+    /// Sends the new commit index to the members, unless uncommitted entries will carry it.
     fn broadcast_commit(&mut self, now: Time, out: &mut Vec<Effect>) {
         let last = self.log.last().index;
         if self.commit < last {
@@ -203,7 +205,7 @@
         });
     }
 
-    /// Answers the proposals up to the applied entry `index`.
+    /// Answers the proposals up to the applied entry `index` as committed.
     pub(super) fn complete_proposals(&mut self, index: LogIndex, out: &mut Vec<Effect>) {
         if let State::Leader(leader) = &mut self.state {
             while let Some((at, ticket)) = leader.pending_proposals.front().copied() {
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Answers what a former leader leaves open.
+    /// Rejects the unanswered proposals and reads of a leader that steps down.
     pub(super) fn reject_pending(&mut self, leader: Leader, out: &mut Vec<Effect>) {
         for (_, ticket) in leader.pending_proposals {
             let reason = Rejection::LeadershipLost { leader: self.leader.clone() };
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Steps down when the membership without this replica is committed.
+    /// Steps down once a membership in which this replica has no vote is applied.
     pub(super) fn step_down_if_removed(&mut self, now: Time, out: &mut Vec<Effect>) {
         let is_settled = self.log.membership_index() <= self.applied;
         if matches!(self.state, State::Leader(_)) && is_settled && !self.is_voter() {
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Asks every member to confirm that this replica still leads.
+    /// Asks every member to confirm that this replica still leads, by a heartbeat with a new round.
     pub(super) fn start_quorum_round(&mut self, now: Time, out: &mut Vec<Effect>) {
         let next = now + self.config.heartbeat_interval;
         self.with_leader(|replica, leader| {
--- a/crates/medlarlug-core/src/replication/log.rs
+++ b/crates/medlarlug-core/src/replication/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: entries after the newest snapshot, and the memberships within it.
+//! The in-memory log: the newest snapshot, the entries after it and the memberships that they hold.
 
 use crate::ids::{LogIndex, Term};
 
@@ -8,12 +8,11 @@
     message::{Entry, Payload, Position, Snapshot},
 };
 
-/// The log of one replica.
 #[derive(Debug)]
 pub(super) struct Log {
     snapshot: Option<Snapshot>,
     entries: Vec<Entry>,
-    /// Memberships by the index that they hold from, ascending.
+    /// Memberships with the index from which each applies, ascending.
     memberships: Vec<(LogIndex, Membership)>,
 }
 
@@ -30,7 +29,7 @@
         log
     }
 
-    /// The entry that the newest snapshot ends with.
+    /// Last entry that the newest snapshot covers; the default position without a snapshot.
     pub(super) fn snapshot_position(&self) -> Position {
         let position =
             |snapshot: &Snapshot| Position { term: snapshot.term, index: snapshot.index };
@@ -48,7 +47,7 @@
         }
     }
 
-    /// Term of the entry at `index`; `None` if the log lacks it or has compacted it.
+    /// Term of the entry at `index`; `None` if the log lacks the entry or a snapshot replaced it.
     pub(super) fn term_at(&self, index: LogIndex) -> Option<Term> {
         let base = self.snapshot_position();
         if index == base.index {
@@ -62,7 +61,7 @@
         self.entries.get(offset as usize)
     }
 
-    /// Entries from `index` on, up to `bytes` of payload but at least one.
+    /// Entries from `index` on, limited to `bytes` in a message but at least one.
     pub(super) fn entries_from(&self, index: LogIndex, bytes: usize) -> Vec<Entry> {
         let start = index.0.saturating_sub(self.snapshot_position().index.0 + 1) as usize;
         let mut total = 0;
@@ -84,14 +83,14 @@
         self.entries.push(entry);
     }
 
-    /// Drops the entries at and after `index`.
+    /// Drops the entries at and after `index`, with the memberships that they hold.
     pub(super) fn truncate_from(&mut self, index: LogIndex) {
         let keep = index.0.saturating_sub(self.snapshot_position().index.0 + 1) as usize;
         self.entries.truncate(keep);
         self.memberships.retain(|(from, _)| *from < index);
     }
 
-    /// The first entry of the term that the entry at `index` belongs to.
+    /// First entry after the snapshot with the same term as the entry at `index`.
     pub(super) fn term_start(&self, index: LogIndex) -> LogIndex {
         let term = self.term_at(index);
         let mut first = index;
@@ -103,17 +102,17 @@
         first
     }
 
-    /// The newest membership.
+    /// Newest membership in the log, committed or not.
     pub(super) fn membership(&self) -> Option<&Membership> {
         self.memberships.last().map(|(_, members)| members)
     }
 
-    /// Index of the entry that holds the newest membership.
+    /// Index of the entry or snapshot that holds the newest membership.
     pub(super) fn membership_index(&self) -> LogIndex {
         self.memberships.last().map(|(index, _)| *index).unwrap_or_default()
     }
 
-    /// Whether `key` has a vote in the membership in force at `commit` or in a later one.
+    /// Whether `key` has a vote in the membership that applies at `commit` or in a later one.
     pub(super) fn is_voter_since(&self, commit: LogIndex, key: &MemberKey) -> bool {
         let count = self.memberships.partition_point(|(from, _)| *from <= commit);
         let since = &self.memberships[count.saturating_sub(1)..];
@@ -125,7 +124,8 @@
         self.memberships[..count].last().map(|(_, members)| members)
     }
 
-    /// Replaces the entries up to `index` by a snapshot and returns it.
+    /// Replaces the entries up to `index` by a snapshot and returns it. Returns `None` if a snapshot
+    /// covers `index` already, or if the log lacks it.
     pub(super) fn compact(&mut self, index: LogIndex, data: Vec<u8>) -> Option<Snapshot> {
         if index <= self.snapshot_position().index {
             return None;
@@ -137,7 +137,8 @@
         Some(snapshot)
     }
 
-    /// Takes over a leader's snapshot. Returns whether entries after it were dropped.
+    /// Installs a leader's snapshot. Returns `true` if the log did not contain the snapshot's last entry
+    /// and all entries were dropped.
     pub(super) fn install(&mut self, snapshot: Snapshot) -> bool {
         let is_prefix = self.term_at(snapshot.index) == Some(snapshot.term);
         if is_prefix {
@@ -159,5 +160,5 @@
     }
 }
 
-/// Bytes that an entry takes in a message besides its payload.
+/// Encoded size of an entry in a message without its payload.
 const ENTRY_OVERHEAD_BYTES: usize = 24;
--- a/crates/medlarlug-core/src/replication/membership.rs
+++ b/crates/medlarlug-core/src/replication/membership.rs
@@ -1,7 +1,7 @@
-//! Who belongs to a group, and what counts as a quorum.
+//! Membership of a group, and the quorums that follow from it.
 //!
-//! A member is named by its instance *and* its storage. Storage that is lost takes its member
-//! with it: the instance returns under a new [`StorageId`], which no membership lists yet.
+//! A member is identified by its instance *and* its storage. An instance that lost its storage returns
+//! with a new [`StorageId`] and is no longer the member that it was.
 
 use std::{fmt, str::FromStr};
 
@@ -42,23 +42,23 @@
 }
 
 random_id!(
-    /// Names one storage of one instance.
+    /// Identifies one storage of one instance.
     ///
     /// Drawn at random when a data folder is created, or at every start of a process without a
-    /// disk, so that storage that was lost is never taken for the storage that replaces it.
+    /// disk, so that lost storage is never mistaken for the storage that replaces it.
     StorageId
 );
 random_id!(
-    /// Names one formation of a group; drawn at random when the group is formed.
+    /// Identifies one formation of a group; drawn at random when the group is formed or rebuilt.
     FormationId
 );
 
-/// Instance and storage of a member.
+/// Identifies a member by its instance and its storage.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberKey {
-    /// The instance.
+    /// Instance of the member; two members have the same one while a lost storage is replaced.
     pub id: InstanceId,
-    /// Its storage.
+    /// Storage of the instance.
     pub storage: StorageId,
 }
 
@@ -68,14 +68,14 @@
     }
 }
 
-/// What a member takes part in.
+/// Whether a member votes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberRole {
-    /// Receives the log and stays without a vote.
+    /// Receives the log without a vote. In an open group, the leader promotes it to replace a voter.
     Learner,
-    /// Receives the log; the leader promotes it once it has caught up.
+    /// Receives the log without a vote; the leader promotes it once it has caught up.
     Joining,
-    /// Votes and counts towards commit.
+    /// Votes and counts towards commits.
     Voter,
 }
 
@@ -84,40 +84,41 @@
 pub struct Member {
     /// Instance and storage.
     pub key: MemberKey,
-    /// What it takes part in.
+    /// Whether the member votes.
     pub role: MemberRole,
-    /// Whether its storage outlives its process.
+    /// Whether its storage survives a restart of the process.
     pub durable: bool,
 }
 
-/// One change of a membership; at most one is uncommitted at a time.
+/// Change of a single member; at most one change is uncommitted at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// Adds a member without a vote: [`MemberRole::Learner`] or [`MemberRole::Joining`].
     Add(Member),
-    /// Makes a caught-up member a voter.
+    /// Makes a member that has caught up a voter.
     Promote(MemberKey),
-    /// Removes a member.
+    /// Removes a member, with or without a vote.
     Remove(MemberKey),
 }
 
 /// The members of a group, sorted by key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// The formation that the group stems from.
+    /// Formation of the group.
     pub formation: FormationId,
     members: Vec<Member>,
 }
 
 impl Membership {
-    /// A membership of `members`, in any order.
+    /// Creates a membership of `members`, given in any order. Of several with the same key, the first
+    /// is kept.
     pub fn new(formation: FormationId, mut members: Vec<Member>) -> Membership {
         members.sort_by(|a, b| a.key.cmp(&b.key));
         members.dedup_by(|a, b| a.key == b.key);
         Membership { formation, members }
     }
 
-    /// All members.
+    /// All members, sorted by key.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
@@ -133,20 +134,20 @@
         self.get(key).is_some_and(|member| member.role == MemberRole::Voter)
     }
 
-    /// The members that have a vote.
+    /// Members that have a vote, sorted by key.
     pub fn voters(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|member| member.role == MemberRole::Voter)
     }
 
-    /// Whether the voters that satisfy `agrees` are a majority.
+    /// Whether a majority of the voters satisfies `agrees`.
     pub fn has_majority(&self, agrees: impl Fn(&MemberKey) -> bool) -> bool {
         let total = self.voters().count();
         let count = self.voters().filter(|member| agrees(&member.key)).count();
         count * 2 > total
     }
 
-    /// Whether the members that satisfy `holds` suffice to commit: a majority of the voters, and a
-    /// durable member while the group has a durable voter or one that is joining.
+    /// Whether the members that satisfy `holds` suffice to commit an entry: a majority of the voters and,
+    /// while a durable member votes or is joining, at least one such durable member.
     pub fn has_commit_quorum(&self, holds: impl Fn(&MemberKey) -> bool) -> bool {
         let counts = |member: &&Member| member.durable && member.role != MemberRole::Learner;
         let mut durable = self.members.iter().filter(counts).peekable();
@@ -154,7 +155,8 @@
         is_durable && self.has_majority(holds)
     }
 
-    /// The membership after `change`; `None` if the change doesn't apply to this membership.
+    /// Returns the membership after `change`; `None` if the change does not apply to this membership or
+    /// would leave no voter.
     pub fn with_change(&self, change: &Change) -> Option<Membership> {
         let mut next = self.clone();
         match change {
--- a/crates/medlarlug-core/src/replication/message.rs
+++ b/crates/medlarlug-core/src/replication/message.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas and the records that they carry.
+//! Messages between replicas, and the log entries and snapshots that they carry.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,19 +6,19 @@
 
 use super::membership::{FormationId, MemberKey, Membership, StorageId};
 
-/// What a log entry holds.
+/// Content of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: the first entry of a leader.
+    /// No content. A leader appends it first, to commit the entries of earlier terms.
     Empty,
     /// A command of the embedding program.
     Command(Vec<u8>),
-    /// The membership from this entry on.
+    /// Membership that applies from this entry on, before it is committed.
     Members(Membership),
 }
 
 impl Payload {
-    /// Length of the command in bytes.
+    /// Length of the command in bytes; zero for other payloads.
     pub fn len(&self) -> usize {
         match self {
             Payload::Command(bytes) => bytes.len(),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Whether the payload holds no command byte.
+    /// Whether the payload holds no command bytes.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -35,15 +35,15 @@
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Position in the log.
+    /// Position in the log, counted from 1.
     pub index: LogIndex,
-    /// Term of the leader that wrote it.
+    /// Term of the leader that appended the entry.
     pub term: Term,
-    /// What it holds.
+    /// Content.
     pub payload: Payload,
 }
 
-/// The state up to an entry of the log.
+/// State of a group after it applied the log up to an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Last entry that the snapshot covers.
@@ -52,82 +52,84 @@
     pub term: Term,
     /// Membership at that entry.
     pub members: Membership,
-    /// State of the embedding program.
+    /// Encoded state of the embedding program.
     pub data: Vec<u8>,
 }
 
-/// What a replica must not forget besides the log.
+/// State that a replica has to keep over restarts besides the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Highest term seen.
+    /// Highest term that the replica has seen.
     pub term: Term,
-    /// Candidate that got the vote in that term.
+    /// Candidate that the replica voted for in that term.
     pub vote: Option<MemberKey>,
 }
 
 /// A message between two replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A replica without a group tells of itself, or a member answers that it has one.
+    /// Introduction of a replica that has no leader, or a member's answer to it.
     Hello(Hello),
-    /// A message within a group.
+    /// Message between members of a group.
     Group(Envelope),
 }
 
-/// How a replica introduces itself.
+/// Introduction of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Sender.
+    /// Instance and storage of the sender.
     pub key: MemberKey,
     /// Whether the sender's storage outlives its process.
     pub durable: bool,
-    /// Formation that the sender belongs to, if any.
+    /// Formation that the sender belongs to; `None` before it belongs to a group.
     pub formation: Option<FormationId>,
-    /// The leader that the sender knows.
+    /// Leader that the sender knows.
     pub leader: Option<InstanceId>,
-    /// Storage of the receiver that the sender has last heard of: the message is newer than it.
+    /// Storage that the receiver named in the last hello that the sender has received. It proves that
+    /// this hello was sent after the receiver created that storage.
     pub heard: Option<StorageId>,
-    /// The sender's founders, sorted.
+    /// Founders that the sender is configured with, sorted.
     pub founders: Vec<InstanceId>,
 }
 
-/// A message within a group; whoever carries it knows the instances of its ends.
+/// Message between members of a group. The transport supplies the instances of sender and receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The group's formation.
+    /// Formation of the group.
     pub formation: FormationId,
     /// Storage of the sender.
     pub from: StorageId,
-    /// Storage of the receiver; another storage of the same instance ignores the message.
+    /// Storage of the receiver; the instance ignores the message if its storage is another one.
     pub to: StorageId,
-    /// Term of the sender.
+    /// Term of the sender when it created the message.
     pub term: Term,
     /// Content.
     pub body: Body,
 }
 
-/// Content of a message within a group.
+/// Content of a message between members of a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether a vote would be granted in `term`, without raising terms.
+    /// Asks whether the receiver would grant a vote in `term`; raises no term.
     PreVote {
-        /// The term that the sender would campaign in.
+        /// Term that the sender would campaign in.
         term: Term,
-        /// The sender's last entry.
+        /// Last entry of the sender's log.
         last: Position,
     },
     /// Answer to `PreVote`.
     PreVoted {
-        /// The term that was asked for.
+        /// Term of the request.
         term: Term,
         /// Whether the vote would be granted.
         granted: bool,
     },
     /// Asks for a vote in the envelope's term.
     Vote {
-        /// The sender's last entry.
+        /// Last entry of the sender's log.
         last: Position,
-        /// The leader handed over to the sender.
+        /// Whether the leader transferred leadership to the sender. The receiver then considers the
+        /// request even if it recently received a message from the leader.
         handover: bool,
     },
     /// Answer to `Vote`.
@@ -135,62 +137,62 @@
         /// Whether the vote is granted.
         granted: bool,
     },
-    /// Entries after `prev`, or a heartbeat without entries.
+    /// Entries after `prev`; a heartbeat carries none.
     Append {
-        /// The entry before the first one sent.
+        /// Entry before the first one in `entries`.
         prev: Position,
-        /// Entries in order.
+        /// Consecutive entries, in order.
         entries: Vec<Entry>,
-        /// The leader's commit index.
+        /// Commit index of the leader.
         commit: LogIndex,
-        /// Round of the leader's quorum checks.
+        /// Quorum round of the leader, returned in the answer.
         round: u64,
     },
-    /// The receiver's log equals the leader's up to `last`, synced.
+    /// Answer to `Append` or `Chunk`: the sender's log equals the leader's up to `last` and is synced.
     Appended {
-        /// Last equal entry.
+        /// Last entry known to be equal and synced.
         last: LogIndex,
-        /// The round of the append.
+        /// Round of the answered message.
         round: u64,
     },
-    /// The receiver lacks the entry `prev` of the append.
+    /// Answer to `Append`: the sender's log lacks the entry `prev`.
     Refused {
-        /// The missing entry.
+        /// Index of the missing entry.
         prev: LogIndex,
-        /// Where the leader should go on.
+        /// Entry that the leader should send next.
         next: LogIndex,
-        /// The round of the append.
+        /// Round of the answered message.
         round: u64,
     },
-    /// A part of a snapshot.
+    /// Part of a snapshot.
     Chunk {
         /// Last entry of the snapshot.
         at: Position,
         /// Membership at that entry.
         members: Membership,
-        /// Offset of `data`, in bytes.
+        /// Offset of `data` in the snapshot, in bytes.
         offset: u64,
-        /// Bytes of the snapshot in all.
+        /// Length of the snapshot in bytes.
         total: u64,
-        /// The part.
+        /// Bytes of this part.
         data: Vec<u8>,
-        /// Round of the leader's quorum checks.
+        /// Quorum round of the leader, returned in the answer.
         round: u64,
     },
-    /// How much of a snapshot has arrived.
+    /// Answer to `Chunk`: how much of the snapshot the sender has received.
     Received {
         /// Last entry of the snapshot.
         index: LogIndex,
-        /// Bytes that have arrived.
+        /// Length of the received prefix in bytes.
         offset: u64,
-        /// The round of the chunk.
+        /// Round of the answered message.
         round: u64,
     },
-    /// The leader hands over to the receiver, which campaigns at once.
+    /// Transfers leadership to the receiver, which campaigns immediately.
     Campaign,
 }
 
-/// Index and term of an entry; ordered by term first, as logs are compared.
+/// Term and index of an entry. The order is by term first, which is how votes compare logs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
     /// Term of the entry.
--- a/crates/medlarlug-core/src/replication/mod.rs
+++ b/crates/medlarlug-core/src/replication/mod.rs
@@ -1,35 +1,35 @@
-//! Replication of a log by a leader.
+//! Log replication with a single leader, after the Raft algorithm.
 //!
-//! A group of replicas agrees on one sequence of commands. One replica leads; it appends commands
-//! to its log, sends them to the others and commits what enough of them hold. Several replicas of
-//! different groups can live in one process: a [`Replica`] is a value that [`Replica::handle`]
-//! feeds.
+//! The replicas of a group agree on one sequence of commands. The leader appends commands to its
+//! log, sends them to the other replicas and commits an entry once a quorum holds it. A [`Replica`]
+//! performs no input or output: the embedding program feeds it with [`Replica::handle`] and carries
+//! out the effects, so replicas of several groups can live in one process.
 //!
 //! # Terms, votes and the log
 //!
-//! Time is divided into terms with at most one leader each. A voter that has not heard from a
+//! Time is divided into terms with at most one leader each. A voter that has received nothing from a
 //! leader asks whether it *would* get votes (pre-vote) before it raises the term, so a member that
-//! was cut off cannot disturb the group on its return. A voter that has just heard a leader helps
-//! nobody to replace it, and a leader that no longer hears a majority steps down by its own clock
-//! (check-quorum). No vote, acknowledgement or vote of a candidate for itself is given before
-//! storage has confirmed it by [`Event::Persisted`].
+//! was partitioned does not disturb the group when it reconnects. A voter that recently received a
+//! message from a leader does not vote to replace it, and a leader that no longer receives answers
+//! from a majority steps down by its own clock (check-quorum). No vote, acknowledgement or vote of a
+//! candidate for itself takes effect before storage has confirmed it by [`Event::Persisted`].
 //!
 //! # Members and their storage
 //!
 //! A member is an instance together with its [`StorageId`], which is drawn at random when the
-//! storage is created. Messages within the group name the storage of the receiver, so an instance
-//! whose storage was lost answers nothing that was meant for its former self: it cannot vote or
-//! acknowledge in the former member's name. It introduces itself instead, and the leader lets it
-//! back in by entries of the log: the new member is added without a vote, catches up, the old
-//! member is removed, the new one promoted. Each step is a change of one voter and is committed
-//! before the next begins. A voter without a disk draws a new storage id at every start.
+//! storage is created. Messages within the group name the receiver's storage, so an instance that
+//! lost its storage ignores messages addressed to the former member and cannot vote or acknowledge
+//! in its name. Instead it sends a [`Hello`], and the leader readmits it through log entries: the new
+//! member is added without a vote and catches up, the old member is removed, and the new one is
+//! promoted. Each step changes one voter and is committed before the next begins. A voter without a
+//! disk draws a new storage id at every start.
 //!
 //! # Open groups
 //!
-//! A group may be open ([`Config::open`]): an instance that no membership has named is let in
-//! without a vote, so that it holds the log and can answer for it. It gets a vote while the group
-//! has fewer than it is to have, or when a voter has been silent for [`Config::replace_after`];
-//! the silent one is removed next, and let in again without a vote when it returns.
+//! A group may be open ([`Config::open`]): an instance that is not a member is admitted without a
+//! vote, so that it holds the log and can answer from it. It gets a vote while the group has fewer
+//! voters than its target, or when a voter has been unresponsive for [`Config::replace_after`]. The
+//! unresponsive voter is removed next, and is admitted again without a vote when it returns.
 //!
 //! # Durable and volatile voters
 //!
@@ -38,29 +38,30 @@
 //!
 //! # Formation
 //!
-//! The first of the configured founders forms the group once it has heard, within
-//! [`Config::election_timeout_max`], from *every* founder that its storage belongs to no group, in a
-//! message that names the first founder's own storage and so cannot be left over from before. One
-//! surviving founder is thus enough to keep a wiped majority from forming a second, empty group.
+//! The first of the configured founders forms the group once it has received, within
+//! [`Config::election_timeout_max`], a hello from *every* founder that says that the founder's
+//! storage belongs to no group. Each hello must name the first founder's own storage, which rules
+//! out a message from before a restart. One founder that kept its storage is thus enough to keep a
+//! majority that lost theirs from forming a second, empty group.
 //!
-//! # Every voter that held a commit restarted empty
+//! # Loss of every voter that held a commit
 //!
 //! Take voters A, B and C and a commit that A and B hold. If A and B lose their storage at once, C
-//! remains with a log that lacks the commit. The wiped A and B are new members, which have no vote
-//! until a leader lets them in, and C alone is no majority. No leader stands, and nothing that was
-//! committed is replaced by something else: the group stops. An operator decides: either one of
-//! the lost disks is brought back, or [`StoredState::rebuild`] turns the log of the best survivor into
-//! a group of its own, under a new [`FormationId`], to which the others are added. What the
-//! survivor lacked is lost then, and whatever builds on the group has to treat everything it
-//! cannot find as unknown rather than as never done; the new formation id tells it so.
-//!
-//! What cannot be told apart: storage that was lost at *every* founder at the same time looks like
-//! a first start. Set [`Config::may_form`] to `false` once a group stands, and it stops instead.
-//! A single-voter group and a group of volatile voters only are in this class at every loss.
+//! remains with a log that lacks the commit. A and B are new members, which have no vote until a
+//! leader admits them, and C alone is no majority. No leader can be elected and no committed entry is
+//! replaced by another: the group stops. An operator decides: either one of the lost disks is brought
+//! back, or [`StoredState::rebuild`] turns the log of the most complete survivor into a new group
+//! with a new [`FormationId`], to which the others are added. Entries that the survivor lacked are
+//! then lost. A state machine above the group has to treat everything it cannot find as unknown
+//! rather than as never done; it recognises a rebuilt group by the new formation id.
+//!
+//! Loss of the storage of *every* founder at the same time cannot be distinguished from a first
+//! start. Set [`Config::may_form`] to `false` once the group exists, and it stops instead. For a
+//! group with a single voter or with volatile voters only, every loss is of this kind.
 //!
 //! # Embedding
 //!
-//! A group of one voter, with storage that keeps nothing:
+//! A group with a single voter, whose storage discards everything:
 //!
 //! ```
 //! use medlarlug_core::{replication::*, time::Time};
--- a/crates/medlarlug-core/src/replication/progress.rs
+++ b/crates/medlarlug-core/src/replication/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one member's log.
+//! A leader's view of one member's log.
 
 use std::collections::VecDeque;
 
@@ -6,17 +6,17 @@
 
 use super::membership::MemberKey;
 
-/// How a member is being supplied.
+/// How the leader replicates to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Mode {
-    /// One append at a time, until the logs are known to agree.
+    /// One append at a time, until a common entry of both logs is found.
     Probe {
-        /// Whether an append is under way.
+        /// Whether an append is unanswered; reset by the next heartbeat.
         is_in_flight: bool,
     },
-    /// Appends follow each other without waiting.
+    /// Appends are sent without waiting for earlier answers.
     Stream,
-    /// A snapshot is under way.
+    /// A snapshot is being sent.
     Snapshot {
         /// Last entry of the snapshot.
         index: LogIndex,
@@ -25,22 +25,22 @@
     },
 }
 
-/// What a leader knows of one member's log.
+/// A leader's view of one member's log.
 #[derive(Debug)]
 pub(super) struct Progress {
     pub(super) key: MemberKey,
-    /// Last entry that is known to be equal and synced.
+    /// Last entry known to be equal to the leader's and synced.
     pub(super) match_index: LogIndex,
     /// Next entry to send.
     pub(super) next_index: LogIndex,
-    /// Last entries of the appends under way.
+    /// Last entry of each append in flight, in the order sent.
     pub(super) inflight: VecDeque<LogIndex>,
     pub(super) mode: Mode,
-    /// When the member was last heard.
+    /// When the leader last received a message from the member.
     pub(super) last_contact: Time,
-    /// Whether the member has answered at all in this term.
+    /// Whether the member has answered in this term.
     pub(super) has_answered: bool,
-    /// Newest quorum round that the member has confirmed.
+    /// Last quorum round that the member has confirmed.
     pub(super) confirmed_round: u64,
 }
 
@@ -58,14 +58,13 @@
         }
     }
 
-    /// Notes that the member was heard.
     pub(super) fn record_contact(&mut self, round: u64, now: Time) {
         self.last_contact = now;
         self.has_answered = true;
         self.confirmed_round = self.confirmed_round.max(round);
     }
 
-    /// The member holds the log up to `last`.
+    /// Records that the member holds the leader's log up to `last`.
     pub(super) fn record_match(&mut self, last: LogIndex) {
         self.match_index = self.match_index.max(last);
         self.next_index = self.next_index.max(last.next());
@@ -78,7 +77,8 @@
         }
     }
 
-    /// The member lacks `prev` and proposes to go on at `next`. Returns whether that is news.
+    /// Records that the member lacks `prev` and proposes to continue at `next`. Returns `false` if the
+    /// answer is outdated.
     pub(super) fn record_mismatch(&mut self, prev: LogIndex, next: LogIndex) -> bool {
         let is_stale = match self.mode {
             Mode::Probe { .. } => prev.next() != self.next_index,
--- a/crates/medlarlug-core/src/replication/replica.rs
+++ b/crates/medlarlug-core/src/replication/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: its state, the dispatch of events, persistence and commit.
+//! State of a replica, dispatch of events, persistence, and application of committed entries.
 
 use std::collections::VecDeque;
 
@@ -21,33 +21,33 @@
     snapshot_transfer::IncomingSnapshot,
 };
 
-/// The part of a replica with the state that belongs to it.
+/// Role of a replica with the state that belongs to it.
 #[derive(Debug)]
 pub(super) enum State {
     Follower,
-    /// Asks for permission to campaign in the next term.
+    /// Asks for pre-votes in the next term; holds the members that granted them.
     PreCandidate(Vec<MemberKey>),
-    /// Asks for votes.
+    /// Asks for votes in the current term; holds the members that granted them.
     Candidate(Vec<MemberKey>),
     Leader(Leader),
 }
 
-/// A message within the group and its receiver.
+/// Message to a member of the group, with the receiving instance.
 #[derive(Debug)]
 pub(super) struct Outgoing {
     to: InstanceId,
     envelope: Envelope,
 }
 
-/// What waits for a sync.
+/// Action that is deferred until storage has synced a batch.
 #[derive(Debug)]
 enum Deferred {
     Send(Outgoing),
-    /// The replica's own vote in a term.
+    /// Counts the replica's own vote in this term.
     OwnVote(Term),
 }
 
-/// A batch that storage has not confirmed.
+/// Batch that storage has not confirmed, with the last entry of the log at that time.
 #[derive(Debug)]
 struct Unsynced {
     sequence: u64,
@@ -65,38 +65,42 @@
     pub(super) log: Log,
     pub(super) state: State,
     pub(super) leader: Option<InstanceId>,
-    /// When the leader was last heard.
+    /// When the replica last received a message from the leader.
     pub(super) last_leader_contact: Option<Time>,
-    /// When to campaign.
+    /// When to campaign next.
     pub(super) election_deadline: Time,
-    /// When the replica last asked for permission to campaign.
+    /// When the replica last asked for pre-votes.
     pub(super) pre_vote_started_at: Option<Time>,
-    /// When to introduce itself again.
+    /// When to send the next hello.
     pub(super) next_hello: Time,
-    /// A leader that others have named to a replica that hears none.
+    /// Leader that the last hello named; receives the next hello.
     pub(super) leader_hint: Option<InstanceId>,
+    /// Last hello of each instance.
     pub(super) applicants: Vec<Applicant>,
     pub(super) incoming: Option<IncomingSnapshot>,
     pub(super) commit: LogIndex,
     pub(super) applied: LogIndex,
-    /// Last entry that is synced.
+    /// Last entry that storage has synced.
     pub(super) synced: LogIndex,
+    /// Changes that have not been handed to storage.
     pub(super) dirty: Persist,
     /// Sequence number of the last batch handed to storage.
     sequence: u64,
-    /// Last batch that storage has confirmed.
+    /// Sequence number of the last batch that storage has confirmed.
     persisted_sequence: u64,
-    /// Batch that holds the newest term and vote.
+    /// Sequence number of the batch that holds the newest term and vote.
     hard_sequence: u64,
     unsynced: VecDeque<Unsynced>,
+    /// Deferred actions, each with the sequence number of the batch that it waits for.
     deferred: VecDeque<(u64, Deferred)>,
 }
 
 impl Replica {
-    /// A replica that goes on from `restored`, which is empty for new storage.
+    /// Creates a replica that continues from `restored`, which is empty for new storage. `seed` is for
+    /// the random election timeouts and formation ids.
     ///
-    /// The embedding program restores its own state from `restored.snapshot` first; the commands
-    /// after the snapshot come as [`Effect::Apply`] once they are known to be committed.
+    /// The embedding program first restores its own state from `restored.snapshot`. Commands after the
+    /// snapshot follow as [`Effect::Apply`] once they are known to be committed.
     ///
     /// ```
     /// use medlarlug_core::{replication::*, time::Time};
@@ -137,13 +141,14 @@
         };
         replica.config.founders.sort();
         replica.config.founders.dedup();
-        // A leader that stands is heard long before, and one that has fallen is not waited for:
-        // nobody gives a pre-vote who has heard a leader.
+        // The short timeout is safe. A working leader sends a message well before it ends, and members
+        // that received one refuse the pre-vote. If the leader has failed,
+        // the replica does not wait longer than needed.
         replica.reset_campaign_deadline(now);
         replica
     }
 
-    /// Takes one event in at the moment `now` and appends its effects to `out`.
+    /// Handles one event at the time `now` and appends its effects to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Tick => self.tick(now, out),
@@ -168,7 +173,7 @@
         self.flush(now, out);
     }
 
-    /// The part that the replica plays.
+    /// Role in the current term. A replica that asks for pre-votes counts as a follower.
     pub fn role(&self) -> Role {
         match self.state {
             State::Follower | State::PreCandidate(_) => Role::Follower,
@@ -177,37 +182,37 @@
         }
     }
 
-    /// The highest term that the replica knows.
+    /// Highest term that the replica has seen.
     pub fn term(&self) -> Term {
         self.hard.term
     }
 
-    /// The leader, as far as known.
+    /// Leader of the current term, if known.
     pub fn leader(&self) -> Option<&InstanceId> {
         self.leader.as_ref()
     }
 
-    /// The newest membership in the log; `None` before the replica belongs to a group.
+    /// Newest membership in the log, committed or not; `None` before the replica belongs to a group.
     pub fn membership(&self) -> Option<&Membership> {
         self.log.membership()
     }
 
-    /// Last committed entry, as far as known.
+    /// Last entry that the replica knows to be committed.
     pub fn committed(&self) -> LogIndex {
         self.commit
     }
 
-    /// Last applied entry.
+    /// Last applied entry: its command was returned as [`Effect::Apply`], or a snapshot covers it.
     pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
-    /// Last entry of the log.
+    /// Last entry of the log, synced and committed or not.
     pub fn last_index(&self) -> LogIndex {
         self.log.last().index
     }
 
-    /// Last entry that the newest snapshot covers.
+    /// Last entry that the newest snapshot covers; zero without a snapshot.
     pub fn snapshot_index(&self) -> LogIndex {
         self.log.snapshot_position().index
     }
@@ -226,13 +231,13 @@
         self.election_deadline = now + min + spread.mul_f64(self.rng.random::<f64>());
     }
 
-    /// Sets the deadline after a campaign of its own; shorter, since no leader is expected.
+    /// Sets the deadline after a campaign of this replica; shorter, since no leader is expected.
     pub(super) fn reset_campaign_deadline(&mut self, now: Time) {
         let min = self.config.election_timeout_min;
         self.election_deadline = now + min.mul_f64(0.5 + 0.5 * self.rng.random::<f64>());
     }
 
-    /// Whether a leader was heard too recently to help replacing it.
+    /// Whether the replica leads or received a message from a leader too recently to help replace it.
     pub(super) fn has_live_leader(&self, now: Time) -> bool {
         let min = self.config.election_timeout_min;
         matches!(self.state, State::Leader(_))
@@ -267,7 +272,7 @@
         }
     }
 
-    /// Appends an entry of the leader's own to the log.
+    /// Appends a new entry in the current term to the log.
     pub(super) fn append_as_leader(&mut self, payload: Payload) -> LogIndex {
         let index = self.log.last().index.next();
         let entry = Entry { index, term: self.hard.term, payload };
@@ -276,13 +281,14 @@
         index
     }
 
-    /// Drops the log from `index` on, in memory and in storage.
+    /// Drops the entries at and after `index`, in memory and in storage.
     pub(super) fn truncate_from(&mut self, index: LogIndex) {
         self.log.truncate_from(index);
         self.dirty.cut = Some(index);
         self.limit_synced(LogIndex(index.0 - 1));
     }
 
+    /// Corrects what is synced after the entries after `last` were dropped.
     pub(super) fn limit_synced(&mut self, last: LogIndex) {
         self.synced = self.synced.min(last);
         for batch in &mut self.unsynced {
@@ -302,6 +308,7 @@
         out.push(Effect::Send { to, message: Message::Group(envelope) });
     }
 
+    /// Sequence number of the batch whose sync covers all changes so far.
     fn needed_sequence(&self) -> u64 {
         match has_content(&self.dirty) {
             true => self.sequence + 1,
@@ -309,7 +316,7 @@
         }
     }
 
-    /// Sends once everything written so far is synced.
+    /// Sends a message once all changes so far are synced.
     pub(super) fn send_after_sync(&mut self, outgoing: Outgoing, out: &mut Vec<Effect>) {
         let sequence = self.needed_sequence();
         if sequence <= self.persisted_sequence {
@@ -323,7 +330,7 @@
         self.deferred.push_back((sequence, Deferred::OwnVote(self.hard.term)));
     }
 
-    /// Whether term and vote are synced.
+    /// Whether the current term and vote are synced.
     pub(super) fn is_hard_state_synced(&self) -> bool {
         self.dirty.hard.is_none() && self.hard_sequence <= self.persisted_sequence
     }
@@ -349,7 +356,7 @@
         }
     }
 
-    /// Hands what has changed to storage.
+    /// Sends pending appends to the members and hands pending changes to storage.
     fn flush(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.replicate_to_all(now, out);
         if !has_content(&self.dirty) {
@@ -366,7 +373,7 @@
         out.push(Effect::Persist(batch));
     }
 
-    /// Applies what is committed and synced here.
+    /// Applies the entries that are committed and synced by this replica.
     fn apply(&mut self, now: Time, out: &mut Vec<Effect>) {
         let end = self.commit.min(self.synced);
         while self.applied < end {
--- a/crates/medlarlug-core/src/replication/snapshot_transfer.rs
+++ b/crates/medlarlug-core/src/replication/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! Transfer of snapshots in parts.
+//! Transfer of snapshots in chunks.
 
 use crate::{ids::LogIndex, time::Time};
 
@@ -10,7 +10,7 @@
     replica::{Replica, State},
 };
 
-/// A part of a snapshot.
+/// Content of [`Body::Chunk`].
 #[derive(Debug)]
 pub(super) struct SnapshotChunk {
     pub(super) at: Position,
@@ -20,7 +20,7 @@
     pub(super) data: Vec<u8>,
 }
 
-/// A snapshot that is arriving.
+/// Partly received snapshot.
 #[derive(Debug)]
 pub(super) struct IncomingSnapshot {
     from: MemberKey,
@@ -34,7 +34,8 @@
         progress.mode = Mode::Snapshot { index: self.log.snapshot_position().index, offset: 0 };
     }
 
-    /// Whether a live member is receiving the newest snapshot, which a newer one would interrupt.
+    /// Whether a responsive member is receiving the newest snapshot. A newer one would restart that
+    /// transfer from its beginning.
     pub(super) fn is_sending_snapshot(&self, now: Time) -> bool {
         let State::Leader(leader) = &self.state else {
             return false;
@@ -46,7 +47,7 @@
         })
     }
 
-    /// Sends the next part of the newest snapshot.
+    /// Sends the next chunk of the newest snapshot; starts over if the snapshot was replaced.
     pub(super) fn send_chunk(&self, progress: &mut Progress, round: u64, out: &mut Vec<Effect>) {
         let Mode::Snapshot { index, offset } = &mut progress.mode else {
             return;
@@ -146,7 +147,8 @@
         });
     }
 
-    /// Lends the leader's state beside the replica, if the replica leads.
+    /// Calls `act` with the replica and the leader's state, if the replica leads. The state is moved out
+    /// meanwhile, so that both can be borrowed mutably.
     pub(super) fn with_leader<R>(
         &mut self,
         act: impl FnOnce(&mut Replica, &mut super::leader::Leader) -> R,
