--- a/src/coordination/entry/inference/mod.rs
+++ b/src/coordination/entry/inference/mod.rs
@@ -67,7 +67,7 @@
         exclude(&mut job, &failed);
         match decision {
             Decision::GiveUp(refusal) => return refuse(&entry, &id, &refusal),
-            Decision::RetryHere | Decision::RetryElsewhere => {
+            Decision::RetryInZone | Decision::RetryInOtherZone => {
                 entry.step(&id, Stage::Retried { reason: failed.reason });
             }
         }
@@ -105,7 +105,7 @@
 pub fn exclude(job: &mut Job, failed: &FailedAttempt) {
     match (&failed.place, &mut job.origin) {
         (Place::Upstream(upstream), _) => job.exclude(&upstream.clone()),
-        (Place::Zone(zone), JobOrigin::Caller(origin)) => origin.refuse(zone.clone()),
+        (Place::Zone(zone), JobOrigin::Caller(origin)) => origin.exclude_zone(zone.clone()),
         (Place::Zone(_), JobOrigin::Zone(_)) => {}
     }
 }
