--- a/crates/medlarlug-core/src/suspects/fact_log.rs
+++ b/crates/medlarlug-core/src/suspects/fact_log.rs
@@ -1,4 +1,4 @@
-//! Facts in the order in which they became known, to be passed on.
+//! Facts in the order in which they were received, for forwarding to other processes.
 
 use std::collections::VecDeque;
 
@@ -7,17 +7,18 @@
     time::Time,
 };
 
-/// Contents that the log names at most; the oldest facts go first. At 19 bytes each, a receiver that
-/// has just connected is sent 150 KB.
+/// Maximum number of contents that the facts in the log name; the oldest facts are dropped first. At 19
+/// bytes each, a receiver that has just connected is sent 150 KB.
 pub const MAX_LOGGED_CONTENTS: usize = 8_192;
 
-/// The facts that a process passes on to others, each of which has been told a first part of them.
+/// The facts that a process forwards to others; each receiver has been sent all facts up to its own
+/// position.
 ///
 /// ```
 /// use medlarlug_core::{
 ///     fingerprint::Fingerprint,
 ///     ids::Incarnation,
-///     suspects::{Fact, FactLog, CrashId, CrashReport},
+///     suspects::{CrashId, CrashReport, Fact, FactLog},
 ///     time::Time,
 /// };
 /// use std::time::Duration;
@@ -26,24 +27,24 @@
 /// let in_flight = vec![Fingerprint::of(b"crash")];
 /// let fact = Fact::Crashed(CrashReport { key, age: Duration::ZERO, in_flight, trials: Vec::new() });
 /// let mut log = FactLog::default();
-/// let told = log.end();
+/// let position = log.end();
 /// log.apply(Time::ZERO, &fact);
 /// log.apply(Time::ZERO, &fact);
-/// assert_eq!(log.since(Time::ZERO, told), [fact]);
+/// assert_eq!(log.since(Time::ZERO, position), [fact]);
 /// assert!(log.since(Time::ZERO, log.end()).is_empty());
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct FactLog {
     ledger: CrashLedger,
-    /// Number of the first fact that is kept.
+    /// Position of the oldest fact that is kept.
     first: u64,
     facts: VecDeque<(Fact, Time)>,
-    /// Contents that the kept facts name.
+    /// Number of contents that the kept facts name.
     contents: usize,
 }
 
 impl FactLog {
-    /// Takes a fact in; tells whether it was new.
+    /// Applies a fact; returns whether it was new.
     pub fn apply(&mut self, now: Time, fact: &Fact) -> bool {
         if !self.ledger.apply(now, fact) {
             return false;
@@ -59,28 +60,29 @@
         true
     }
 
-    /// The crashes of contents that more than one loss counts against.
+    /// Reports that cover the contents with more than one crash against them.
     pub fn repeated_crashes(&self, now: Time) -> Vec<Fact> {
         self.ledger.repeated_crashes(now)
     }
 
-    /// Forgets the facts that are too old.
+    /// Makes the ledger forget facts older than [`FACT_LIFETIME`](super::FACT_LIFETIME); the log is
+    /// bounded by its number of contents only.
     pub fn expire(&mut self, now: Time) {
         self.ledger.expire(now);
     }
 
-    /// Number of facts so far.
+    /// Position after the newest fact: the number of facts ever logged.
     pub fn end(&self) -> u64 {
         self.first + self.facts.len() as u64
     }
 
-    /// The facts after the first `told`, as they are told now.
-    pub fn since(&self, now: Time, told: u64) -> Vec<Fact> {
-        let skipped = told.saturating_sub(self.first) as usize;
+    /// The facts from `position` on, with their ages as of `now`.
+    pub fn since(&self, now: Time, position: u64) -> Vec<Fact> {
+        let skipped = position.saturating_sub(self.first) as usize;
         self.facts
             .iter()
             .skip(skipped)
-            .map(|(fact, learned)| fact.aged_by(now - *learned))
+            .map(|(fact, received)| fact.aged_by(now - *received))
             .collect()
     }
 }
--- a/crates/medlarlug-core/src/suspects/isolation.rs
+++ b/crates/medlarlug-core/src/suspects/isolation.rs
@@ -1,4 +1,4 @@
-//! Requests in flight at one entry instance, and the upstreams that suspects have alone.
+//! Requests in flight at one entry instance, and the upstreams that are reserved for suspects.
 
 use std::time::Duration;
 
@@ -12,28 +12,29 @@
     time::Time,
 };
 
-/// Time for which a whole run speaks for its content: upstreams that crash together, or under one
-/// content that is sent again, are lost within it.
-const SOUND_FOR: Duration = Duration::from_secs(60);
+/// Time for which a completed run clears its content of further crashes. Upstreams that crash together,
+/// or one after the other under a content that is retried, crash within it.
+const COMPLETION_LIFETIME: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Flight {
+struct InFlightRequest {
     request: RequestId,
     fingerprint: Fingerprint,
     upstream: UpstreamId,
     incarnation: Incarnation,
-    suspect: bool,
-    /// Whether its content was quarantined and not cleared when it was sent.
-    trial: bool,
+    /// Whether its content was a suspect or quarantined when it was sent.
+    was_suspect: bool,
+    /// Whether its content was quarantined, and had not been cleared since, when it was sent.
+    is_trial: bool,
 }
 
-/// The core of one entry instance.
+/// Tracks the requests in flight at one entry instance and decides where suspected contents may run.
 ///
 /// ```
 /// use medlarlug_core::{
 ///     fingerprint::Fingerprint,
 ///     ids::Incarnation,
-///     suspects::{Event, Placement, ContentStatus, SuspectTracker},
+///     suspects::{ContentStatus, Event, Placement, SuspectTracker},
 ///     time::Time,
 /// };
 ///
@@ -54,19 +55,19 @@
 #[derive(Debug, Clone, Default)]
 pub struct SuspectTracker {
     ledger: CrashLedger,
-    flights: Vec<Flight>,
-    /// Contents that have run to their end here, and when they last did, sorted.
-    sound: Vec<(Fingerprint, Time)>,
-    reserved: Vec<(UpstreamId, Time)>,
+    in_flight: Vec<InFlightRequest>,
+    /// Contents that have completed a run at this instance and when they last did, sorted by fingerprint.
+    completed: Vec<(Fingerprint, Time)>,
+    reservations: Vec<(UpstreamId, Time)>,
 }
 
 impl SuspectTracker {
-    /// What the facts say about `fingerprint`; a quarantined one is refused at once.
+    /// Status of the content `fingerprint` according to all known facts.
     pub fn status(&self, now: Time, fingerprint: Fingerprint) -> ContentStatus {
         self.ledger.status(now, fingerprint)
     }
 
-    /// Whether a request with this content may run on `upstream`.
+    /// Whether a request with the content `fingerprint` may run on `upstream`.
     pub fn placement(
         &self,
         now: Time,
@@ -75,12 +76,12 @@
     ) -> Placement {
         let is_suspect = match self.status(now, fingerprint) {
             ContentStatus::Quarantined { .. } => return Placement::Denied,
-            standing => standing == ContentStatus::Suspect,
+            status => status == ContentStatus::Suspect,
         };
-        if is_suspect && self.flights.iter().any(|it| it.fingerprint == fingerprint) {
+        if is_suspect && self.in_flight.iter().any(|it| it.fingerprint == fingerprint) {
             return Placement::Denied;
         }
-        let is_empty = !self.flights.iter().any(|it| it.upstream == *upstream);
+        let is_empty = !self.in_flight.iter().any(|it| it.upstream == *upstream);
         match (self.has_suspect(now, upstream), is_suspect && !is_empty) {
             (true, _) => Placement::Denied,
             (false, true) => Placement::LastResort,
@@ -88,138 +89,150 @@
         }
     }
 
-    /// Whether a suspect runs on `upstream`, or it is reserved for one.
+    /// Whether a suspect runs on `upstream`, or the upstream is reserved for one.
     pub fn has_suspect(&self, now: Time, upstream: &UpstreamId) -> bool {
-        let mut flights = self.flights.iter().filter(|it| it.upstream == *upstream);
-        self.is_reserved(now, upstream) || flights.any(|it| self.is_suspect(now, it))
+        let mut in_flight = self.in_flight.iter().filter(|it| it.upstream == *upstream);
+        self.is_reserved(now, upstream) || in_flight.any(|it| self.is_suspect(now, it))
     }
 
-    /// The facts, for the state dump and for an instance that has just started.
+    /// The ledger of all known facts.
     pub fn ledger(&self) -> &CrashLedger {
         &self.ledger
     }
 
-    /// Whether nothing is suspected and nothing reserved, so that every placement is free.
+    /// Whether no crash is known and no upstream is reserved, so that every placement is allowed.
     pub fn is_unrestricted(&self) -> bool {
-        self.reserved.is_empty() && self.ledger.is_empty()
+        self.reservations.is_empty() && self.ledger.is_empty()
     }
 
-    /// Incarnation of the upstream on which a request is in flight.
+    /// Incarnation of the upstream on which a request is in flight; `None` if it is not in flight.
     pub fn incarnation_of(&self, request: &RequestId) -> Option<Incarnation> {
-        let found = self.flights.binary_search_by(|it| it.request.cmp(request)).ok()?;
-        Some(self.flights[found].incarnation)
+        let found = self.in_flight.binary_search_by(|it| it.request.cmp(request)).ok()?;
+        Some(self.in_flight[found].incarnation)
     }
 
-    /// Whether a trial of a content is under way, or has ended without an answer and without a finding.
+    /// Whether a trial of the content is in flight, or has ended without an answer and is not yet known
+    /// to be inconclusive or to have crashed its upstream.
     pub fn is_on_trial(&self, fingerprint: Fingerprint) -> bool {
-        self.flights.iter().any(|it| it.trial && it.fingerprint == fingerprint)
+        self.in_flight.iter().any(|it| it.is_trial && it.fingerprint == fingerprint)
     }
 
-    /// Takes in facts that arrived together.
+    /// Applies facts that arrived together; the quarantines are computed once for all of them.
     pub fn apply_all(&mut self, now: Time, facts: &[Fact], out: &mut Vec<Effect>) {
         if self.ledger.apply_all(now, facts) {
-            facts.iter().for_each(|fact| self.clear_sound(now, fact, out));
+            facts.iter().for_each(|fact| self.clear_completed(now, fact, out));
         }
     }
 
-    /// Feeds one event in.
+    /// Handles one event and appends the resulting effects to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Sent { request, fingerprint, upstream, incarnation } => {
-                let suspect = self.status(now, fingerprint) != ContentStatus::Clear;
-                let trial = self.ledger.trials(fingerprint).is_some();
-                let flight = Flight { request, fingerprint, upstream, incarnation, suspect, trial };
-                self.send(flight, out);
+                let was_suspect = self.status(now, fingerprint) != ContentStatus::Clear;
+                let is_trial = self.ledger.trials(fingerprint).is_some();
+                let sent = InFlightRequest {
+                    request,
+                    fingerprint,
+                    upstream,
+                    incarnation,
+                    was_suspect,
+                    is_trial,
+                };
+                self.insert(sent, out);
             }
-            Event::Completed { request } => self.answer(now, &request, out),
-            Event::Inconclusive { request } => drop(self.land(&request, out)),
+            Event::Completed { request } => self.complete(now, &request, out),
+            Event::Inconclusive { request } => drop(self.remove(&request, out)),
             Event::UpstreamCrashed { upstream, incarnation } => {
-                self.lose(now, upstream, incarnation, out);
+                self.record_crash(now, upstream, incarnation, out);
             }
             Event::FactReceived(fact) => self.apply_all(now, std::slice::from_ref(&fact), out),
             Event::Reserved { upstream, lifetime } => {
                 self.reserve(upstream, now + lifetime.min(RESERVATION_LIFETIME));
             }
-            Event::ReservationReleased { upstream } => self.reserved.retain(|it| it.0 != upstream),
+            Event::ReservationReleased { upstream } => {
+                self.reservations.retain(|it| it.0 != upstream)
+            }
             Event::Tick => self.expire(now),
         }
     }
 
-    /// A flight also counts as a suspect if its content became one after it was sent.
-    fn is_suspect(&self, now: Time, flight: &Flight) -> bool {
-        flight.suspect || self.status(now, flight.fingerprint) != ContentStatus::Clear
+    /// A request also counts as a suspect if its content became one after it was sent.
+    fn is_suspect(&self, now: Time, sent: &InFlightRequest) -> bool {
+        sent.was_suspect || self.status(now, sent.fingerprint) != ContentStatus::Clear
     }
 
     fn is_reserved(&self, now: Time, upstream: &UpstreamId) -> bool {
-        match self.reserved.binary_search_by(|it| it.0.cmp(upstream)) {
-            Ok(found) => now < self.reserved[found].1,
+        match self.reservations.binary_search_by(|it| it.0.cmp(upstream)) {
+            Ok(found) => now < self.reservations[found].1,
             Err(_) => false,
         }
     }
 
     fn reserve(&mut self, upstream: UpstreamId, until: Time) {
-        match self.reserved.binary_search_by(|it| it.0.cmp(&upstream)) {
-            Ok(found) => self.reserved[found].1 = until,
-            Err(place) => self.reserved.insert(place, (upstream, until)),
+        match self.reservations.binary_search_by(|it| it.0.cmp(&upstream)) {
+            Ok(found) => self.reservations[found].1 = until,
+            Err(place) => self.reservations.insert(place, (upstream, until)),
         }
     }
 
-    fn send(&mut self, flight: Flight, out: &mut Vec<Effect>) {
-        if flight.suspect {
-            let upstream = flight.upstream.clone();
+    fn insert(&mut self, sent: InFlightRequest, out: &mut Vec<Effect>) {
+        if sent.was_suspect {
+            let upstream = sent.upstream.clone();
             out.push(Effect::Reserve { upstream, lifetime: RESERVATION_LIFETIME });
         }
-        match self.flights.binary_search_by(|it| it.request.cmp(&flight.request)) {
-            Ok(found) => self.flights[found] = flight,
-            Err(place) => self.flights.insert(place, flight),
+        match self.in_flight.binary_search_by(|it| it.request.cmp(&sent.request)) {
+            Ok(found) => self.in_flight[found] = sent,
+            Err(place) => self.in_flight.insert(place, sent),
         }
     }
 
-    fn land(&mut self, request: &RequestId, out: &mut Vec<Effect>) -> Option<Flight> {
-        let found = self.flights.binary_search_by(|it| it.request.cmp(request)).ok()?;
-        let flight = self.flights.remove(found);
-        if flight.suspect {
-            out.push(Effect::ReleaseReservation { upstream: flight.upstream.clone() });
+    fn remove(&mut self, request: &RequestId, out: &mut Vec<Effect>) -> Option<InFlightRequest> {
+        let found = self.in_flight.binary_search_by(|it| it.request.cmp(request)).ok()?;
+        let sent = self.in_flight.remove(found);
+        if sent.was_suspect {
+            out.push(Effect::ReleaseReservation { upstream: sent.upstream.clone() });
         }
-        Some(flight)
+        Some(sent)
     }
 
-    fn answer(&mut self, now: Time, request: &RequestId, out: &mut Vec<Effect>) {
-        let Some(flight) = self.land(request, out) else {
+    fn complete(&mut self, now: Time, request: &RequestId, out: &mut Vec<Effect>) {
+        let Some(sent) = self.remove(request, out) else {
             return;
         };
-        match self.sound.binary_search_by_key(&flight.fingerprint, |it| it.0) {
-            Ok(found) => self.sound[found].1 = now,
-            Err(place) => self.sound.insert(place, (flight.fingerprint, now)),
+        match self.completed.binary_search_by_key(&sent.fingerprint, |it| it.0) {
+            Ok(found) => self.completed[found].1 = now,
+            Err(place) => self.completed.insert(place, (sent.fingerprint, now)),
         }
-        // A content that crashes upstreams crashes each one, so a whole run clears it of all crashes,
-        // those included that happened meanwhile elsewhere.
-        let crashes = self.ledger.crashes_of(flight.fingerprint);
+        // A content that crashes upstreams crashes every one that runs it, so a completed run clears it of
+        // all known crashes, including those of other upstreams during the run.
+        let crashes = self.ledger.crashes_of(sent.fingerprint);
         let age = self.ledger.newest_crash_age(now, &crashes);
         let Some(age) = age else {
             return;
         };
-        let fact = Fact::Cleared { fingerprint: flight.fingerprint, crashes, age };
+        let fact = Fact::Cleared { fingerprint: sent.fingerprint, crashes, age };
         self.ledger.apply(now, &fact);
         out.push(Effect::Publish(fact));
     }
 
-    fn lose(
+    fn record_crash(
         &mut self,
         now: Time,
         upstream: UpstreamId,
         incarnation: Incarnation,
         out: &mut Vec<Effect>,
     ) {
-        let is_lost = |it: &Flight| it.upstream == upstream && it.incarnation == incarnation;
-        let lost: Vec<Flight> = self.flights.iter().filter(|it| is_lost(it)).cloned().collect();
-        if lost.is_empty() {
+        let is_interrupted =
+            |it: &InFlightRequest| it.upstream == upstream && it.incarnation == incarnation;
+        let interrupted: Vec<InFlightRequest> =
+            self.in_flight.iter().filter(|it| is_interrupted(it)).cloned().collect();
+        if interrupted.is_empty() {
             return;
         }
-        let mut in_flight: Vec<Fingerprint> = lost.iter().map(|it| it.fingerprint).collect();
+        let mut in_flight: Vec<Fingerprint> = interrupted.iter().map(|it| it.fingerprint).collect();
         in_flight.sort_unstable();
         in_flight.dedup();
-        let trials = lost.iter().filter(|it| it.trial);
+        let trials = interrupted.iter().filter(|it| it.is_trial);
         let mut trials: Vec<Fingerprint> = trials.map(|it| it.fingerprint).collect();
         trials.sort_unstable();
         trials.dedup();
@@ -228,23 +241,24 @@
         let fact = Fact::Crashed(report);
         self.ledger.apply(now, &fact);
         out.push(Effect::Publish(fact.clone()));
-        self.clear_sound(now, &fact, out);
-        for flight in lost {
-            self.land(&flight.request, out);
-            out.push(Effect::Interrupted { request: flight.request });
+        self.clear_completed(now, &fact, out);
+        for sent in interrupted {
+            self.remove(&sent.request, out);
+            out.push(Effect::Interrupted { request: sent.request });
         }
     }
 
-    /// Clears the contents of a loss that have run to their end here lately: many callers may send
-    /// the same content, which is then in flight at whatever upstream is lost.
-    fn clear_sound(&mut self, now: Time, fact: &Fact, out: &mut Vec<Effect>) {
+    /// Clears the contents of a crash that have recently completed a run at this instance. A content that
+    /// many callers send is in flight on whichever upstream crashes.
+    fn clear_completed(&mut self, now: Time, fact: &Fact, out: &mut Vec<Effect>) {
         let Fact::Crashed(report) = fact else { return };
         for &fingerprint in &report.in_flight {
-            let found = self.sound.binary_search_by_key(&fingerprint, |it| it.0);
-            let is_sound = found.is_ok_and(|found| now - self.sound[found].1 < SOUND_FOR);
+            let found = self.completed.binary_search_by_key(&fingerprint, |it| it.0);
+            let is_recent =
+                found.is_ok_and(|found| now - self.completed[found].1 < COMPLETION_LIFETIME);
             let crashes = vec![report.key.clone()];
             let fact = Fact::Cleared { fingerprint, crashes, age: report.age };
-            if is_sound && self.ledger.apply(now, &fact) {
+            if is_recent && self.ledger.apply(now, &fact) {
                 out.push(Effect::Publish(fact));
             }
         }
@@ -252,7 +266,7 @@
 
     fn expire(&mut self, now: Time) {
         self.ledger.expire(now);
-        self.sound.retain(|it| now - it.1 < SOUND_FOR);
-        self.reserved.retain(|it| now < it.1);
+        self.completed.retain(|it| now - it.1 < COMPLETION_LIFETIME);
+        self.reservations.retain(|it| now < it.1);
     }
 }
--- a/crates/medlarlug-core/src/suspects/ledger.rs
+++ b/crates/medlarlug-core/src/suspects/ledger.rs
@@ -11,22 +11,22 @@
     time::Time,
 };
 
-/// What the facts say about a content.
+/// Status of a content, derived from the known facts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ContentStatus {
-    /// Nothing counts against it.
+    /// No crash counts against it.
     Clear,
-    /// It was in flight on a lost upstream; it runs alone.
+    /// It was in flight on an upstream that crashed, so it has an upstream to itself where possible.
     Suspect,
-    /// It is not run.
+    /// It is refused, except for trials.
     Quarantined {
-        /// Time until it may be tried again.
+        /// Time until the quarantine ends.
         retry_after: Duration,
     },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Loss {
+struct Crash {
     key: CrashId,
     at: Time,
     in_flight: Vec<Fingerprint>,
@@ -37,35 +37,35 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Quarantine {
     fingerprint: Fingerprint,
-    last: Time,
+    last_crash: Time,
     crashes: usize,
-    alone: usize,
+    isolated: usize,
     failed: usize,
 }
 
-/// One loss that may be due to a content.
+/// One crash that a content may have caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Evidence {
     fingerprint: Fingerprint,
     at: Time,
-    /// Whether no other content can have caused it.
-    is_alone: bool,
-    /// Whether the content ran as a trial.
+    /// Whether no other content can have caused the crash.
+    is_isolated: bool,
+    /// Whether the content ran there as a trial.
     is_trial: bool,
 }
 
-/// A set of facts and the quarantines that follow from it.
+/// The set of known facts and the quarantines derived from it.
 ///
 /// ```
 /// use medlarlug_core::{
 ///     fingerprint::Fingerprint,
-///     suspects::{Fact, CrashId, CrashLedger, CrashReport, ContentStatus},
+///     suspects::{ContentStatus, CrashId, CrashLedger, CrashReport, Fact},
 ///     time::Time,
 /// };
 /// use std::time::Duration;
 ///
 /// let crashing = Fingerprint::of(b"crash");
-/// let lost = |upstream: &str| Fact::Crashed(CrashReport {
+/// let crashed = |upstream: &str| Fact::Crashed(CrashReport {
 ///     key: CrashId {
 ///         upstream: upstream.parse().unwrap(),
 ///         incarnation: medlarlug_core::ids::Incarnation(1),
@@ -75,63 +75,63 @@
 ///     trials: Vec::new(),
 /// });
 /// let mut ledger = CrashLedger::default();
-/// ledger.apply(Time::ZERO, &lost("engine-1"));
-/// ledger.apply(Time::ZERO, &lost("engine-1"));
+/// ledger.apply(Time::ZERO, &crashed("engine-1"));
+/// ledger.apply(Time::ZERO, &crashed("engine-1"));
 /// assert_eq!(ledger.status(Time::ZERO, crashing), ContentStatus::Suspect);
-/// ledger.apply(Time::ZERO, &lost("engine-2"));
+/// ledger.apply(Time::ZERO, &crashed("engine-2"));
 /// assert!(matches!(ledger.status(Time::ZERO, crashing), ContentStatus::Quarantined { .. }));
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CrashLedger {
-    crashes: Vec<Loss>,
+    crashes: Vec<Crash>,
     quarantines: Vec<Quarantine>,
     suspects: Vec<Fingerprint>,
 }
 
 impl CrashLedger {
-    /// Whether no loss is known.
+    /// Whether no crash is known.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty()
     }
 
-    /// Merges a fact; tells whether it was new, so that it is worth handing on.
+    /// Merges a fact; returns whether it was new and therefore has to be forwarded.
     pub fn apply(&mut self, now: Time, fact: &Fact) -> bool {
         self.apply_all(now, std::slice::from_ref(fact))
     }
 
-    /// Merges facts that arrived together; tells whether any was new.
+    /// Merges facts that arrived together; returns whether any was new.
     pub fn apply_all(&mut self, now: Time, facts: &[Fact]) -> bool {
         let mut is_new = false;
         for fact in facts {
             is_new |= match fact {
-                Fact::Crashed(report) => self.learn_loss(now, report),
+                Fact::Crashed(report) => self.apply_crash(now, report),
                 Fact::Cleared { fingerprint, crashes, age } => {
-                    self.learn_clearance(now.saturating_sub(*age), *fingerprint, crashes)
+                    self.apply_clearance(now.saturating_sub(*age), *fingerprint, crashes)
                 }
             };
         }
         if is_new {
             self.drop_oldest();
-            self.quarantine_all();
+            self.recompute_quarantines();
         }
         is_new
     }
 
-    /// Forgets the facts that are too old.
+    /// Forgets facts older than [`FACT_LIFETIME`].
     pub fn expire(&mut self, now: Time) {
         let count = self.crashes.len();
         self.crashes.retain(|it| now - it.at < FACT_LIFETIME);
         if self.crashes.len() < count {
-            self.quarantine_all();
+            self.recompute_quarantines();
         }
     }
 
-    /// What the facts say about `fingerprint`.
+    /// Status of the content `fingerprint`.
     pub fn status(&self, now: Time, fingerprint: Fingerprint) -> ContentStatus {
         if let Ok(found) = self.quarantines.binary_search_by_key(&fingerprint, |it| it.fingerprint)
         {
             let quarantine = &self.quarantines[found];
-            let end = quarantine.last + quarantine_lifetime(quarantine.crashes);
+            let end = quarantine.last_crash + quarantine_lifetime(quarantine.crashes);
             return match now < end {
                 true => ContentStatus::Quarantined { retry_after: end - now },
                 false => ContentStatus::Suspect,
@@ -143,22 +143,22 @@
         }
     }
 
-    /// The trials of a content that was quarantined and has not been cleared since; `None` if it may run as any
-    /// other.
+    /// The trials of a content that was quarantined and has not been cleared since; `None` if it may
+    /// run without a trial.
     pub fn trials(&self, fingerprint: Fingerprint) -> Option<Trials> {
         let found =
             self.quarantines.binary_search_by_key(&fingerprint, |it| it.fingerprint).ok()?;
-        let Quarantine { last, failed, .. } = self.quarantines[found];
-        Some(Trials { last_crash: last, failed })
+        let Quarantine { last_crash, failed, .. } = self.quarantines[found];
+        Some(Trials { last_crash, failed })
     }
 
-    /// The quarantines in force, sorted by fingerprint, and the time until each ends.
+    /// The quarantines in force and the time until each ends, sorted by fingerprint.
     pub fn quarantines(&self, now: Time) -> Vec<(Fingerprint, Duration)> {
-        let standing = |it: &Quarantine| match self.status(now, it.fingerprint) {
+        let in_force = |it: &Quarantine| match self.status(now, it.fingerprint) {
             ContentStatus::Quarantined { retry_after } => Some((it.fingerprint, retry_after)),
             _ => None,
         };
-        self.quarantines.iter().filter_map(standing).collect()
+        self.quarantines.iter().filter_map(in_force).collect()
     }
 
     /// The crashes that count against `fingerprint`, sorted.
@@ -167,41 +167,41 @@
         crashes.map(|it| it.key.clone()).collect()
     }
 
-    /// Age of the newest of `crashes` that is known.
+    /// Age of the newest of `crashes`; `None` if none of them is known.
     pub fn newest_crash_age(&self, now: Time, crashes: &[CrashId]) -> Option<Duration> {
         let known = crashes.iter().filter_map(|key| self.find(key).ok());
         known.map(|found| now - self.crashes[found].at).min()
     }
 
-    /// Every fact, for an instance that has just started and for a snapshot.
+    /// All facts with their ages as of `now`, for an instance that has just started and for a snapshot.
     pub fn facts(&self, now: Time) -> Vec<Fact> {
         let mut facts = Vec::new();
-        for loss in &self.crashes {
-            let (key, age) = (loss.key.clone(), now - loss.at);
-            for &fingerprint in &loss.cleared {
+        for crash in &self.crashes {
+            let (key, age) = (crash.key.clone(), now - crash.at);
+            for &fingerprint in &crash.cleared {
                 facts.push(Fact::Cleared { fingerprint, crashes: vec![key.clone()], age });
             }
-            let (in_flight, trials) = (loss.in_flight.clone(), loss.trials.clone());
+            let (in_flight, trials) = (crash.in_flight.clone(), crash.trials.clone());
             facts.push(Fact::Crashed(CrashReport { key, age, in_flight, trials }));
         }
         facts
     }
 
-    /// The crashes of contents that more than one loss counts against: what is needed to keep them
-    /// from running, and no more.
+    /// Reports that cover only the contents with more than one crash against them. They are the minimum
+    /// that keeps these contents quarantined.
     pub fn repeated_crashes(&self, now: Time) -> Vec<Fact> {
-        let suspects = self.crashes.iter().flat_map(Loss::suspects);
+        let suspects = self.crashes.iter().flat_map(Crash::suspects);
         let mut suspects: Vec<Fingerprint> = suspects.collect();
         suspects.sort_unstable();
         let repeated: Vec<Fingerprint> =
             suspects.chunk_by(|a, b| a == b).filter(|it| it.len() > 1).map(|it| it[0]).collect();
-        let facts = self.crashes.iter().filter_map(|loss| {
-            let mut in_flight = loss.suspects();
+        let facts = self.crashes.iter().filter_map(|crash| {
+            let mut in_flight = crash.suspects();
             in_flight.retain(|it| repeated.binary_search(it).is_ok());
-            let mut trials = loss.trials.clone();
+            let mut trials = crash.trials.clone();
             trials.retain(|it| in_flight.binary_search(it).is_ok());
             let report =
-                CrashReport { key: loss.key.clone(), age: now - loss.at, in_flight, trials };
+                CrashReport { key: crash.key.clone(), age: now - crash.at, in_flight, trials };
             (!report.in_flight.is_empty()).then_some(Fact::Crashed(report))
         });
         facts.collect()
@@ -211,35 +211,35 @@
         self.crashes.binary_search_by(|it| it.key.cmp(key))
     }
 
-    /// The loss under `key`, new if it was not known; its earliest moment is kept.
-    fn loss(&mut self, key: &CrashId, at: Time) -> &mut Loss {
+    /// The crash with the id `key`, inserted if it was not known; the earliest reported moment is kept.
+    fn crash_mut(&mut self, key: &CrashId, at: Time) -> &mut Crash {
         let place = match self.find(key) {
             Ok(found) => found,
             Err(place) => {
                 let (in_flight, cleared, trials) = (Vec::new(), Vec::new(), Vec::new());
-                let loss = Loss { key: key.clone(), at, in_flight, cleared, trials };
-                self.crashes.insert(place, loss);
+                let crash = Crash { key: key.clone(), at, in_flight, cleared, trials };
+                self.crashes.insert(place, crash);
                 place
             }
         };
-        let loss = &mut self.crashes[place];
-        loss.at = loss.at.min(at);
-        loss
+        let crash = &mut self.crashes[place];
+        crash.at = crash.at.min(at);
+        crash
     }
 
-    fn learn_loss(&mut self, now: Time, report: &CrashReport) -> bool {
+    fn apply_crash(&mut self, now: Time, report: &CrashReport) -> bool {
         if report.age >= FACT_LIFETIME {
             return false;
         }
-        let loss = self.loss(&report.key, now.saturating_sub(report.age));
-        let is_tried = merge(&mut loss.trials, &report.trials);
-        merge(&mut loss.in_flight, &report.in_flight) || is_tried
+        let crash = self.crash_mut(&report.key, now.saturating_sub(report.age));
+        let has_new_trials = merge(&mut crash.trials, &report.trials);
+        merge(&mut crash.in_flight, &report.in_flight) || has_new_trials
     }
 
-    fn learn_clearance(&mut self, at: Time, fingerprint: Fingerprint, crashes: &[CrashId]) -> bool {
+    fn apply_clearance(&mut self, at: Time, fingerprint: Fingerprint, crashes: &[CrashId]) -> bool {
         let mut is_new = false;
         for key in crashes {
-            is_new |= merge(&mut self.loss(key, at).cleared, &[fingerprint]);
+            is_new |= merge(&mut self.crash_mut(key, at).cleared, &[fingerprint]);
         }
         is_new
     }
@@ -251,17 +251,18 @@
         }
     }
 
-    /// Quarantines the strongest candidates first; the crashes they explain count against no other.
-    fn quarantine_all(&mut self) {
+    /// Recomputes all quarantines, those with the strongest evidence first. A crash that a quarantined
+    /// content explains counts against no other content.
+    fn recompute_quarantines(&mut self) {
         self.quarantines.clear();
         loop {
-            let open = self.unexplained_losses();
-            let candidates: Vec<Quarantine> = open
+            let unexplained = self.unexplained_crashes();
+            let candidates: Vec<Quarantine> = unexplained
                 .chunk_by(|a, b| a.fingerprint == b.fingerprint)
                 .filter_map(candidate)
                 .collect();
             let Some(strongest) = candidates.iter().map(Quarantine::strength).max() else {
-                self.suspects = open.into_iter().map(|it| it.fingerprint).collect();
+                self.suspects = unexplained.into_iter().map(|it| it.fingerprint).collect();
                 self.suspects.dedup();
                 return;
             };
@@ -271,11 +272,12 @@
         }
     }
 
-    /// Each unexplained loss of each content, sorted by content and time.
-    fn unexplained_losses(&self) -> Vec<Evidence> {
+    /// Each crash that no quarantined content explains, for each of its suspects, sorted by content and
+    /// time.
+    fn unexplained_crashes(&self) -> Vec<Evidence> {
         let mut evidence = Vec::new();
-        for loss in &self.crashes {
-            let suspects = loss.suspects();
+        for crash in &self.crashes {
+            let suspects = crash.suspects();
             let is_quarantined = |it: &Fingerprint| {
                 self.quarantines
                     .binary_search_by_key(it, |quarantine| quarantine.fingerprint)
@@ -284,10 +286,10 @@
             if suspects.iter().any(is_quarantined) {
                 continue;
             }
-            let is_alone = suspects.len() == 1;
+            let is_isolated = suspects.len() == 1;
             evidence.extend(suspects.into_iter().map(|fingerprint| {
-                let is_trial = loss.trials.binary_search(&fingerprint).is_ok();
-                Evidence { fingerprint, at: loss.at, is_alone, is_trial }
+                let is_trial = crash.trials.binary_search(&fingerprint).is_ok();
+                Evidence { fingerprint, at: crash.at, is_isolated, is_trial }
             }));
         }
         evidence.sort_unstable();
@@ -295,10 +297,10 @@
     }
 }
 
-impl Loss {
+impl Crash {
     fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
-        let is_flying = self.in_flight.binary_search(&fingerprint).is_ok();
-        is_flying && self.cleared.binary_search(&fingerprint).is_err()
+        let is_in_flight = self.in_flight.binary_search(&fingerprint).is_ok();
+        is_in_flight && self.cleared.binary_search(&fingerprint).is_err()
     }
 
     fn suspects(&self) -> Vec<Fingerprint> {
@@ -307,26 +309,26 @@
 }
 
 impl Quarantine {
-    /// Losses that nothing else can have caused, then all crashes.
+    /// Sort key: crashes that nothing else can have caused, then all crashes.
     fn strength(&self) -> (usize, usize) {
-        (self.alone, self.crashes)
+        (self.isolated, self.crashes)
     }
 }
 
-/// The quarantine of one content, if its crashes are reason for it.
+/// The quarantine of the content that all of `evidence` is about, if there is enough of it.
 fn candidate(evidence: &[Evidence]) -> Option<Quarantine> {
     let crashes = evidence.len();
-    let alone = evidence.iter().filter(|it| it.is_alone).count();
+    let isolated = evidence.iter().filter(|it| it.is_isolated).count();
     let failed = evidence.iter().filter(|it| it.is_trial).count();
-    let is_likely = crashes >= QUARANTINE_CRASHES_ISOLATED && alone > 0;
+    let is_likely = crashes >= QUARANTINE_CRASHES_ISOLATED && isolated > 0;
     if !is_likely && crashes < QUARANTINE_CRASHES_SHARED {
         return None;
     }
-    let &Evidence { fingerprint, at: last, .. } = evidence.last()?;
-    Some(Quarantine { fingerprint, last, crashes, alone, failed })
+    let &Evidence { fingerprint, at: last_crash, .. } = evidence.last()?;
+    Some(Quarantine { fingerprint, last_crash, crashes, isolated, failed })
 }
 
-/// Adds `more` to a sorted set; tells whether it grew.
+/// Adds `more` to the sorted `set`; returns whether it grew.
 fn merge(set: &mut Vec<Fingerprint>, more: &[Fingerprint]) -> bool {
     let count = set.len();
     set.extend_from_slice(more);
@@ -335,7 +337,8 @@
     set.len() > count
 }
 
-/// Lifetime of a quarantine by `crashes` crashes: doubled by each beyond the second.
+/// Lifetime of a quarantine after `crashes` crashes: doubled by each one beyond the second, up to
+/// [`FACT_LIFETIME`].
 fn quarantine_lifetime(crashes: usize) -> Duration {
     let doublings = crashes.saturating_sub(QUARANTINE_CRASHES_ISOLATED).min(8);
     (QUARANTINE_LIFETIME * (1 << doublings)).min(FACT_LIFETIME)
--- a/crates/medlarlug-core/src/suspects/mod.rs
+++ b/crates/medlarlug-core/src/suspects/mod.rs
@@ -1,30 +1,32 @@
-//! Requests that crash upstreams.
+//! Requests whose content crashes upstreams.
 //!
-//! When an upstream is lost without an explanation, every request in flight on it becomes a
-//! *suspect*, known by the fingerprint of its content. A suspect that is tried again runs alone on
-//! an upstream, so that the others clear themselves by completing. The evidence is a set of
-//! [`Fact`]s: losses, each named by the upstream and its incarnation, and clearances. Facts merge
-//! by set union in any order and any number of times, so every entry instance, and the home group
-//! of every region, reaches the same quarantines from the same [`CrashLedger`] code.
+//! When an upstream crashes without another explanation, the content of every request in flight on it,
+//! known by its fingerprint, becomes a *suspect*. A suspect that is retried has an upstream to itself,
+//! so that the others are cleared as soon as they complete. The evidence is a set of [`Fact`]s:
+//! crashes, each identified by the upstream and its incarnation, and clearances. Facts merge by set
+//! union in any order and any number of times, so every entry instance, and the home group of every
+//! region, derives the same quarantines with the same [`CrashLedger`] code.
 //!
-//! A whole run clears a content of every loss so far, and for a minute of those that follow: a content
-//! that crashes upstreams crashes each one, and a common one is in flight at whichever is lost.
+//! A completed run clears a content of all crashes so far, and for a minute of those that follow. A
+//! content that crashes upstreams crashes every one that runs it, while a common content is in flight
+//! on whichever upstream crashes.
 //!
 //! A fingerprint is quarantined when
 //!
-//! - two losses name it, and on one of them it was the only request in flight, or all others have
-//!   been cleared of that loss, or
-//! - three losses name it.
+//! - two crashes name it, and in one of them it was the only request in flight, or all others have
+//!   been cleared of that crash, or
+//! - three crashes name it.
 //!
-//! A loss that a quarantined fingerprint explains counts against no other. A quarantine lasts
-//! [`QUARANTINE_LIFETIME`], doubled by every further loss; after that the content runs as a
-//! suspect again, and its next loss quarantines at once.
+//! A crash that a quarantined fingerprint explains counts against no other. A quarantine lasts
+//! [`QUARANTINE_LIFETIME`], doubled by every further crash; after that the content runs as a
+//! suspect again, and its next crash quarantines it at once.
 //!
-//! Bound: one content that is sent one at a time, each after the facts of the last loss have
-//! arrived, loses at most two upstreams where an upstream can be had alone, at most three
+//! Bound: one content that is sent one request at a time, each after the facts of the last crash have
+//! arrived, crashes at most two upstreams if an upstream is available for it alone, and at most three
 //! otherwise, until its quarantine ends. An instance runs a suspected content once at a time, so
-//! sends that overlap at `c` instances, or that outrun the facts, add one loss for each instance.
-//! Sends that were in flight when the first upstream was lost add one loss each. On two sides of a partition the bound holds for each side.
+//! requests that overlap at `c` instances, or that are sent before the facts arrive, add one crash for
+//! each instance. Requests that were in flight when the first upstream crashed add one crash each.
+//! During a partition the bound holds for each side.
 
 mod fact_log;
 mod isolation;
@@ -47,39 +49,40 @@
     trials::{Trials, trial_instance},
 };
 
-/// First lifetime of a quarantine.
+/// Lifetime of a quarantine after the number of crashes that first leads to one.
 pub const QUARANTINE_LIFETIME: Duration = Duration::from_secs(600);
-/// Time for which facts are kept.
+/// Age at which facts are forgotten, and the maximum lifetime of a quarantine.
 pub const FACT_LIFETIME: Duration = Duration::from_secs(24 * 3_600);
-/// Losses that a ledger keeps at most; the oldest go first.
+/// Maximum number of crashes in a ledger; the oldest are dropped first.
 pub const MAX_STORED_CRASHES: usize = 1_024;
-/// Losses that quarantine if one of them had no other request in flight.
+/// Crashes that quarantine a content if in one of them no other suspect was in flight.
 pub const QUARANTINE_CRASHES_ISOLATED: usize = 2;
-/// Losses that quarantine whatever else was in flight.
+/// Crashes that quarantine a content whatever else was in flight.
 pub const QUARANTINE_CRASHES_SHARED: usize = 3;
-/// Time for which an upstream is reserved for one suspect at most.
+/// Maximum time for which an upstream is reserved for one suspect.
 pub const RESERVATION_LIFETIME: Duration = Duration::from_secs(60);
 
-/// Evidence that instances share; carries its age, never a clock reading.
+/// Evidence that instances exchange. It carries its age instead of a timestamp, as instances share no
+/// clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fact {
-    /// An upstream was lost without an explanation.
+    /// An upstream crashed without another explanation.
     #[serde(rename = "Lost")]
     Crashed(CrashReport),
-    /// A suspect ran to its end.
+    /// A request with this content completed.
     Cleared {
-        /// Its content.
+        /// Fingerprint of the content.
         fingerprint: Fingerprint,
-        /// Losses that no longer count against it, sorted.
+        /// Crashes that no longer count against the content, sorted.
         #[serde(rename = "losses")]
         crashes: Vec<CrashId>,
-        /// Time since the newest of these losses.
+        /// Time since the newest of these crashes.
         age: Duration,
     },
 }
 
 impl Fact {
-    /// The fact as it is told `time` later.
+    /// The fact with its age increased by `time`.
     pub fn aged_by(&self, time: Duration) -> Fact {
         match self.clone() {
             Fact::Crashed(report) => {
@@ -91,7 +94,7 @@
         }
     }
 
-    /// The fact without its age, to tell whether two say the same.
+    /// The fact with an age of zero, for comparison with facts received at other times.
     pub fn without_age(&self) -> Fact {
         match self.clone() {
             Fact::Crashed(report) => Fact::Crashed(CrashReport { age: Duration::ZERO, ..report }),
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Its age.
+    /// Time since the crash, or since the newest of the cleared crashes.
     pub fn age(&self) -> Duration {
         match self {
             Fact::Crashed(report) => report.age,
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Contents that the fact names.
+    /// Number of contents that the fact names.
     pub fn content_count(&self) -> usize {
         match self {
             Fact::Crashed(report) => report.in_flight.len(),
@@ -118,26 +121,26 @@
     }
 }
 
-/// Names a loss.
+/// Identifies a crash; equal for all instances that report it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashId {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// The incarnation that was lost.
+    /// The incarnation that crashed.
     pub incarnation: Incarnation,
 }
 
-/// One upstream's loss as one entry instance saw it.
+/// The crash of one upstream as one entry instance observed it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The loss.
+    /// The crash.
     pub key: CrashId,
-    /// Time since it was noticed.
+    /// Time since the reporting instance noticed the crash.
     pub age: Duration,
-    /// Contents that the reporting instance had in flight there, sorted.
+    /// Contents that the reporting instance had in flight on the upstream, sorted.
     #[serde(rename = "flying")]
     pub in_flight: Vec<Fingerprint>,
-    /// Those of them that were quarantined and ran as a trial, sorted.
+    /// Those of the contents in flight that were quarantined and ran as a trial, sorted.
     #[serde(rename = "tried")]
     pub trials: Vec<Fingerprint>,
 }
@@ -145,86 +148,86 @@
 /// Whether a request may run on an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Placement {
-    /// It may.
+    /// It may run there.
     Allowed,
-    /// It is a suspect and would share the upstream with requests that are not; only if no other
-    /// upstream is free.
+    /// It is a suspect and would share the upstream with requests that are not; allowed only if no
+    /// other upstream is.
     LastResort,
-    /// It may not: a suspect runs there, the upstream is reserved for one, or the same suspected
-    /// content is in flight already.
+    /// It may not run there: a suspect runs there, the upstream is reserved for one, the content is
+    /// quarantined, or the same suspected content is already in flight.
     Denied,
 }
 
-/// What happens to the requests in flight.
+/// An input of [`SuspectTracker::handle`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A request was sent to an upstream.
     Sent {
         /// The request.
         request: RequestId,
-        /// Its content.
+        /// Fingerprint of its content.
         fingerprint: Fingerprint,
         /// The upstream.
         upstream: UpstreamId,
         /// The upstream's incarnation.
         incarnation: Incarnation,
     },
-    /// A request got its whole answer.
+    /// A request received its complete answer, which clears its content.
     Completed {
         /// The request.
         request: RequestId,
     },
-    /// A request ended in another way, which proves nothing.
+    /// A request ended in a way that is no evidence for or against its content.
     Inconclusive {
         /// The request.
         request: RequestId,
     },
-    /// An upstream crashed: its lease ran out, or it came back under a new incarnation.
+    /// An upstream crashed: its lease expired, or it returned with a new incarnation.
     ///
-    /// A connection that fell silent, and a leaving upstream, are no loss.
+    /// An unresponsive connection, and an upstream that announced its shutdown, are no crash.
     UpstreamCrashed {
         /// The upstream.
         upstream: UpstreamId,
-        /// The incarnation that was lost.
+        /// The incarnation that crashed.
         incarnation: Incarnation,
     },
-    /// A fact came from a peer or from the home group.
+    /// A fact was received from a peer or from the home group.
     FactReceived(Fact),
     /// A peer of the zone reserved an upstream for a suspect.
     Reserved {
         /// The upstream.
         upstream: UpstreamId,
-        /// Time that is left of the reservation.
+        /// Remaining time of the reservation.
         lifetime: Duration,
     },
-    /// A peer of the zone gave its reservation up.
+    /// A peer of the zone released its reservation.
     ReservationReleased {
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// Time passes.
+    /// Expires old facts, completed runs and reservations; sent at regular intervals.
     Tick,
 }
 
-/// What the shell has to do.
+/// An action that the embedding process has to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Send the fact to the home group and to the region's entry instances; the home group hands
-    /// it on to the other regions.
+    /// Send the fact to the home group and to the region's entry instances; the home group forwards
+    /// it to the other regions.
     Publish(Fact),
-    /// The request's upstream was lost under it: decide on a retry, or give it up.
+    /// The request's upstream crashed while the request was in flight: retry it or give it up.
     Interrupted {
         /// The request.
         request: RequestId,
     },
-    /// Tell the zone's entry instances to send nothing else to the upstream.
+    /// Notify the zone's entry instances to send no other request to the upstream.
     Reserve {
         /// The upstream.
         upstream: UpstreamId,
-        /// Longest time of the reservation.
+        /// Maximum time of the reservation.
         lifetime: Duration,
     },
-    /// Tell the zone's entry instances that the reservation has ended.
+    /// Notify the zone's entry instances that the reservation has ended.
     ReleaseReservation {
         /// The upstream.
         upstream: UpstreamId,
--- a/crates/medlarlug-core/src/suspects/trials.rs
+++ b/crates/medlarlug-core/src/suspects/trials.rs
@@ -1,19 +1,20 @@
-//! When a quarantined content runs once more, and where.
+//! When a quarantined content runs as a trial, and at which instance.
 //!
-//! Upstreams also crash by themselves, and a content that many callers send is in flight at whichever does: if
-//! all upstreams of a service crash together, its most asked-for content is quarantined. So a quarantined
-//! content is not simply refused until its time is up: one instance, on which all that see the same peers agree,
-//! runs it once at a time, seconds apart. A whole run clears it everywhere. Only what loses its upstream in such
-//! a trial as well is refused for long.
+//! Upstreams also crash without a faulty content, and a content that many callers send is in flight on
+//! whichever one does: if all upstreams of a service crash together, its most requested content is
+//! quarantined. A quarantined content is therefore not just refused until its quarantine ends. One
+//! instance, which all instances that see the same peers agree on, runs it as a trial: one request at a
+//! time, seconds apart. A completed trial clears the content at all instances. Only a content that
+//! crashes its upstream in trials as well is refused for long.
 //!
-//! Evidence is weighed by how likely it is without the content being at fault. With an upstream that crashes by
-//! itself every few minutes and a trial that runs for a second, a sound content fails one trial in some hundred,
-//! and two in some ten thousand; the losses that quarantine it are, after all upstreams crashed together, no
-//! evidence at all.
+//! Evidence is weighed by how likely it is if the content is not at fault. If an upstream crashes by
+//! itself every few minutes and a trial runs for a second, a sound content fails about one trial in a
+//! hundred, and two in a row about once in ten thousand. After all upstreams have crashed together, the
+//! crashes that led to the quarantine are no evidence at all.
 //!
-//! Bound: a content that crashes upstreams loses two or three until it is quarantined, one in each of the first
-//! two trials within seconds, one in a third after [`QUARANTINE_LIFETIME`], and none after that until its facts
-//! are forgotten.
+//! Bound: a content that crashes upstreams crashes two or three before it is quarantined, one in each
+//! of the first two trials within seconds, one in a third trial after [`QUARANTINE_LIFETIME`], and none
+//! after that until its facts are forgotten.
 
 use std::time::Duration;
 
@@ -25,25 +26,26 @@
     time::Time,
 };
 
-/// Pause before the first trial: all instances have heard of the losses, and upstreams are back.
-const FIRST_PAUSE: Duration = Duration::from_secs(2);
-/// Longest pause before a trial of a content that has failed at most one.
-const LONGEST_PAUSE: Duration = Duration::from_secs(60);
-/// Failed trials after which a content is refused for long.
-const PROVING_TRIALS: usize = 2;
+/// Delay before the first trial, by which all instances have received the crash reports and upstreams have
+/// restarted.
+const FIRST_TRIAL_DELAY: Duration = Duration::from_secs(2);
+/// Maximum delay before a trial of a content that has failed at most one.
+const MAX_TRIAL_DELAY: Duration = Duration::from_secs(60);
+/// Failed trials after which the next trial waits for [`QUARANTINE_LIFETIME`].
+const FAILED_TRIALS_BEFORE_LONG_DELAY: usize = 2;
 
-/// What is known of the trials of a quarantined content.
+/// The trial history of a quarantined content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Trials {
-    /// The last loss that counts against it.
+    /// Time of the newest crash that counts against the content.
     pub last_crash: Time,
-    /// Trials that lost their upstream.
+    /// Number of trials that crashed their upstream.
     pub failed: usize,
 }
 
 impl Trials {
-    /// When the next trial may begin, after `attempts` at this instance that proved nothing, the newest one at
-    /// `tried`.
+    /// When the next trial may begin, after `attempts` inconclusive trials at this instance, the newest
+    /// one at `last_attempt`.
     ///
     /// ```
     /// use medlarlug_core::{suspects::Trials, time::Time};
@@ -51,21 +53,23 @@
     ///
     /// let fresh = Trials { last_crash: Time::ZERO, failed: 0 };
     /// assert_eq!(fresh.next_trial_at(0, None), Time::ZERO + Duration::from_secs(2));
-    /// let proved = Trials { last_crash: Time::ZERO, failed: 2 };
-    /// assert_eq!(proved.next_trial_at(0, None), Time::ZERO + Duration::from_secs(600));
+    /// let convicted = Trials { last_crash: Time::ZERO, failed: 2 };
+    /// assert_eq!(convicted.next_trial_at(0, None), Time::ZERO + Duration::from_secs(600));
     /// ```
-    pub fn next_trial_at(self, attempts: u32, tried: Option<Time>) -> Time {
+    pub fn next_trial_at(self, attempts: u32, last_attempt: Option<Time>) -> Time {
         let doublings = u32::try_from(self.failed).unwrap_or(u32::MAX).saturating_add(attempts);
-        let pause = match self.failed {
-            0..PROVING_TRIALS => (FIRST_PAUSE * 2u32.pow(doublings.min(5))).min(LONGEST_PAUSE),
-            PROVING_TRIALS => QUARANTINE_LIFETIME,
+        let delay = match self.failed {
+            0..FAILED_TRIALS_BEFORE_LONG_DELAY => {
+                (FIRST_TRIAL_DELAY * 2u32.pow(doublings.min(5))).min(MAX_TRIAL_DELAY)
+            }
+            FAILED_TRIALS_BEFORE_LONG_DELAY => QUARANTINE_LIFETIME,
             _ => FACT_LIFETIME,
         };
-        tried.max(Some(self.last_crash)).unwrap_or(self.last_crash) + pause
+        last_attempt.max(Some(self.last_crash)).unwrap_or(self.last_crash) + delay
     }
 }
 
-/// The instance that tries a content, among those that could.
+/// The one of `instances` that runs the trials of `content`; does not depend on their order.
 pub fn trial_instance(content: Fingerprint, instances: &[InstanceId]) -> Option<&InstanceId> {
     let content = content.to_string();
     instances.iter().max_by_key(|instance| rank(&content, instance.as_str()))
