--- a/crates/medlarlug-core/src/admission/mod.rs
+++ b/crates/medlarlug-core/src/admission/mod.rs
@@ -1,15 +1,15 @@
 //! Admission: which waiting request starts next, and which is refused before it starts.
 //!
 //! One [`AdmissionQueue`] per instance and target holds the requests that wait for a free slot. A
-//! request starts at once, waits, or is refused; once it waits, it starts or is refused by its
+//! request starts at once, waits, or is refused; a waiting request starts or is refused by its
 //! deadline. The order is start-time fair queueing: a request's *start tag* is the larger of the
 //! queue's virtual time and its team's last finish tag, and its finish tag adds its cost, so that
-//! teams that wait share the slots by cost, whatever each of them sends. A higher priority goes
-//! first, but for every eighth start, which goes to the lowest tag of all.
+//! waiting teams share the slots by cost, however many requests each of them sends. A higher priority
+//! goes first, except for every eighth start, which goes to the lowest tag regardless of priority.
 //!
-//! The queue is bounded by time: a request whose predicted start plus its own shortest service
-//! time lies past its deadline, or whose predicted wait exceeds the bound, is refused at once,
-//! with the time until the queue will have drained as the time to come back.
+//! The queue is bounded by time: a request whose predicted start plus its own minimum time to the first
+//! byte lies past its deadline, or whose predicted wait exceeds the bound, is refused at once,
+//! with the predicted time until the queue has drained as its retry delay.
 
 mod queue;
 
@@ -26,11 +26,11 @@
 /// Bounds of the queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdmissionPolicy {
-    /// Longest predicted wait for a slot.
+    /// Maximum predicted wait for a slot; a request with a longer one is refused.
     pub max_wait: Duration,
-    /// Service time of one unit of cost, until requests have been measured.
+    /// Initial estimate of the service time of a request of mean cost; measurements then adjust it.
     pub initial_service_time: Duration,
-    /// Seed of the jitter on the time to come back.
+    /// Seed of the jitter on the retry delay of refusals.
     pub seed: u64,
 }
 
@@ -44,53 +44,53 @@
     }
 }
 
-/// A request that asks to start.
+/// A request to be admitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
     /// The request.
     pub request: RequestId,
-    /// Whose it is.
+    /// Team that sent the request; teams share the slots by cost.
     pub team: TeamId,
-    /// A higher one goes first.
+    /// Requests with a higher value start first.
     pub priority: u8,
-    /// Moment by which its answer has to begin.
+    /// Time by which the answer has to begin.
     pub deadline: Time,
-    /// Shortest time from start to the first byte of the answer.
+    /// Minimum time from the start of the request to the first byte of its answer.
     pub min_time_to_first_byte: Duration,
-    /// Work that it brings, in units of a mean request's thousandth; 1,000 is a mean request.
+    /// Amount of work, in thousandths of a mean request: a mean request costs 1,000.
     pub cost: u32,
 }
 
-/// What happens to the queue.
+/// An input of [`AdmissionQueue::handle`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A request came.
+    /// A request arrived.
     Arrived(Arrival),
-    /// This many requests may run at once from now on.
+    /// From now on, at most this many requests may run at once.
     Capacity(u32),
-    /// A started request has ended and frees its slot.
+    /// A started request has ended and releases its slot.
     Finished {
         /// The request.
         request: RequestId,
     },
-    /// Time passes.
+    /// Refuses requests that can no longer start in time; sent at regular intervals.
     Tick,
-    /// The caller closed its connection.
+    /// The caller of a waiting or running request closed its connection.
     CallerDisconnected {
         /// The request.
         request: RequestId,
     },
 }
 
-/// What the shell has to do.
+/// An action that the embedding process has to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Route the request and send it.
+    /// Route the request and send it to an upstream.
     Start {
         /// The request.
         request: RequestId,
     },
-    /// Give the caller its final answer now.
+    /// Refuse the request to the caller.
     Refuse {
         /// The request.
         request: RequestId,
--- a/crates/medlarlug-core/src/admission/queue.rs
+++ b/crates/medlarlug-core/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one target.
+//! The admission queue of one target.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -9,30 +9,30 @@
     time::Time,
 };
 
-/// Every so many starts, the lowest start tag goes first whatever its priority.
-const STARTS_PER_RELIEF: u64 = 8;
-/// Cost of a mean request.
+/// One in this many starts goes to the lowest start tag regardless of priority, so that low priorities
+/// don't starve.
+const STARTS_PER_PRIORITY_BYPASS: u64 = 8;
 const MEAN_COST: f64 = 1_000.0;
-/// Weight of a new measurement in the mean service time.
-const SERVICE_WEIGHT: f64 = 0.1;
+/// Weight of a new measurement in the exponential mean of the service time.
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
 #[derive(Debug, Clone)]
 struct Waiting {
     arrival: Arrival,
-    tag: u64,
-    order: u64,
+    start_tag: u64,
+    sequence: u64,
 }
 
 impl Waiting {
-    fn key(&self) -> (Reverse<u8>, u64, u64) {
-        (Reverse(self.arrival.priority), self.tag, self.order)
+    fn sort_key(&self) -> (Reverse<u8>, u64, u64) {
+        (Reverse(self.arrival.priority), self.start_tag, self.sequence)
     }
 }
 
 #[derive(Debug, Clone)]
 struct Running {
     request: RequestId,
-    since: Time,
+    started_at: Time,
     cost: u32,
 }
 
@@ -40,7 +40,7 @@
 ///
 /// ```
 /// use medlarlug_core::{
-///     admission::{AdmissionQueue, AdmissionPolicy, Arrival, Effect, Event},
+///     admission::{AdmissionPolicy, AdmissionQueue, Arrival, Effect, Event},
 ///     time::Time,
 /// };
 /// use std::time::Duration;
@@ -66,78 +66,78 @@
     capacity: u32,
     running: Vec<Running>,
     waiting: Vec<Waiting>,
-    finish: Vec<(TeamId, u64)>,
+    finish_tags: Vec<(TeamId, u64)>,
     virtual_time: u64,
     starts: u64,
     arrivals: u64,
-    service: f64,
-    spread: RetryJitter,
+    service_seconds: f64,
+    jitter: RetryJitter,
 }
 
 impl AdmissionQueue {
-    /// An empty queue without capacity.
+    /// Creates an empty queue with a capacity of zero.
     pub fn new(policy: AdmissionPolicy) -> AdmissionQueue {
         AdmissionQueue {
             capacity: 0,
             running: Vec::new(),
             waiting: Vec::new(),
-            finish: Vec::new(),
+            finish_tags: Vec::new(),
             virtual_time: 0,
             starts: 0,
             arrivals: 0,
-            service: policy.initial_service_time.as_secs_f64(),
-            spread: RetryJitter::new(policy.seed),
+            service_seconds: policy.initial_service_time.as_secs_f64(),
+            jitter: RetryJitter::new(policy.seed),
             policy,
         }
     }
 
-    /// Requests that wait.
+    /// Number of requests that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests that run.
+    /// Number of requests that have started and not ended.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Mean service time of a request of mean cost, as measured so far.
+    /// Estimated service time of a request of mean cost.
     pub fn service_time(&self) -> Duration {
-        Duration::from_secs_f64(self.service)
+        Duration::from_secs_f64(self.service_seconds)
     }
 
-    /// Predicted time until everything that waits has started; `None` without capacity.
+    /// Predicted time until all waiting requests have started; `None` without capacity.
     pub fn drain_time(&self) -> Option<Duration> {
         let cost = self.waiting.iter().map(|it| u64::from(it.arrival.cost)).sum();
         self.predict(cost)
     }
 
-    /// Feeds one event in.
+    /// Handles one event and appends the resulting effects to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Arrived(arrival) => self.enqueue(arrival),
             Event::Capacity(capacity) => self.capacity = capacity,
             Event::Finished { request } => self.finish(now, &request),
-            Event::CallerDisconnected { request } => self.forget(&request),
-            Event::Tick => self.prune(),
+            Event::CallerDisconnected { request } => self.remove_disconnected(&request),
+            Event::Tick => self.drop_passed_tags(),
         }
         self.start(now, out);
-        self.shed(now, out);
+        self.refuse_late(now, out);
     }
 
     fn enqueue(&mut self, arrival: Arrival) {
-        let last = match self.finish.binary_search_by(|it| it.0.cmp(&arrival.team)) {
+        let last = match self.finish_tags.binary_search_by(|it| it.0.cmp(&arrival.team)) {
             Ok(found) => found,
             Err(place) => {
-                self.finish.insert(place, (arrival.team.clone(), 0));
+                self.finish_tags.insert(place, (arrival.team.clone(), 0));
                 place
             }
         };
-        let tag = self.finish[last].1.max(self.virtual_time);
-        self.finish[last].1 = tag + u64::from(arrival.cost);
+        let start_tag = self.finish_tags[last].1.max(self.virtual_time);
+        self.finish_tags[last].1 = start_tag + u64::from(arrival.cost);
         self.arrivals += 1;
-        let waiting = Waiting { arrival, tag, order: self.arrivals };
-        let place = self.waiting.partition_point(|it| it.key() < waiting.key());
+        let waiting = Waiting { arrival, start_tag, sequence: self.arrivals };
+        let place = self.waiting.partition_point(|it| it.sort_key() < waiting.sort_key());
         self.waiting.insert(place, waiting);
     }
 
@@ -146,8 +146,8 @@
             return;
         };
         let cost = f64::from(running.cost.max(1)) / MEAN_COST;
-        let sample = (now - running.since).as_secs_f64() / cost;
-        self.service += SERVICE_WEIGHT * (sample - self.service);
+        let sample = (now - running.started_at).as_secs_f64() / cost;
+        self.service_seconds += SERVICE_TIME_WEIGHT * (sample - self.service_seconds);
     }
 
     fn take_running(&mut self, request: &RequestId) -> Option<Running> {
@@ -155,8 +155,9 @@
         Some(self.running.remove(found))
     }
 
-    /// Takes a request out that nobody waits for; a running one frees its slot unmeasured.
-    fn forget(&mut self, request: &RequestId) {
+    /// Removes a request whose caller has disconnected. A running one releases its slot, but does not
+    /// count as a measurement of the service time.
+    fn remove_disconnected(&mut self, request: &RequestId) {
         let place = self.waiting.iter().position(|it| it.arrival.request == *request);
         match place {
             Some(place) => drop(self.remove(place)),
@@ -164,46 +165,47 @@
         }
     }
 
-    /// Teams without a debt need no entry.
-    fn prune(&mut self) {
+    /// Removes the finish tags that the virtual time has passed: their teams are treated like new ones.
+    fn drop_passed_tags(&mut self) {
         let now = self.virtual_time;
-        self.finish.retain(|it| it.1 > now);
+        self.finish_tags.retain(|it| it.1 > now);
     }
 
     fn start(&mut self, now: Time, out: &mut Vec<Effect>) {
         while self.running.len() < self.capacity as usize && !self.waiting.is_empty() {
-            let place = self.next_place();
+            let place = self.next_index();
             if is_too_late(now, &self.waiting[place].arrival) {
                 self.refuse(now, place, out);
                 continue;
             }
             let next = self.waiting.remove(place);
             self.starts += 1;
-            self.virtual_time = self.virtual_time.max(next.tag);
+            self.virtual_time = self.virtual_time.max(next.start_tag);
             self.run(now, &next.arrival);
             out.push(Effect::Start { request: next.arrival.request });
         }
     }
 
-    fn next_place(&self) -> usize {
-        if !(self.starts + 1).is_multiple_of(STARTS_PER_RELIEF) {
+    fn next_index(&self) -> usize {
+        if !(self.starts + 1).is_multiple_of(STARTS_PER_PRIORITY_BYPASS) {
             return 0;
         }
         let lowest = (0..self.waiting.len())
-            .min_by_key(|&it| (self.waiting[it].tag, self.waiting[it].order));
+            .min_by_key(|&it| (self.waiting[it].start_tag, self.waiting[it].sequence));
         lowest.unwrap_or(0)
     }
 
     fn run(&mut self, now: Time, arrival: &Arrival) {
-        let running = Running { request: arrival.request.clone(), since: now, cost: arrival.cost };
+        let running =
+            Running { request: arrival.request.clone(), started_at: now, cost: arrival.cost };
         match self.running.binary_search_by(|it| it.request.cmp(&running.request)) {
             Ok(found) => self.running[found] = running,
             Err(place) => self.running.insert(place, running),
         }
     }
 
-    /// Refuses what can't start in time.
-    fn shed(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Refuses the waiting requests that can't start in time.
+    fn refuse_late(&mut self, now: Time, out: &mut Vec<Effect>) {
         let (mut place, mut ahead) = (0, 0);
         while place < self.waiting.len() {
             if self.is_in_time(now, &self.waiting[place].arrival, ahead) {
@@ -223,13 +225,13 @@
             && now + wait + arrival.min_time_to_first_byte <= arrival.deadline
     }
 
-    /// Predicted wait for a slot behind work of cost `ahead`; `None` without capacity.
+    /// Predicted wait for a slot behind requests of total cost `ahead`; `None` without capacity.
     fn predict(&self, ahead: u64) -> Option<Duration> {
         if self.capacity == 0 {
             return None;
         }
         let requests = ahead as f64 / MEAN_COST + 1.0;
-        let seconds = requests * self.service / f64::from(self.capacity);
+        let seconds = requests * self.service_seconds / f64::from(self.capacity);
         Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
     }
 
@@ -240,31 +242,31 @@
             true => Reason::DeadlineImpossible,
             false => Reason::Overloaded,
         };
-        let refusal = self.spread.refuse(reason, wait);
+        let refusal = self.jitter.refuse(reason, wait);
         out.push(Effect::Refuse { request: arrival.request, refusal });
     }
 
-    /// Takes a waiting request out and gives its team the cost back.
+    /// Removes a waiting request and lowers the tags of its team's later requests by its cost.
     fn remove(&mut self, place: usize) -> Arrival {
-        let gone = self.waiting.remove(place);
-        let cost = u64::from(gone.arrival.cost);
-        let floor = self.virtual_time;
-        let team = &gone.arrival.team;
+        let removed = self.waiting.remove(place);
+        let cost = u64::from(removed.arrival.cost);
+        let min_tag = self.virtual_time;
+        let team = &removed.arrival.team;
         for it in self.waiting.iter_mut() {
-            if it.order > gone.order && it.arrival.team == *team {
-                it.tag = it.tag.saturating_sub(cost).max(floor);
+            if it.sequence > removed.sequence && it.arrival.team == *team {
+                it.start_tag = it.start_tag.saturating_sub(cost).max(min_tag);
             }
         }
-        if let Ok(found) = self.finish.binary_search_by(|it| it.0.cmp(team)) {
-            let debt = &mut self.finish[found].1;
-            *debt = debt.saturating_sub(cost).max(floor);
+        if let Ok(found) = self.finish_tags.binary_search_by(|it| it.0.cmp(team)) {
+            let finish_tag = &mut self.finish_tags[found].1;
+            *finish_tag = finish_tag.saturating_sub(cost).max(min_tag);
         }
-        self.waiting.sort_by_key(Waiting::key);
-        gone.arrival
+        self.waiting.sort_by_key(Waiting::sort_key);
+        removed.arrival
     }
 }
 
-/// Whether the deadline can't be met even by a start at once.
+/// Whether the deadline would be missed even if the request started at `now`.
 fn is_too_late(now: Time, arrival: &Arrival) -> bool {
     now + arrival.min_time_to_first_byte > arrival.deadline
 }
--- a/crates/medlarlug-core/src/limits/bucket.rs
+++ b/crates/medlarlug-core/src/limits/bucket.rs
@@ -7,41 +7,41 @@
     time::Time,
 };
 
-/// Time constant of the mean over which demand is measured. A shorter one follows single requests of
-/// teams that send one in some seconds, and reports each.
-const DEMAND_TIME: Duration = Duration::from_secs(8);
-/// Rise of the demand, in levels, that is worth a report: a doubling.
-const REPORTED_RISE: u8 = 2;
-/// Fall of the demand, in levels, that is worth a report: to a quarter. It is told for the sake of
-/// the others, whose shares are too small until then.
-const REPORTED_FALL: u8 = 4;
-/// Demand, as a multiple of the weight that every instance has, from which on it is reported.
-const LEAST_DEMAND: f64 = 2.0;
-/// The same multiple below which a demand that was reported has ended.
-const ENDED_DEMAND: f64 = 0.5;
-
-/// A token bucket whose rate and size are a share of the team's.
+/// Time constant of the exponential mean that measures demand. With a shorter one, a team that sends a
+/// request every few seconds would cause a report for each.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(8);
+/// Rise of the demand, in levels, that is reported: a doubling.
+const MIN_REPORTED_RISE_LEVELS: u8 = 2;
+/// Fall of the demand, in levels, that is reported: to a quarter. Until peers know of it, their shares are
+/// smaller than they could be.
+const MIN_REPORTED_FALL_LEVELS: u8 = 4;
+/// Demand, as a multiple of the base weight of every instance, from which it is reported.
+const MIN_REPORTED_DEMAND: f64 = 2.0;
+/// Demand, as a multiple of the base weight, below which a reported demand counts as ended.
+const MIN_CONTINUED_DEMAND: f64 = 0.5;
+
+/// A token bucket whose rate and size are a share of the team's rate and burst.
 #[derive(Debug, Clone)]
 pub(super) struct Bucket {
     pub limit: TeamLimit,
     pub key: TeamKey,
     share: f64,
     tokens: f64,
-    filled: Time,
+    filled_at: Time,
     arrivals: u32,
     demand: f64,
     /// Whether a request was refused since the last heartbeat.
     refused: bool,
-    /// Levels that were reported, and when; the last one is in force.
+    /// Levels that were reported, and when, oldest first; the last one is the current one.
     reported: VecDeque<(Time, DemandLevel)>,
-    /// Number of the last report that told a change.
-    told: u64,
-    /// Number of the last report that told a rise.
-    risen: u64,
+    /// Sequence number of the last report that listed a change, or 0.
+    last_change: u64,
+    /// Sequence number of the last report that listed a rise, or 0.
+    last_rise: u64,
 }
 
 impl Bucket {
-    /// A bucket filled up to its share.
+    /// Creates a bucket that is filled up to `share`.
     pub fn new(now: Time, limit: TeamLimit, share: f64) -> Bucket {
         let key = TeamKey::of(&limit.team);
         let mut bucket = Bucket {
@@ -49,15 +49,15 @@
             key,
             share,
             tokens: 0.0,
-            filled: now,
+            filled_at: now,
             arrivals: 0,
             demand: 0.0,
             refused: false,
             reported: VecDeque::new(),
-            told: 0,
-            risen: 0,
+            last_change: 0,
+            last_rise: 0,
         };
-        bucket.tokens = bucket.size();
+        bucket.tokens = bucket.capacity();
         bucket
     }
 
@@ -66,34 +66,34 @@
         self.limit.rate.get()
     }
 
-    /// Share of the team's rate and burst.
+    /// Share of the team's rate and burst that this instance uses.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// Tokens that fit in: the share of the burst, one at least.
-    fn size(&self) -> f64 {
+    /// Capacity in tokens: the share of the burst, but at threshold one.
+    fn capacity(&self) -> f64 {
         (self.share * f64::from(self.limit.burst.0)).max(1.0)
     }
 
-    /// Fills up to `now` by the share so far, then sets the share; the next filling spills what is
-    /// too much for it.
+    /// Refills the bucket up to `now` with the old share, then sets the new one. Tokens above the new
+    /// capacity are dropped by the next refill.
     pub fn set_share(&mut self, now: Time, share: f64) {
-        self.fill(now);
+        self.refill(now);
         self.share = share;
     }
 
-    fn fill(&mut self, now: Time) {
-        let seconds = (now - self.filled).as_secs_f64();
+    fn refill(&mut self, now: Time) {
+        let seconds = (now - self.filled_at).as_secs_f64();
         let filled = self.tokens + seconds * self.share * self.rate();
-        self.tokens = filled.min(self.size());
-        self.filled = self.filled.max(now);
+        self.tokens = filled.min(self.capacity());
+        self.filled_at = self.filled_at.max(now);
     }
 
-    /// Takes a token, or tells how long until there is one.
+    /// Takes a token; fails with the time until one is available.
     pub fn take(&mut self, now: Time) -> Result<(), Duration> {
         self.arrivals = self.arrivals.saturating_add(1);
-        self.fill(now);
+        self.refill(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
@@ -103,66 +103,65 @@
         Err(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
     }
 
-    /// Ends a heartbeat interval; tells whether the demand is worth a report.
+    /// Ends a heartbeat interval; returns whether the demand has to be reported.
     ///
-    /// A demand that the share covers is not: most teams stay far below their limits.
-    pub fn measure(&mut self, now: Time, interval: Duration) -> bool {
-        self.fill(now);
-        let is_short = std::mem::take(&mut self.refused) || self.is_running_low();
+    /// A rise that the current share covers is not reported: most teams stay far below their limits.
+    pub fn end_interval(&mut self, now: Time, interval: Duration) -> bool {
+        self.refill(now);
+        let needs_tokens = std::mem::take(&mut self.refused) || self.is_running_low();
         if !interval.is_zero() {
             let sample = f64::from(self.arrivals) / interval.as_secs_f64();
             self.arrivals = 0;
-            let weight = 1.0 - (-interval.as_secs_f64() / DEMAND_TIME.as_secs_f64()).exp();
+            let weight = 1.0 - (-interval.as_secs_f64() / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
             self.demand += weight * (sample - self.demand);
         }
-        let (level, told) = (self.level(), self.reported());
-        let has_ended = level == DemandLevel(0) && told > level;
-        let has_fallen = level.0 + REPORTED_FALL <= told.0;
-        let has_risen = level.0 >= told.0 + REPORTED_RISE;
-        has_ended || has_fallen || (has_risen && is_short)
+        let (level, reported) = (self.level(), self.reported());
+        let has_ended = level == DemandLevel(0) && reported > level;
+        let has_fallen = level.0 + MIN_REPORTED_FALL_LEVELS <= reported.0;
+        let has_risen = level.0 >= reported.0 + MIN_REPORTED_RISE_LEVELS;
+        has_ended || has_fallen || (has_risen && needs_tokens)
     }
 
     fn is_running_low(&self) -> bool {
-        self.size() >= 2.0 && self.tokens < self.size() / 2.0
+        self.capacity() >= 2.0 && self.tokens < self.capacity() / 2.0
     }
 
-    /// The demand as measured.
+    /// The measured demand.
     pub fn level(&self) -> DemandLevel {
-        let is_told = self.reported() > DemandLevel(0);
-        let least = if is_told { ENDED_DEMAND } else { LEAST_DEMAND };
-        if self.demand < least * BASE_WEIGHT * self.rate() {
+        let is_reported = self.reported() > DemandLevel(0);
+        let threshold = if is_reported { MIN_CONTINUED_DEMAND } else { MIN_REPORTED_DEMAND };
+        if self.demand < threshold * BASE_WEIGHT * self.rate() {
             return DemandLevel(0);
         }
         DemandLevel::of(self.demand)
     }
 
-    /// The demand as reported last.
+    /// The demand that was reported last.
     pub fn reported(&self) -> DemandLevel {
         self.reported.back().map_or(DemandLevel(0), |it| it.1)
     }
 
-    /// Number of the last report that told a change, or 0.
-    pub fn told(&self) -> u64 {
-        self.told
+    /// Sequence number of the last report that listed a change, or 0.
+    pub fn last_change(&self) -> u64 {
+        self.last_change
     }
 
-    /// Number of the last report that told a rise, or 0.
-    pub fn risen(&self) -> u64 {
-        self.risen
+    /// Sequence number of the last report that listed a rise, or 0.
+    pub fn last_rise(&self) -> u64 {
+        self.last_rise
     }
 
-    /// Notes that the present level goes into a report.
-    pub fn report(&mut self, now: Time, sequence: u64) {
+    /// Records that the report `sequence` lists the measured level.
+    pub fn record_report(&mut self, now: Time, sequence: u64) {
         if self.level() > self.reported() {
-            self.risen = sequence;
+            self.last_rise = sequence;
         }
         self.reported.push_back((now, self.level()));
-        self.told = sequence;
+        self.last_change = sequence;
     }
 
-    /// Drops the reports before the one that was in force at `since`; tells whether there were
-    /// any.
-    pub fn forget(&mut self, since: Time) -> bool {
+    /// Drops the reported levels that were replaced by `since`; returns whether there were any.
+    pub fn drop_reports_before(&mut self, since: Time) -> bool {
         let count = self.reported.len();
         while self.reported.get(1).is_some_and(|it| it.0 <= since) {
             self.reported.pop_front();
@@ -170,8 +169,8 @@
         self.reported.len() < count
     }
 
-    /// The lowest level that was in force at any time from `since` on.
-    pub fn lowest(&self, since: Time) -> DemandLevel {
+    /// The lowest reported level at any time from `since` on; level 0 if nothing had been reported by then.
+    pub fn lowest_reported(&self, since: Time) -> DemandLevel {
         let began_within = self.reported.front().is_none_or(|it| it.0 > since);
         if began_within {
             return DemandLevel(0);
@@ -181,7 +180,7 @@
         self.reported.iter().skip(first).map(|it| it.1).min().unwrap_or_default()
     }
 
-    /// Forgets what was reported, because no peer can know it any more.
+    /// Forgets the reported levels: after a stall, peers may no longer have them.
     pub fn reset_reports(&mut self) {
         self.reported.clear();
     }
--- a/crates/medlarlug-core/src/limits/divider.rs
+++ b/crates/medlarlug-core/src/limits/divider.rs
@@ -1,4 +1,4 @@
-//! One instance's shares of every team's limit.
+//! The share of every team's limit that one instance uses.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     time::Time,
 };
 
-/// The limits of all teams at one entry instance.
+/// Admits requests at one entry instance, within its share of every team's limit.
 ///
 /// ```
 /// use medlarlug_core::{
@@ -27,7 +27,7 @@
 /// let team: medlarlug_core::ids::TeamId = "survey".parse().unwrap();
 /// let limit = TeamLimit { team: team.clone(), rate, burst };
 /// limits.handle(Time::ZERO, Event::Configured(vec![limit]), &mut Vec::new());
-/// // Until its reports are settled, an instance has an eighth of the burst.
+/// // Until its reports have reached all peers, an instance uses at most an eighth of the burst.
 /// assert!(limits.admit(Time::ZERO, &team).is_ok());
 /// assert!(limits.admit(Time::ZERO, &team).is_ok());
 /// assert!(limits.admit(Time::ZERO, &team).is_err());
@@ -38,81 +38,85 @@
     incarnation: Incarnation,
     policy: LimitPolicy,
     buckets: Vec<Bucket>,
-    /// Places of the buckets, sorted by the teams' keys.
-    keys: Vec<(TeamKey, usize)>,
+    /// Indices into `buckets`, sorted by the key of the team.
+    buckets_by_key: Vec<(TeamKey, usize)>,
     peers: Peers,
     sequence: u64,
-    joined: Option<Time>,
-    beat: Option<Time>,
-    /// When the last report was sent.
-    sent: Option<Time>,
-    /// Heartbeats that still bring a report though nothing has changed, for a peer that is new.
-    greetings: u64,
+    joined_at: Option<Time>,
+    last_heartbeat: Option<Time>,
+    last_report: Option<Time>,
+    /// Number of heartbeats that send a report even without a change, for a peer that is new.
+    forced_reports: u64,
     settled: bool,
-    cursor: usize,
-    full_due: bool,
-    base: u64,
-    spread: RetryJitter,
+    next_bucket: usize,
+    is_full_due: bool,
+    last_full_sequence: u64,
+    jitter: RetryJitter,
 }
 
 impl RateLimiter {
-    /// An instance that has reported nothing and heard nobody.
+    /// Creates an instance without teams that has sent and received no report.
     pub fn new(id: InstanceId, incarnation: Incarnation, policy: LimitPolicy) -> RateLimiter {
         RateLimiter {
             id,
             incarnation,
-            spread: RetryJitter::new(policy.seed),
+            jitter: RetryJitter::new(policy.seed),
             policy,
             buckets: Vec::new(),
-            keys: Vec::new(),
+            buckets_by_key: Vec::new(),
             peers: Peers::default(),
             sequence: 0,
-            joined: None,
-            beat: None,
-            sent: None,
-            greetings: 0,
+            joined_at: None,
+            last_heartbeat: None,
+            last_report: None,
+            forced_reports: 0,
             settled: false,
-            cursor: 0,
-            full_due: true,
-            base: 0,
+            next_bucket: 0,
+            is_full_due: true,
+            last_full_sequence: 0,
         }
     }
 
-    /// Whether every live peer counts this instance, so that it uses its full share.
+    /// Whether every live peer has received this instance's reports, so that it uses its full share.
     pub fn is_settled(&self) -> bool {
         self.settled
     }
 
-    /// Entry instances among which the limits are divided, this one included.
+    /// Number of entry instances among which the limits are divided, including this one.
     pub fn instances(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// The share of the team's limit that this instance has.
+    /// The share of the team's limit that this instance uses; `None` for an unknown team.
     pub fn share(&self, team: &TeamId) -> Option<f64> {
         Some(self.buckets[self.find(team).ok()?].share())
     }
 
-    /// Admits one request of `team`, or refuses it as rate limited.
+    /// Admits one request of `team`.
+    ///
+    /// # Errors
+    ///
+    /// Refuses the request if the team's share is used up, if the team is unknown, or if no team is
+    /// configured yet.
     pub fn admit(&mut self, now: Time, team: &TeamId) -> Result<(), Refusal> {
-        self.check_beat(now);
+        self.check_heartbeat(now);
         let Ok(found) = self.find(team) else {
             let reason = match self.buckets.is_empty() {
                 true => Reason::NoConfiguration,
                 false => Reason::NotPermitted,
             };
-            return Err(self.spread.refuse(reason, Duration::ZERO));
+            return Err(self.jitter.refuse(reason, Duration::ZERO));
         };
         let taken = self.buckets[found].take(now);
-        taken.map_err(|wait| self.spread.refuse(Reason::RateLimited, wait))
+        taken.map_err(|wait| self.jitter.refuse(Reason::RateLimited, wait))
     }
 
-    /// Feeds one event in.
+    /// Handles one event and appends the resulting effects to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Configured(limits) => self.configure(now, limits),
             Event::Heartbeat => self.heartbeat(now, out),
-            Event::ReportReceived { report, age } => self.hear(now, age, &report, out),
+            Event::ReportReceived { report, age } => self.apply_report(now, age, &report, out),
             Event::PeerStopped(id) => self.drop_peer(now, &id),
             Event::ResyncRequested(to) => out.push(Effect::Send { to, report: self.full_report() }),
         }
@@ -144,82 +148,85 @@
         }
         self.buckets.sort_by(|a, b| a.limit.team.cmp(&b.limit.team));
         let keys = self.buckets.iter().enumerate().map(|(place, it)| (it.key, place));
-        self.keys = keys.collect();
-        self.keys.sort_unstable();
-        // A team that was withdrawn has no demand any more, which only a full report tells.
-        self.full_due |= old.iter().any(|it| it.reported() > DemandLevel(0));
-        self.share_all(now);
+        self.buckets_by_key = keys.collect();
+        self.buckets_by_key.sort_unstable();
+        // The demand of a removed team has ended, which only a full report conveys.
+        self.is_full_due |= old.iter().any(|it| it.reported() > DemandLevel(0));
+        self.update_all_shares(now);
     }
 
     fn heartbeat(&mut self, now: Time, out: &mut Vec<Effect>) {
-        self.check_beat(now);
-        let joined = *self.joined.get_or_insert(now);
-        let interval = now - self.beat.unwrap_or(now);
-        self.beat = Some(now);
-        self.peers.drop_silent(now.saturating_sub(self.policy.peer_lifetime));
-        self.settled = now - joined >= self.policy.settle_time;
-        if let Some(report) = self.report(now, interval) {
+        self.check_heartbeat(now);
+        let joined_at = *self.joined_at.get_or_insert(now);
+        let interval = now - self.last_heartbeat.unwrap_or(now);
+        self.last_heartbeat = Some(now);
+        self.peers.drop_expired(now.saturating_sub(self.policy.peer_lifetime));
+        self.settled = now - joined_at >= self.policy.settle_time;
+        if let Some(report) = self.next_report(now, interval) {
             out.push(Effect::Broadcast(report));
         }
-        self.share_all(now);
+        self.update_all_shares(now);
     }
 
-    /// An instance that stood still for the settle time knows too little of its peers, and may
-    /// have been dropped by them: it joins anew.
-    fn check_beat(&mut self, now: Time) {
-        let is_silent = self.beat.is_some_and(|beat| now - beat >= self.policy.settle_time);
-        if !is_silent {
+    /// Starts over as a new instance after a stall of the settle time or longer: reports of peers are
+    /// missing, and peers may have dropped this instance.
+    fn check_heartbeat(&mut self, now: Time) {
+        let was_stalled =
+            self.last_heartbeat.is_some_and(|last| now - last >= self.policy.settle_time);
+        if !was_stalled {
             return;
         }
-        self.joined = None;
-        self.beat = None;
+        self.joined_at = None;
+        self.last_heartbeat = None;
         self.settled = false;
-        self.full_due = true;
+        self.is_full_due = true;
         self.buckets.iter_mut().for_each(Bucket::reset_reports);
-        self.share_all(now);
+        self.update_all_shares(now);
     }
 
-    /// The next report; `None` when it would tell no rise and the last one is young enough for peers
-    /// to go on counting with it. A fall waits for the next report, as peers that don't know of it
-    /// count this instance for more than it counts itself.
+    /// The next report; `None` if it would list no rise and the last one is recent enough for peers to
+    /// keep using it. A fall waits for the next report, because peers that don't know of it only
+    /// overestimate the weight of this instance.
     ///
-    /// Only reports that are sent have a number, so that a skipped one is no gap.
-    fn report(&mut self, now: Time, interval: Duration) -> Option<DemandReport> {
+    /// Only reports that are sent get a sequence number, so that a skipped one leaves no gap.
+    fn next_report(&mut self, now: Time, interval: Duration) -> Option<DemandReport> {
         self.sequence += 1;
-        let full = std::mem::take(&mut self.full_due);
+        let full = std::mem::take(&mut self.is_full_due);
         if full {
-            self.base = self.sequence;
+            self.last_full_sequence = self.sequence;
         }
-        self.measure(now, interval, full);
+        self.measure_demand(now, interval, full);
         let since = self.sequence.saturating_sub(REPORTS_PER_CHANGE - 1).max(1);
-        let is_told = |it: &Bucket| it.told() >= since;
-        let is_old = self.sent.is_none_or(|sent| now - sent >= self.policy.refresh_interval);
-        let is_due = is_old || !self.settled || self.greetings > 0;
-        self.greetings = self.greetings.saturating_sub(1);
-        let has_rise = self.buckets.iter().any(|it| it.risen() >= since);
-        if !full && !is_due && !has_rise {
+        let is_listed = |it: &Bucket| it.last_change() >= since;
+        let is_refresh_due =
+            self.last_report.is_none_or(|sent| now - sent >= self.policy.refresh_interval);
+        let is_due = is_refresh_due || !self.settled || self.forced_reports > 0;
+        self.forced_reports = self.forced_reports.saturating_sub(1);
+        let lists_rise = self.buckets.iter().any(|it| it.last_rise() >= since);
+        if !full && !is_due && !lists_rise {
             self.sequence -= 1;
             return None;
         }
-        self.sent = Some(now);
-        Some(self.report_of(is_told))
+        self.last_report = Some(now);
+        Some(self.report_of(is_listed))
     }
 
-    /// Measures every team's demand and notes which ones the next report tells.
-    fn measure(&mut self, now: Time, interval: Duration, full: bool) {
+    /// Measures every team's demand and records which teams the next report lists.
+    fn measure_demand(&mut self, now: Time, interval: Duration, full: bool) {
         let count = self.buckets.len();
-        // A report has room for the changes of several.
+        // A report also lists the changes of earlier reports, so each gets a part of its entries.
         let mut room =
             if full { count } else { self.policy.max_entries / REPORTS_PER_CHANGE as usize };
         for step in 0..count {
-            let bucket = &mut self.buckets[(self.cursor + step) % count];
-            let is_due = bucket.measure(now, interval) || (full && bucket.level() > DemandLevel(0));
+            let bucket = &mut self.buckets[(self.next_bucket + step) % count];
+            let is_due =
+                bucket.end_interval(now, interval) || (full && bucket.level() > DemandLevel(0));
             if is_due && room > 0 {
-                bucket.report(now, self.sequence);
+                bucket.record_report(now, self.sequence);
                 room -= 1;
             }
         }
-        self.cursor = (self.cursor + self.policy.max_entries) % count.max(1);
+        self.next_bucket = (self.next_bucket + self.policy.max_entries) % count.max(1);
     }
 
     fn full_report(&self) -> DemandReport {
@@ -236,53 +243,59 @@
             from: self.id.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
-            base: self.base,
+            base: self.last_full_sequence,
             entries,
         }
     }
 
-    fn hear(&mut self, now: Time, age: Duration, report: &DemandReport, out: &mut Vec<Effect>) {
+    fn apply_report(
+        &mut self,
+        now: Time,
+        age: Duration,
+        report: &DemandReport,
+        out: &mut Vec<Effect>,
+    ) {
         if report.from == self.id || age >= self.policy.peer_lifetime {
             return;
         }
-        match self.peers.hear(now.saturating_sub(age), report) {
+        match self.peers.apply_report(now.saturating_sub(age), report) {
             Change::None => {}
-            Change::Entries => self.share_listed(now, &report.entries),
+            Change::Entries => self.update_listed_shares(now, &report.entries),
             Change::Everything { resync } => {
-                self.greetings = REPORTS_PER_CHANGE;
+                self.forced_reports = REPORTS_PER_CHANGE;
                 if resync {
                     out.push(Effect::RequestResync(report.from.clone()));
                 }
-                self.share_all(now);
+                self.update_all_shares(now);
             }
         }
     }
 
     fn drop_peer(&mut self, now: Time, id: &InstanceId) {
         if self.peers.drop_peer(id) {
-            self.share_all(now);
+            self.update_all_shares(now);
         }
     }
 
-    fn share_all(&mut self, now: Time) {
+    fn update_all_shares(&mut self, now: Time) {
         for place in 0..self.buckets.len() {
-            self.share_one(now, place);
+            self.update_share(now, place);
         }
     }
 
-    fn share_listed(&mut self, now: Time, entries: &[DemandEntry]) {
+    fn update_listed_shares(&mut self, now: Time, entries: &[DemandEntry]) {
         for entry in entries {
-            let first = self.keys.partition_point(|it| it.0 < entry.team);
-            let last = self.keys.partition_point(|it| it.0 <= entry.team);
+            let first = self.buckets_by_key.partition_point(|it| it.0 < entry.team);
+            let last = self.buckets_by_key.partition_point(|it| it.0 <= entry.team);
             for index in first..last {
-                self.share_one(now, self.keys[index].1);
+                self.update_share(now, self.buckets_by_key[index].1);
             }
         }
     }
 
-    fn share_one(&mut self, now: Time, place: usize) {
+    fn update_share(&mut self, now: Time, place: usize) {
         let since = now.saturating_sub(self.policy.settle_time);
-        self.buckets[place].forget(since);
+        self.buckets[place].drop_reports_before(since);
         let share = self.compute_share(now, &self.buckets[place]);
         self.buckets[place].set_share(now, share);
     }
@@ -294,7 +307,7 @@
         let rate = bucket.rate();
         let base = rate * BASE_WEIGHT;
         let since = now.saturating_sub(self.policy.settle_time);
-        let own = base + bucket.lowest(since).demand().min(rate);
+        let own = base + bucket.lowest_reported(since).demand().min(rate);
         own / (own + self.peers.weight(bucket.key, rate, base))
     }
 }
--- a/crates/medlarlug-core/src/limits/mod.rs
+++ b/crates/medlarlug-core/src/limits/mod.rs
@@ -1,22 +1,23 @@
-//! Per-team request rates, divided over the entry instances of a region.
+//! Per-team request rate limits, divided among the entry instances of a region.
 //!
-//! A team's rate and burst hold for a region. Each of the region's live entry instances has a
-//! *share* of them and admits requests from its own token buckets, without asking anyone. The
-//! instances tell each other their demand in [`DemandReport`]s, and each computes its own share:
+//! A team's rate and burst apply to a region. Each of the region's live entry instances has a *share*
+//! of them and admits requests from its own token buckets, without contacting any other process. The
+//! instances exchange their demand in [`DemandReport`]s, and each computes its own share:
 //!
 //! ```text
 //! share(i) = weight(i) / sum over live j of weight(j)
 //! weight   = base + reported demand
 //! ```
 //!
-//! The sum of the shares stays at one or below while reports are under way: for itself an
-//! instance uses the *lowest* weight that it had reported at any time within the last settle
-//! time, for the others the weight that it heard last. A report that is heard within the settle
-//! time after the one before is at least that lowest weight, so no instance counts another for
-//! less than that one counts itself.
+//! The sum of the shares never exceeds one while reports are in flight: for itself, an instance uses
+//! the *lowest* weight that it had reported at any time within the last settle time; for its peers, the
+//! weight received last. As long as a peer receives each report within the settle time after the
+//! previous one, the weight that it uses is at least that lowest one, so no instance assumes a smaller
+//! weight for a peer than the peer does for itself.
 //!
-//! Bound for one team in `T` seconds on one side of a partition, with rate `R`, burst `B`, `n`
-//! live instances and `J` starts of instances: `R*T + B + n + J*(R*settle + B)/8`.
+//! Bound on the requests admitted for one team in `T` seconds on one side of a partition, with rate
+//! `R`, burst `B`, `n` live instances and `J` starts of instances: `R*T + B + n + J*(R*settle_time +
+//! B)/8`.
 
 mod bucket;
 mod divider;
@@ -36,25 +37,26 @@
     report::{DemandEntry, DemandLevel, DemandReport, REPORTS_PER_CHANGE, TeamKey},
 };
 
-/// The largest share of a team's rate and burst that an instance uses before its own reports are
-/// settled; among more instances it is the equal part.
+/// Maximum share of a team's rate and burst that an instance uses before its own reports have reached
+/// all peers. Among more than eight instances, the share is an equal part instead.
 pub const INITIAL_SHARE: f64 = 0.125;
 
-/// Weight of an instance without demand, as a share of the team's rate.
+/// Weight of an instance without demand, as a fraction of the team's rate.
 const BASE_WEIGHT: f64 = 0.01;
 
-/// Times and sizes of the division.
+/// Timing and message size of the division of limits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LimitPolicy {
     /// Time within which a report reaches every live peer, one heartbeat interval included.
     pub settle_time: Duration,
-    /// Time after which a report is sent though nothing has changed; three of them fit the lifetime.
+    /// Time after which a report is sent even without a change. Three intervals fit into
+    /// `peer_lifetime`, so that two reports may be lost.
     pub refresh_interval: Duration,
-    /// Time after its last report at which a silent peer is no longer counted.
+    /// Time after its last report at which a peer is no longer counted.
     pub peer_lifetime: Duration,
-    /// Teams that one report lists at most; a full one lists every team with a demand.
+    /// Maximum number of teams in one report; a full report lists every team with a demand.
     pub max_entries: usize,
-    /// Seed of the jitter on the time to come back.
+    /// Seed of the jitter on the retry delay of refusals.
     pub seed: u64,
 }
 
@@ -75,9 +77,9 @@
 pub struct TeamLimit {
     /// The team.
     pub team: TeamId,
-    /// Requests a second over the region.
+    /// Requests per second in the whole region.
     pub rate: Rate,
-    /// Requests at once over the region.
+    /// Requests in a burst in the whole region.
     pub burst: Slots,
 }
 
@@ -87,32 +89,32 @@
     }
 }
 
-/// What happens to the division.
+/// An input of [`RateLimiter::handle`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A configuration came into force.
+    /// A configuration with these limits came into force; it replaces all earlier ones.
     Configured(Vec<TeamLimit>),
     /// The next heartbeat is due.
     Heartbeat,
-    /// A peer of the region reported.
+    /// A report was received from a peer of the region.
     ReportReceived {
         /// The report.
         report: DemandReport,
         /// Time since it was sent.
         age: Duration,
     },
-    /// A peer has stopped and admits nothing any more.
+    /// A peer has stopped and admits no more requests.
     PeerStopped(InstanceId),
-    /// A peer asks for every team's demand, because it missed a report.
+    /// A peer that missed a report requests the demand of every team.
     ResyncRequested(InstanceId),
 }
 
-/// What the shell has to do.
+/// An action that the embedding process has to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send the report to every entry instance of the region.
     Broadcast(DemandReport),
-    /// Ask a peer for every team's demand.
+    /// Request a full report from a peer.
     RequestResync(InstanceId),
     /// Send the full report to one peer.
     Send {
--- a/crates/medlarlug-core/src/limits/peers.rs
+++ b/crates/medlarlug-core/src/limits/peers.rs
@@ -1,4 +1,4 @@
-//! The demand of the region's other entry instances, as last heard.
+//! The demand of the region's other entry instances, according to the last reports received.
 
 use crate::{
     ids::{Incarnation, InstanceId},
@@ -11,19 +11,19 @@
     id: InstanceId,
     incarnation: Incarnation,
     sequence: u64,
-    heard: Time,
+    sent_at: Time,
     synced: bool,
     entries: Vec<DemandEntry>,
 }
 
-/// What a report changed.
+/// The part of the known demand that a report changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Change {
-    /// Nothing; the report was old.
+    /// Nothing: the report was outdated or a duplicate.
     None,
-    /// The demand of the teams that it lists.
+    /// The demand of the teams that the report lists.
     Entries,
-    /// The demand of any team; `resync` tells whether reports are missing.
+    /// Possibly the demand of every team; `resync` is set if reports are missing and a full one is needed.
     Everything { resync: bool },
 }
 
@@ -39,12 +39,12 @@
         self.peers.len()
     }
 
-    /// Takes a report in.
-    pub fn hear(&mut self, heard: Time, report: &DemandReport) -> Change {
+    /// Applies a report that was sent at `sent_at`, by the local clock.
+    pub fn apply_report(&mut self, sent_at: Time, report: &DemandReport) -> Change {
         let place = match self.peers.binary_search_by(|it| it.id.cmp(&report.from)) {
-            Ok(found) if self.peers[found].is_newer(report) => return Change::None,
+            Ok(found) if self.peers[found].is_up_to_date_with(report) => return Change::None,
             Ok(found) if self.peers[found].follows(report) => {
-                return self.peers[found].update(heard, report);
+                return self.peers[found].update(sent_at, report);
             }
             Ok(found) => {
                 self.peers.remove(found);
@@ -57,7 +57,7 @@
             id: report.from.clone(),
             incarnation: report.incarnation,
             sequence: report.sequence,
-            heard,
+            sent_at,
             synced,
             entries: if synced { sorted(&report.entries) } else { Vec::new() },
         };
@@ -65,22 +65,22 @@
         Change::Everything { resync: !synced }
     }
 
-    /// Drops a peer; tells whether it was there.
+    /// Drops a peer; returns whether it was known.
     pub fn drop_peer(&mut self, id: &InstanceId) -> bool {
         let count = self.peers.len();
         self.peers.retain(|it| it.id != *id);
         self.peers.len() < count
     }
 
-    /// Drops the peers last heard before `limit`; tells whether there were any.
-    pub fn drop_silent(&mut self, limit: Time) -> bool {
+    /// Drops the peers whose last report is from before `limit`; returns whether there were any.
+    pub fn drop_expired(&mut self, limit: Time) -> bool {
         let count = self.peers.len();
-        self.peers.retain(|it| it.heard >= limit);
+        self.peers.retain(|it| it.sent_at >= limit);
         self.peers.len() < count
     }
 
-    /// Sum of the weights of all peers for a team with this rate and base weight, in requests a
-    /// second. A peer whose reports are missing counts with the largest weight possible.
+    /// Sum of the weights of all peers for a team with this rate and base weight, in requests per
+    /// second. A peer with missing reports counts with the largest possible weight.
     pub fn weight(&self, team: TeamKey, rate: f64, base: f64) -> f64 {
         let weight = |it: &Peer| match it.synced {
             true => base + it.level(team).demand().min(rate),
@@ -91,23 +91,23 @@
 }
 
 impl Peer {
-    /// Whether the report is older than what is known, or known already.
-    fn is_newer(&self, report: &DemandReport) -> bool {
+    /// Whether the report is outdated or a duplicate.
+    fn is_up_to_date_with(&self, report: &DemandReport) -> bool {
         let known = (self.incarnation, self.sequence);
-        let told = (report.incarnation, report.sequence);
-        told < known || (told == known && (self.synced || !report.is_full()))
+        let reported = (report.incarnation, report.sequence);
+        reported < known || (reported == known && (self.synced || !report.is_full()))
     }
 
-    /// Whether the report lists every change since the last one heard.
+    /// Whether the report lists every change since the last one received.
     fn follows(&self, report: &DemandReport) -> bool {
-        let is_near = report.sequence <= self.sequence + REPORTS_PER_CHANGE;
-        let is_same = report.incarnation == self.incarnation && report.base <= self.sequence;
-        self.synced && is_same && is_near
+        let is_within_window = report.sequence <= self.sequence + REPORTS_PER_CHANGE;
+        let has_same_base = report.incarnation == self.incarnation && report.base <= self.sequence;
+        self.synced && has_same_base && is_within_window
     }
 
-    fn update(&mut self, heard: Time, report: &DemandReport) -> Change {
+    fn update(&mut self, sent_at: Time, report: &DemandReport) -> Change {
         self.sequence = report.sequence;
-        self.heard = self.heard.max(heard);
+        self.sent_at = self.sent_at.max(sent_at);
         for entry in &report.entries {
             match self.entries.binary_search_by_key(&entry.team, |it| it.team) {
                 Ok(found) => self.entries[found].level = entry.level,
--- a/crates/medlarlug-core/src/limits/report.rs
+++ b/crates/medlarlug-core/src/limits/report.rs
@@ -1,4 +1,4 @@
-//! What entry instances tell each other of their demand.
+//! The demand reports that entry instances exchange.
 
 use std::fmt;
 
@@ -9,19 +9,19 @@
     ids::{Incarnation, InstanceId, TeamId},
 };
 
-/// Reports that list a change.
+/// Number of consecutive reports that list a change, so that all but one of them may be lost.
 pub const REPORTS_PER_CHANGE: u64 = 3;
 /// Highest demand level.
 const MAX_LEVEL: u8 = 60;
-/// Levels in a doubling of the demand.
+/// Number of levels per doubling of the demand.
 const LEVELS_PER_DOUBLING: f64 = 2.0;
-/// Demand of level 1, in requests a second.
+/// Demand at level 1, in requests per second.
 const LEVEL_UNIT: f64 = 1.0 / 16.0;
 
-/// A team's short name in reports: 32 bits of the hash of its id.
+/// Compact identifier of a team in reports: 32 bits of the hash of its id.
 ///
-/// Teams that share a key are counted for each other's demand by their peers, which lowers their
-/// shares and never raises the total.
+/// If two teams have the same key, peers count the demand of both for each of them. That lowers their
+/// shares but never raises the total.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TeamKey(pub u32);
@@ -46,7 +46,7 @@
     }
 }
 
-/// A demand on a logarithmic scale, two levels to a doubling; level 0 is none.
+/// A demand on a logarithmic scale with two levels per doubling; level 0 is no demand.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -54,7 +54,7 @@
 pub struct DemandLevel(pub u8);
 
 impl DemandLevel {
-    /// The level nearest to `demand` requests a second.
+    /// The level nearest to `demand` requests per second.
     ///
     /// ```
     /// use medlarlug_core::limits::DemandLevel;
@@ -70,7 +70,7 @@
         DemandLevel(level.clamp(1.0, f64::from(MAX_LEVEL)) as u8)
     }
 
-    /// Requests a second that the level stands for.
+    /// Demand at this level, in requests per second.
     pub fn demand(self) -> f64 {
         match self.0.min(MAX_LEVEL) {
             0 => 0.0,
@@ -79,36 +79,36 @@
     }
 }
 
-/// One team's demand.
+/// The demand of one team at the reporting instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DemandEntry {
     /// The team.
     pub team: TeamKey,
-    /// Its demand.
+    /// Its demand; level 0 if the demand has ended.
     pub level: DemandLevel,
 }
 
-/// One entry instance's demand, sent with a heartbeat when there is a change to tell, and from time
-/// to time without one.
+/// The demand at one entry instance, sent with a heartbeat after a change, and at
+/// [`LimitPolicy::refresh_interval`](super::LimitPolicy::refresh_interval) without one.
 ///
-/// Lists the teams whose demand has changed within the last [`REPORTS_PER_CHANGE`] reports, this one
-/// included, so that a few lost reports leave no gap; a full one lists every team with a demand.
+/// Lists the teams whose demand has changed within the last [`REPORTS_PER_CHANGE`] reports, including this
+/// one, so that a lost report is made up for by the next; a full report lists every team with a demand.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DemandReport {
     /// The reporting instance.
     pub from: InstanceId,
-    /// Its incarnation.
+    /// Incarnation of the reporting instance.
     pub incarnation: Incarnation,
-    /// Number of the report within the incarnation, from 1.
+    /// Sequence number of the report within the incarnation, from 1.
     pub sequence: u64,
-    /// Number of the last full report; a full one names itself.
+    /// Sequence number of the last full report; equal to `sequence` in a full report.
     pub base: u64,
-    /// Teams and their demand, sorted by team.
+    /// The listed teams, sorted by key.
     pub entries: Vec<DemandEntry>,
 }
 
 impl DemandReport {
-    /// Whether teams that are not listed have no demand.
+    /// Whether the report is a full one: teams that it does not list have no demand.
     pub fn is_full(&self) -> bool {
         self.base == self.sequence
     }
--- a/crates/medlarlug-core/src/stream/mod.rs
+++ b/crates/medlarlug-core/src/stream/mod.rs
@@ -1,16 +1,16 @@
 //! Delivery of one streamed answer.
 //!
 //! A [`StreamTracker`] follows one request's answer from its upstream to the caller. The answer is
-//! a sequence of bytes in whole events; its last event is the terminal one. The tracker counts
-//! what was delivered, so that a connection which went silent can be replaced:
+//! a sequence of bytes that consists of whole events, the last of which is the terminal one. The tracker
+//! counts the delivered bytes, so that a lost or unresponsive connection can be replaced. It
 //!
-//! 1. resume by offset on a new connection to the same upstream;
-//! 2. else continue on another upstream, from what was delivered, where the engine allows it;
-//! 3. else start again elsewhere, if nothing was delivered yet;
-//! 4. else end the answer with an explicit error event.
+//! 1. resumes by offset on a new connection to the same upstream;
+//! 2. otherwise continues after the delivered bytes on another upstream, if the engine allows it;
+//! 3. otherwise restarts on another upstream, if nothing has been delivered yet;
+//! 4. otherwise ends the answer with an explicit error event.
 //!
-//! An answer is complete only when the terminal event was delivered; nothing else ends it without
-//! an error. Chunks that carry another request's id, or come on a replaced connection, are dropped
+//! An answer is complete only when its terminal event has been delivered; every other end is reported as an
+//! error. Chunks that carry another request's id, or arrive on a replaced connection, are dropped
 //! and counted.
 
 mod tracker;
@@ -21,24 +21,24 @@
 
 pub use self::tracker::{StreamCounters, StreamTracker};
 
-/// Numbers the connections that were opened for one request, from 0.
+/// Number of a connection among those opened for one request, from 0.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionNumber(pub u32);
 
-/// What a stream may do, and how long it waits.
+/// Time-outs of a stream, and the ways in which it may be recovered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamPolicy {
-    /// Longest wait for the first byte on a connection.
+    /// Maximum wait for the first byte on a connection.
     pub first_byte_timeout: Duration,
-    /// Longest wait between two chunks.
+    /// Maximum wait between two chunks.
     pub chunk_timeout: Duration,
-    /// Whether the upstream resumes a stream by offset.
+    /// Whether the upstream can resume a stream by offset.
     pub resumable: bool,
-    /// Whether another upstream may continue from what was delivered.
+    /// Whether another upstream may continue after the delivered bytes.
     pub continuable: bool,
-    /// Whether the work may be repeated; if not, it is never sent to another upstream.
+    /// Whether the request may run more than once; if not, it is never sent to another upstream.
     pub idempotent: bool,
-    /// Connections in a row that may bring nothing; then the answer has failed.
+    /// Consecutive connections without a delivered byte after which the answer fails.
     pub max_fruitless_connections: u32,
 }
 
@@ -58,20 +58,20 @@
 /// A piece of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chunk {
-    /// Request that it answers, as the upstream says.
+    /// Request that the chunk belongs to, according to the upstream.
     pub request: RequestId,
-    /// Bytes of the stream that come before it.
+    /// Number of bytes of the stream before the chunk.
     ///
     /// Counted from the start of the answer on a first or resumed connection, and from the point
     /// of continuation on a connection that continues elsewhere.
     pub offset: u64,
-    /// Its bytes.
+    /// Number of bytes in the chunk.
     pub length: u64,
-    /// Whether it ends with the terminal event.
+    /// Whether the chunk ends with the terminal event.
     pub terminal: bool,
 }
 
-/// What happens to a stream.
+/// An input of [`StreamTracker::handle`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// The request was sent on a connection.
@@ -79,77 +79,77 @@
         /// The connection.
         connection: ConnectionNumber,
     },
-    /// A chunk came.
+    /// A chunk was received.
     Chunk {
-        /// Connection on which it came.
+        /// Connection on which it was received.
         connection: ConnectionNumber,
         /// The chunk.
         chunk: Chunk,
     },
-    /// A connection was reset, or ended; an end without the terminal event is a loss too.
+    /// A connection was reset or closed. A regular close without the terminal event counts as well.
     ConnectionLost {
         /// The connection.
         connection: ConnectionNumber,
     },
-    /// The upstream does not know the stream, or can't resume at the offset.
+    /// The upstream does not know the stream, or can't resume it at the requested offset.
     ResumeRefused {
-        /// Connection on which it was asked.
+        /// Connection on which the stream was to be resumed.
         connection: ConnectionNumber,
     },
     /// No other connection may be opened, because the retry budget is used up or no other upstream
-    /// is there.
+    /// is available.
     GivenUp(Refusal),
-    /// Time passes; the tracker looks for silence.
+    /// Checks whether the current connection has timed out; sent at regular intervals.
     Tick,
     /// The caller closed its connection.
     CallerDisconnected,
 }
 
-/// What the shell has to do for a stream.
+/// An action that the embedding process has to carry out for a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Pass bytes of the chunk just handled on to the caller.
+    /// Deliver bytes of the chunk that was just handled to the caller.
     Deliver {
-        /// Bytes at the chunk's start that the caller has already.
+        /// Bytes at the start of the chunk that the caller already has.
         skip: u64,
-        /// Bytes that follow and are passed on.
+        /// Number of bytes to deliver after the skipped ones.
         length: u64,
     },
-    /// Ask the same upstream, on a new connection, for the bytes from `offset` of its answer on.
+    /// Request the upstream's answer from `offset` on, over a new connection to the same upstream.
     Resume {
         /// Number of the new connection.
         connection: ConnectionNumber,
-        /// Bytes of this upstream's answer that the caller has.
+        /// Number of bytes of this upstream's answer that the caller has.
         offset: u64,
     },
-    /// Ask another upstream to continue after the bytes that the caller has.
+    /// Request that another upstream continue after the bytes that the caller has.
     Continue {
         /// Number of the new connection.
         connection: ConnectionNumber,
-        /// Bytes that the caller has.
+        /// Number of bytes that the caller has.
         offset: u64,
     },
-    /// Send the request to another upstream from its start; the caller has no byte yet.
+    /// Send the request to another upstream from the start; the caller has not received any byte.
     ///
-    /// It is a new attempt, as is [`Effect::Continue`]: the shell asks [`crate::retry`] first and
-    /// reports [`Event::GivenUp`] if that gives up.
+    /// This is a new attempt, as is [`Effect::Continue`]: the embedding process consults
+    /// [`crate::retry`] first, and sends [`Event::GivenUp`] if no retry is allowed.
     Restart {
         /// Number of the new connection.
         connection: ConnectionNumber,
     },
-    /// Close a connection that is not used any more; says nothing against its upstream.
+    /// Close a connection that is no longer used. This is no evidence of a failure of its upstream.
     Close {
         /// The connection.
         connection: ConnectionNumber,
     },
-    /// Tell the upstream of a connection to cancel the work.
+    /// Request that the upstream of a connection cancel the work.
     CancelUpstream {
         /// The connection.
         connection: ConnectionNumber,
     },
-    /// End the answer with an explicit error event, or with a problem document if the caller has
-    /// no byte yet.
+    /// End the answer with an explicit error event, or with a problem document if the caller has not
+    /// received any byte.
     Fail(Refusal),
-    /// The whole answer was delivered.
+    /// The complete answer has been delivered.
     Complete,
 }
--- a/crates/medlarlug-core/src/stream/tracker.rs
+++ b/crates/medlarlug-core/src/stream/tracker.rs
@@ -1,4 +1,4 @@
-//! The state of one streamed answer.
+//! Tracking of one streamed answer across connections and upstreams.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
     time::Time,
 };
 
-/// Time to come back after an answer that could not be finished.
-const FAILED_WAIT: Duration = Duration::from_secs(1);
+/// Retry delay after an answer that could not be completed.
+const FAILED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What a tracker dropped.
+/// Numbers of chunks that a tracker has dropped, by reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StreamCounters {
     /// Chunks that carried another request's id.
     pub wrong_request: u64,
-    /// Chunks of a replaced connection, and chunks after the end.
+    /// Chunks on a replaced connection, and chunks after the end of the answer.
     pub late: u64,
-    /// Chunks of which the caller had every byte.
+    /// Chunks that contained only bytes that the caller already had.
     pub duplicate: u64,
-    /// Chunks that came with bytes missing before them.
+    /// Chunks with missing bytes before them.
     pub gaps: u64,
 }
 
@@ -32,7 +32,7 @@
     Ended,
 }
 
-/// Follows one request's streamed answer.
+/// Follows the streamed answer to one request and decides how to recover it.
 ///
 /// ```
 /// use medlarlug_core::{
@@ -53,66 +53,66 @@
     request: RequestId,
     policy: StreamPolicy,
     connection: ConnectionNumber,
-    base: u64,
+    upstream_start: u64,
     delivered: u64,
-    heard: Time,
+    last_activity: Time,
     phase: Phase,
-    /// Connections given up since the last bytes were delivered.
-    fruitless: u32,
+    /// Connections replaced since the last byte was delivered.
+    fruitless_connections: u32,
     counters: StreamCounters,
 }
 
 impl StreamTracker {
-    /// A tracker for an answer that connection 0 is to bring.
+    /// Creates a tracker for an answer that is expected on connection 0.
     pub fn new(request: RequestId, policy: StreamPolicy, now: Time) -> StreamTracker {
         StreamTracker {
             request,
             policy,
             connection: ConnectionNumber(0),
-            base: 0,
+            upstream_start: 0,
             delivered: 0,
-            heard: now,
+            last_activity: now,
             phase: Phase::Waiting,
-            fruitless: 0,
+            fruitless_connections: 0,
             counters: StreamCounters::default(),
         }
     }
 
-    /// Bytes that the caller has.
+    /// Number of bytes that have been delivered to the caller.
     pub fn delivered(&self) -> u64 {
         self.delivered
     }
 
-    /// What was dropped so far.
+    /// Numbers of chunks dropped so far.
     pub fn counters(&self) -> StreamCounters {
         self.counters
     }
 
-    /// Whether the answer was completed, failed or given up by the caller.
+    /// Whether the answer is complete, has failed, or was abandoned by the caller.
     pub fn is_ended(&self) -> bool {
         self.phase == Phase::Ended
     }
 
-    /// When the current connection counts as silent.
+    /// When the current connection times out unless a chunk arrives.
     ///
-    /// The time doubles with each connection that brought nothing, so that a slow upstream is not
-    /// taken for a silent one again and again.
+    /// The time-out doubles with each consecutive connection without a delivered byte, so that a slow
+    /// upstream is not taken for an unresponsive one over and over.
     pub fn timeout_at(&self) -> Time {
-        let patience = match self.phase {
+        let timeout = match self.phase {
             Phase::Flowing => self.policy.chunk_timeout,
             _ => self.policy.first_byte_timeout,
         };
-        self.heard + patience * 2u32.saturating_pow(self.fruitless)
+        self.last_activity + timeout * 2u32.saturating_pow(self.fruitless_connections)
     }
 
-    /// Feeds one event in.
+    /// Handles one event and appends the resulting effects to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Opened { connection } => self.open(now, connection),
-            Event::Chunk { connection, chunk } => self.take(now, connection, &chunk, out),
-            Event::ConnectionLost { connection } => self.lose(now, connection, out),
-            Event::ResumeRefused { connection } => self.move_on(now, connection, out),
-            Event::Tick => self.tick(now, out),
+            Event::Chunk { connection, chunk } => self.receive(now, connection, &chunk, out),
+            Event::ConnectionLost { connection } => self.replace_lost(now, connection, out),
+            Event::ResumeRefused { connection } => self.leave_upstream(now, connection, out),
+            Event::Tick => self.check_timeout(now, out),
             Event::GivenUp(refusal) => self.give_up(refusal, out),
             Event::CallerDisconnected => self.cancel(out),
         }
@@ -124,11 +124,11 @@
 
     fn open(&mut self, now: Time, connection: ConnectionNumber) {
         if self.is_current(connection) {
-            self.heard = now;
+            self.last_activity = now;
         }
     }
 
-    fn take(
+    fn receive(
         &mut self,
         now: Time,
         connection: ConnectionNumber,
@@ -143,9 +143,9 @@
             self.counters.late += 1;
             return;
         }
-        self.heard = now;
+        self.last_activity = now;
         self.phase = Phase::Flowing;
-        let start = self.base.saturating_add(chunk.offset);
+        let start = self.upstream_start.saturating_add(chunk.offset);
         if start > self.delivered {
             self.counters.gaps += 1;
             self.replace(now, out);
@@ -160,7 +160,7 @@
             let skip = self.delivered - start;
             out.push(Effect::Deliver { skip, length: end - self.delivered });
             self.delivered = end;
-            self.fruitless = 0;
+            self.fruitless_connections = 0;
         } else if !chunk.terminal {
             self.counters.duplicate += 1;
         }
@@ -170,33 +170,33 @@
         }
     }
 
-    fn lose(&mut self, now: Time, connection: ConnectionNumber, out: &mut Vec<Effect>) {
+    fn replace_lost(&mut self, now: Time, connection: ConnectionNumber, out: &mut Vec<Effect>) {
         if self.is_current(connection) {
             self.replace(now, out);
         }
     }
 
-    fn tick(&mut self, now: Time, out: &mut Vec<Effect>) {
+    fn check_timeout(&mut self, now: Time, out: &mut Vec<Effect>) {
         if self.phase != Phase::Ended && now >= self.timeout_at() {
             self.replace(now, out);
         }
     }
 
-    /// Replaces the current connection by a new one to the same upstream, or moves on.
+    /// Resumes on a new connection to the same upstream, or leaves the upstream if it can't resume streams.
     fn replace(&mut self, now: Time, out: &mut Vec<Effect>) {
         if !self.policy.resumable {
-            self.move_on(now, self.connection, out);
+            self.leave_upstream(now, self.connection, out);
             return;
         }
-        // A resumed stream counts from the start of what this upstream sent, as before.
-        if let Some(connection) = self.next_connection(now, out) {
-            let offset = self.delivered - self.base;
+        // The offset of a resumed stream counts from the start of this upstream's answer.
+        if let Some(connection) = self.start_connection(now, out) {
+            let offset = self.delivered - self.upstream_start;
             out.push(Effect::Resume { connection, offset });
         }
     }
 
-    /// Leaves the upstream.
-    fn move_on(&mut self, now: Time, connection: ConnectionNumber, out: &mut Vec<Effect>) {
+    /// Restarts or continues the answer on another upstream, or fails it if neither is allowed.
+    fn leave_upstream(&mut self, now: Time, connection: ConnectionNumber, out: &mut Vec<Effect>) {
         if !self.is_current(connection) {
             return;
         }
@@ -205,28 +205,28 @@
             self.fail(out);
             return;
         }
-        let left = self.connection;
-        let Some(connection) = self.next_connection(now, out) else {
+        let previous = self.connection;
+        let Some(connection) = self.start_connection(now, out) else {
             return;
         };
-        out.push(Effect::CancelUpstream { connection: left });
-        self.base = self.delivered;
+        out.push(Effect::CancelUpstream { connection: previous });
+        self.upstream_start = self.delivered;
         out.push(match self.delivered {
             0 => Effect::Restart { connection },
             offset => Effect::Continue { connection, offset },
         });
     }
 
-    fn next_connection(&mut self, now: Time, out: &mut Vec<Effect>) -> Option<ConnectionNumber> {
+    fn start_connection(&mut self, now: Time, out: &mut Vec<Effect>) -> Option<ConnectionNumber> {
         let next = ConnectionNumber(self.connection.0 + 1);
-        self.fruitless += 1;
-        if self.fruitless >= self.policy.max_fruitless_connections {
+        self.fruitless_connections += 1;
+        if self.fruitless_connections >= self.policy.max_fruitless_connections {
             self.fail(out);
             return None;
         }
         out.push(Effect::Close { connection: self.connection });
         self.connection = next;
-        self.heard = now;
+        self.last_activity = now;
         self.phase = Phase::Waiting;
         Some(next)
     }
@@ -236,7 +236,7 @@
             true => Reason::UpstreamFailed,
             false => Reason::AnswerLost,
         };
-        self.give_up(Refusal::new(reason, FAILED_WAIT), out);
+        self.give_up(Refusal::new(reason, FAILED_RETRY_AFTER), out);
     }
 
     fn give_up(&mut self, refusal: Refusal, out: &mut Vec<Effect>) {
