--- a/crates/medlarlug-core/src/announcement.rs
+++ b/crates/medlarlug-core/src/announcement.rs
@@ -1,7 +1,7 @@
-//! What upstreams tell of themselves.
+//! The announcements by which upstreams register and report their load.
 //!
-//! There is no list of upstreams: each announces itself to entry instances of its availability
-//! zone and renews the announcement, with a load report, well within its lease.
+//! There is no configured list of upstreams: each announces itself to entry instances of its availability
+//! zone, and renews the announcement, with a load report, well within its lease.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,38 +18,38 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// The upstream.
+    /// Id of the upstream.
     pub id: UpstreamId,
-    /// Its incarnation: rises with each start.
+    /// Incarnation of the upstream, which rises with each start.
     pub incarnation: Incarnation,
-    /// Number of this announcement within the incarnation.
+    /// Sequence number of the announcement within the incarnation.
     pub sequence: u64,
-    /// Availability zone in which it runs.
+    /// Availability zone in which the upstream runs.
     pub zone: ZoneId,
-    /// Address at which it takes requests.
+    /// Address at which the upstream accepts requests.
     pub address: SocketAddr,
-    /// What it serves.
+    /// Models or service that the upstream serves.
     pub kind: UpstreamKind,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that the upstream runs at once.
     pub slots: Slots,
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether the upstream refuses orders with an outdated fencing token.
     pub fencing: bool,
-    /// Whether it takes no new work because it is about to stop.
+    /// Whether the upstream accepts no new requests because it is shutting down.
     pub leaving: bool,
-    /// Its load when the report was made.
+    /// Load of the upstream when the report was made.
     pub load: LoadReport,
 }
 
-/// What an upstream serves.
+/// The kind of an upstream and what it serves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamKind {
-    /// A model engine.
+    /// An inference engine.
     Engine {
-        /// Model versions that are loaded, sorted.
+        /// Loaded model versions, sorted.
         models: Vec<LoadedModel>,
     },
-    /// A plain service.
+    /// A service that is no inference engine.
     Service {
         /// The service.
         service: ServiceId,
@@ -62,31 +62,31 @@
 pub struct LoadedModel {
     /// The model.
     pub model: ModelId,
-    /// Its version.
+    /// Version of the model.
     pub version: VersionId,
-    /// Adapters that are loaded beside it, sorted.
+    /// Adapters that are loaded for the model, sorted.
     #[serde(default)]
     pub adapters: Vec<AdapterId>,
 }
 
-/// An upstream's load, as it was `age` before the announcement was sent.
+/// The load of an upstream, measured `age` before the announcement was sent.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadReport {
-    /// Time between the reading and the sending.
+    /// Time between the measurement and the sending of the announcement.
     pub age: Duration,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests that wait for a slot.
     pub waiting: u32,
-    /// Prompt tokens that wait to be processed.
+    /// Prompt tokens that wait for prefill.
     pub backlog: Tokens,
-    /// Tokens generated a second over the last reports.
+    /// Tokens generated per second, averaged over the last reports.
     pub speed: f64,
-    /// Prefixes that entered the cache since the last report; gaps are possible.
+    /// Prefixes added to the cache since the last report; the list may be incomplete.
     #[serde(default)]
     pub cached: Vec<Fingerprint>,
-    /// Prefixes that left the cache since the last report; gaps are possible.
+    /// Prefixes evicted from the cache since the last report; the list may be incomplete.
     #[serde(default)]
     pub evicted: Vec<Fingerprint>,
 }
--- a/crates/medlarlug-core/src/directory.rs
+++ b/crates/medlarlug-core/src/directory.rs
@@ -1,13 +1,14 @@
-//! Which entry instances a caller should use, without a balancer before them.
+//! The directory: which entry instances a caller should use. It replaces a load balancer in front of them.
 //!
-//! A caller asks the instance that it uses and gets a list with a lifetime. Near instances come
-//! first; instances that leave are never listed, those that have just started only when no other
-//! instance is ready.
+//! A caller requests a list, which has a lifetime, from the instance that it uses. Instances in the
+//! same zone come first, then those in the same region. Instances that shut down are never listed;
+//! those that have just started are listed only if no other instance is ready.
 //!
-//! The asked instance names itself first while its load is at most the mean of the near ones.
-//! Above it, it sends the caller on with the probability that brings its load to the mean within
-//! one lifetime, and draws among the instances below the mean, weighed by what they lack. Loads
-//! that are a heartbeat old so cause neither a herd nor a random walk.
+//! The requested instance lists itself first while its load is at most the mean load of the nearest
+//! instances. Above the mean, it redirects the caller with the probability that brings its load down to
+//! the mean within one lifetime, to a random instance below the mean, weighted by the load that it is
+//! short of the mean. Loads that are a heartbeat old therefore cause neither a thundering herd nor a
+//! random walk.
 
 use std::time::Duration;
 
@@ -25,13 +26,13 @@
 /// The entry instances that a caller should use, the preferred one first.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Directory {
-    /// The instances, in order.
+    /// The instances, in the order of preference.
     pub entries: Vec<InstanceId>,
-    /// Time after which the caller should ask again.
+    /// Time after which the caller should request a new list.
     pub lifetime: Duration,
 }
 
-/// Distance of an entry instance from the caller.
+/// Distance of an entry instance from the caller, nearest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     Zone,
@@ -39,7 +40,7 @@
     Elsewhere,
 }
 
-/// The directory for a caller next to the zone of the instance that is asked.
+/// The directory for a caller that requests it from this instance.
 ///
 /// ```
 /// use medlarlug_core::{directory, ids::Incarnation, time::Time};
@@ -60,7 +61,7 @@
     order(membership.own(), membership.entries(now), random)
 }
 
-/// Orders `entries` for a caller that asks the instance `own`.
+/// Orders `entries` for a caller that requests the directory from the instance `own`.
 pub fn order(own: &Seed, entries: Vec<EntryView>, random: &mut impl Rng) -> Directory {
     let entries = without_settling(entries);
     let nearest = entries.iter().map(|it| distance(own, it)).min();
@@ -74,8 +75,9 @@
     let mut ranked: Vec<(Distance, f64, InstanceId)> = entries
         .into_iter()
         .map(|it| {
-            let is_kept = stays && it.id == own.id;
-            let rank = if is_kept { -1.0 } else { draw(mean - f64::from(it.load), random) };
+            let is_preferred = stays && it.id == own.id;
+            let rank =
+                if is_preferred { -1.0 } else { random_rank(mean - f64::from(it.load), random) };
             (distance(own, &it), rank, it.id)
         })
         .collect();
@@ -84,7 +86,7 @@
     Directory { entries, lifetime: LIFETIME }
 }
 
-/// The instances but for those that have just started, unless there are no others.
+/// Removes the instances that have just started, unless there are no others.
 fn without_settling(entries: Vec<EntryView>) -> Vec<EntryView> {
     let has_ready = entries.iter().any(|it| !it.settling);
     entries.into_iter().filter(|it| !it.settling || !has_ready).collect()
@@ -100,12 +102,12 @@
     }
 }
 
-/// An exponential draw with the weight `lack`: sorting by it orders the instances at random, the
-/// likelier to the front the more load they lack.
-fn draw(lack: f64, random: &mut impl Rng) -> f64 {
+/// An exponential random variable with the rate `weight`: sorting by it gives a random order in which a
+/// higher weight makes an earlier place more likely.
+fn random_rank(weight: f64, random: &mut impl Rng) -> f64 {
     let uniform: f64 = random.random_range(f64::MIN_POSITIVE..1.0);
-    -uniform.ln() / lack.max(LEAST_LACK)
+    -uniform.ln() / weight.max(MIN_WEIGHT)
 }
 
-/// Weight of an instance that lacks no load.
-const LEAST_LACK: f64 = 1e-3;
+/// Weight of an instance whose load is at the mean or above.
+const MIN_WEIGHT: f64 = 1e-3;
--- a/crates/medlarlug-core/src/drain.rs
+++ b/crates/medlarlug-core/src/drain.rs
@@ -4,10 +4,10 @@
 //! Drain<Serving> --begin--> Drain<Draining> --finish--> Drain<Stopped>
 //! ```
 //!
-//! The first SIGTERM calls [`Drain::begin`]: the instance leaves the directory, hands its speaker
-//! and leader roles over and refuses new requests as `leaving` (outcome `not_run`), while the
-//! requests in flight go on. It stops once none is left, or at the deadline; [`Drain::cut`] then
-//! tells how many requests had not ended. A second signal ends the process and needs no state.
+//! The first SIGTERM calls [`Drain::begin`]: the instance leaves the directory, transfers its
+//! speaker and leader roles and refuses new requests as `leaving` (outcome `not_run`), while the
+//! requests in flight continue. It stops once none is left, or at the deadline; [`Drain::aborted`] is then
+//! the number of requests that had not ended. A second signal ends the process at once and needs no state.
 
 use std::time::Duration;
 
@@ -16,23 +16,23 @@
     time::Time,
 };
 
-/// Time to come back that a leaving instance names; the directory lists others at once.
-const LEAVING_WAIT: Duration = Duration::from_secs(1);
+/// Retry delay while draining. It is short because the directory lists other instances at once.
+const LEAVING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The instance takes new requests.
+/// The instance accepts new requests.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Serving;
 
-/// The instance ends the requests in flight.
+/// The instance refuses new requests and waits for those in flight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Draining {
     deadline: Time,
 }
 
-/// The instance has ended its work.
+/// The instance has stopped; requests that were still in flight are aborted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stopped {
-    cut: u32,
+    aborted: u32,
 }
 
 /// Why the instance may stop.
@@ -44,7 +44,7 @@
     Deadline,
 }
 
-/// The life of an instance's intake, with the number of requests in flight.
+/// The shutdown state of an instance, with the number of requests in flight.
 ///
 /// ```
 /// use medlarlug_core::{drain::{Drain, StopCause}, time::Time};
@@ -60,68 +60,68 @@
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Drain<S> {
-    flying: u32,
+    in_flight: u32,
     state: S,
 }
 
 impl<S> Drain<S> {
-    /// Requests in flight.
+    /// Number of requests in flight; 0 after the stop.
     pub fn in_flight(&self) -> u32 {
-        self.flying
+        self.in_flight
     }
 }
 
 impl Drain<Serving> {
-    /// Counts a new request in.
+    /// Counts a new request as in flight.
     pub fn admit(&mut self) {
-        self.flying += 1;
+        self.in_flight += 1;
     }
 
-    /// Counts a request out that has ended.
+    /// Counts a request as ended.
     pub fn release(&mut self) {
-        self.flying = self.flying.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Begins to drain; requests in flight have `limit` to end.
+    /// Starts draining; requests in flight have `limit` to end.
     pub fn begin(self, now: Time, limit: Duration) -> Drain<Draining> {
         let state = Draining { deadline: now + limit };
-        Drain { flying: self.flying, state }
+        Drain { in_flight: self.in_flight, state }
     }
 }
 
 impl Drain<Draining> {
-    /// The answer to a new request.
+    /// The refusal of a new request.
     pub fn refusal(&self) -> Refusal {
-        Refusal::new(Reason::Leaving, LEAVING_WAIT)
+        Refusal::new(Reason::Leaving, LEAVING_RETRY_AFTER)
     }
 
-    /// Counts a request out that has ended.
+    /// Counts a request as ended.
     pub fn release(&mut self) {
-        self.flying = self.flying.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Why the instance may stop now, or `None` if it has to wait.
+    /// Why the instance may stop now; `None` if it has to wait.
     pub fn stop_cause(&self, now: Time) -> Option<StopCause> {
-        if self.flying == 0 {
+        if self.in_flight == 0 {
             return Some(StopCause::Empty);
         }
         (now >= self.state.deadline).then_some(StopCause::Deadline)
     }
 
-    /// Stops; requests still in flight are cut.
+    /// Stops; requests still in flight count as aborted.
     pub fn finish(self) -> Drain<Stopped> {
-        Drain { flying: 0, state: Stopped { cut: self.flying } }
+        Drain { in_flight: 0, state: Stopped { aborted: self.in_flight } }
     }
 }
 
 impl Drain<Stopped> {
-    /// The answer to a new request.
+    /// The refusal of a new request.
     pub fn refusal(&self) -> Refusal {
-        Refusal::new(Reason::Leaving, LEAVING_WAIT)
+        Refusal::new(Reason::Leaving, LEAVING_RETRY_AFTER)
     }
 
-    /// Requests that had not ended at the stop.
+    /// Number of requests that had not ended at the stop.
     pub fn aborted(&self) -> u32 {
-        self.state.cut
+        self.state.aborted
     }
 }
--- a/crates/medlarlug-core/src/fingerprint.rs
+++ b/crates/medlarlug-core/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Content fingerprints of requests, keys and prompt prefixes.
+//! Fingerprints of request contents, keys and prompt prefixes.
 
 use std::{fmt, str::FromStr};
 
@@ -7,17 +7,17 @@
 
 use crate::ids::IdError;
 
-/// The first 128 bits of a BLAKE3 hash.
+/// A fingerprint: the first 128 bits of a BLAKE3 hash.
 ///
 /// ```
 /// use medlarlug_core::fingerprint::Fingerprint;
 ///
-/// let print = Fingerprint::of(b"one request");
-/// assert_eq!(print.to_string().parse::<Fingerprint>().unwrap(), print);
-/// assert_ne!(print, Fingerprint::of(b"another"));
+/// let fingerprint = Fingerprint::of(b"one request");
+/// assert_eq!(fingerprint.to_string().parse::<Fingerprint>().unwrap(), fingerprint);
+/// assert_ne!(fingerprint, Fingerprint::of(b"another"));
 /// ```
 ///
-/// In text formats it is 32 hexadecimal digits, in binary ones a number.
+/// Serialized as 32 hexadecimal digits in text formats, and as a number in binary ones.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u128);
 
@@ -74,16 +74,16 @@
     }
 }
 
-/// Bytes of prompt text in one block of the prefix cache.
+/// Size of one block of prompt text in the prefix cache, in bytes.
 pub const PREFIX_BLOCK_BYTES: usize = 256;
 
-/// Blocks of a prompt that are fingerprinted at most.
+/// Maximum number of blocks of a prompt that are fingerprinted.
 pub const MAX_PREFIX_BLOCKS: usize = 32;
 
-/// Fingerprints of the prefixes of a prompt: one for each whole block, each over all text up to
-/// the block's end.
+/// Fingerprints of the prefixes of a prompt: one for each complete block, computed over all text up to the
+/// block's end.
 ///
-/// Gateway and engines share this scheme, so that cache events can be matched with prompts.
+/// Gateway and engines use the same scheme, so that cache events can be matched with prompts.
 ///
 /// ```
 /// use medlarlug_core::fingerprint::prefixes;
@@ -94,12 +94,12 @@
 /// ```
 pub fn prefixes(prompt: &str) -> Vec<Fingerprint> {
     let mut hasher = blake3::Hasher::new();
-    let mut prints = Vec::new();
+    let mut fingerprints = Vec::new();
     for block in prompt.as_bytes().chunks_exact(PREFIX_BLOCK_BYTES).take(MAX_PREFIX_BLOCKS) {
         hasher.update(block);
         let mut bytes = [0; 16];
         bytes.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-        prints.push(Fingerprint(u128::from_be_bytes(bytes)));
+        fingerprints.push(Fingerprint(u128::from_be_bytes(bytes)));
     }
-    prints
+    fingerprints
 }
--- a/crates/medlarlug-core/src/ids.rs
+++ b/crates/medlarlug-core/src/ids.rs
@@ -1,7 +1,7 @@
-//! Identifiers: checked text newtypes and counters.
+//! Identifiers: validated text newtypes and counters.
 //!
-//! A text identifier has 1 to 63 characters out of `a-z`, `0-9`, `-` and `_`, and begins with a
-//! letter or a digit, so that it can stand in a path, a header, a metric label and a file name.
+//! A text identifier has 1 to 63 characters from `a-z`, `0-9`, `-` and `_`, and begins with a
+//! letter or a digit, so that it can be used in paths, headers, metric labels and file names.
 
 use std::{fmt, str::FromStr};
 
@@ -9,34 +9,36 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// Longest text identifier, in characters.
+/// Maximum length of a text identifier, in characters.
 pub const MAX_ID_CHARS: usize = 63;
 
-/// A text that is no identifier.
+/// The error of parsing an identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum IdError {
-    /// The text has no character, or more than [`MAX_ID_CHARS`].
-    #[error("`{text}` has {length} characters; an id has 1 to {MAX_ID_CHARS}")]
+    /// The text is empty or longer than [`MAX_ID_CHARS`].
+    #[error("`{text}` has {length} characters; an id must have 1 to {MAX_ID_CHARS}")]
     Length {
         /// The refused text.
         text: SmolStr,
         /// Its length in characters.
         length: usize,
     },
-    /// The text holds a character that ids don't have, or begins with `-` or `_`.
-    #[error("`{text}` is no id: use a-z, 0-9, `-` and `_`, beginning with a letter or digit")]
+    /// The text contains a character that is not allowed in ids, or begins with `-` or `_`.
+    #[error(
+        "`{text}` is not a valid id: use a-z, 0-9, `-` and `_`, starting with a letter or digit"
+    )]
     Character {
         /// The refused text.
         text: SmolStr,
     },
-    /// The text is no number.
-    #[error("`{text}` is no whole number")]
+    /// The text is not an unsigned integer.
+    #[error("`{text}` is not an unsigned integer")]
     Number {
         /// The refused text.
         text: SmolStr,
     },
-    /// The text is no request id.
-    #[error("`{text}` is no request id; one reads region.instance.incarnation.sequence")]
+    /// The text is not a request id.
+    #[error("`{text}` is not a request id; expected region.instance.incarnation.sequence")]
     Request {
         /// The refused text.
         text: SmolStr,
@@ -48,9 +50,9 @@
     if length == 0 || length > MAX_ID_CHARS {
         return Err(IdError::Length { text: text.into(), length });
     }
-    let is_inner = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '_';
-    let begins_well = text.starts_with(|c: char| c.is_ascii_lowercase() || c.is_ascii_digit());
-    if !begins_well || !text.chars().all(is_inner) {
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '_';
+    let has_valid_start = text.starts_with(|c: char| c.is_ascii_lowercase() || c.is_ascii_digit());
+    if !has_valid_start || !text.chars().all(is_allowed) {
         return Err(IdError::Character { text: text.into() });
     }
     Ok(())
@@ -116,43 +118,43 @@
 }
 
 text_id!(
-    /// A process of the system: an entry instance or a keeper.
+    /// Id of a process of the gateway: an entry instance or a keeper.
     InstanceId
 );
 text_id!(
-    /// A model engine or plain service that requests are routed to.
+    /// Id of an inference engine or other service that requests are routed to.
     UpstreamId
 );
 text_id!(
-    /// An availability zone.
+    /// Id of an availability zone.
     ZoneId
 );
 text_id!(
-    /// A region: one or more availability zones.
+    /// Id of a region, which has one or more availability zones.
     RegionId
 );
 text_id!(
-    /// A team of callers, which owns keys, limits and a home region.
+    /// Id of a team of callers, which has keys, limits and a home region.
     TeamId
 );
 text_id!(
-    /// A model that engines serve.
+    /// Id of a model that engines serve.
     ModelId
 );
 text_id!(
-    /// A version of a model.
+    /// Id of a version of a model.
     VersionId
 );
 text_id!(
-    /// An adapter that is loaded beside a model.
+    /// Id of an adapter that is loaded for a model.
     AdapterId
 );
 text_id!(
-    /// A plain service.
+    /// Id of a service that is no inference engine.
     ServiceId
 );
 text_id!(
-    /// A person or program that applies release notes.
+    /// Id of a person or program that applies release notes.
     OperatorId
 );
 macro_rules! counter {
@@ -194,11 +196,11 @@
 }
 
 counter!(
-    /// A revision of the configuration; revision 0 is empty.
+    /// Revision number of the configuration; revision 0 is empty.
     Revision
 );
 counter!(
-    /// Counts the starts of one process; a higher incarnation replaces a lower one.
+    /// Number of a start of a process; a higher incarnation replaces a lower one.
     Incarnation
 );
 counter!(
@@ -206,15 +208,15 @@
     ReleaseNumber
 );
 counter!(
-    /// A term of a replication group: at most one leader each.
+    /// Term of a replication group; each has at most one leader.
     Term
 );
 counter!(
-    /// A position in a replicated log; the first entry has index 1.
+    /// Index of an entry in a replicated log; the first entry has index 1.
     LogIndex
 );
 
-/// The id of one request, which names the place of its record.
+/// Id of a request, which determines where its record is stored.
 ///
 /// Written as `region.instance.incarnation.sequence`.
 ///
@@ -228,13 +230,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "SmolStr", into = "SmolStr")]
 pub struct RequestId {
-    /// Region of the instance that took the request in.
+    /// Region of the instance that received the request.
     pub region: RegionId,
-    /// Instance that took the request in.
+    /// Instance that received the request.
     pub instance: InstanceId,
     /// Incarnation of that instance.
     pub incarnation: Incarnation,
-    /// Number of the request within the incarnation.
+    /// Sequence number of the request within the incarnation.
     pub sequence: u64,
 }
 
--- a/crates/medlarlug-core/src/lib.rs
+++ b/crates/medlarlug-core/src/lib.rs
@@ -1,18 +1,18 @@
 //! Coordination cores of an inference gateway, without I/O.
 //!
-//! Every decision that the gateway's processes take together is a *core*: a plain struct that is
-//! fed with events and answers with effects.
+//! Every decision that involves several of the gateway's processes is made by a *core*: a plain struct that
+//! handles events and returns effects.
 //!
 //! ```text
 //! fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>)
 //! ```
 //!
-//! A core opens no socket, reads no clock and owns no global source of randomness: the time, the
-//! seed and every message come in as arguments. The embedding program runs one loop that feeds
-//! events in and carries effects out, so the same code runs in production, in benches and in
+//! A core opens no socket, reads no clock and uses no global source of randomness: the time, the
+//! seed and every message are arguments. The embedding process runs one loop that passes events to the core
+//! and carries out its effects, so the same code runs in production, in benchmarks and in
 //! thousands of seeded test histories.
 //!
-//! The building blocks that all cores share are [`ids`], [`time`], [`units`], [`announcement`]
+//! The modules that all cores share are [`ids`], [`time`], [`units`], [`announcement`]
 //! and [`release`].
 //!
 //! ```
--- a/crates/medlarlug-core/src/refusal.rs
+++ b/crates/medlarlug-core/src/refusal.rs
@@ -1,10 +1,10 @@
-//! Typed refusals and the time to come back.
+//! Typed refusals and their retry delays.
 //!
-//! Every request that is not answered ends in one [`Refusal`]. The HTTP shell turns it into a
+//! Every request that is not answered ends in one [`Refusal`]. The HTTP layer turns it into a
 //! problem document (RFC 9457): [`Reason::slug`] is its `type`, [`Reason::title`] its `title`,
-//! [`Reason::status`] its `status`, and `outcome` says whether an upstream can have begun the
-//! work. `Retry-After` is spread by jitter, so that callers that were refused together don't come
-//! back together.
+//! [`Reason::status`] its `status`, and `outcome` states whether an upstream may have begun the
+//! work. Jitter is added to `Retry-After`, so that callers that were refused together don't retry
+//! together.
 
 use std::{fmt, time::Duration};
 
@@ -14,40 +14,40 @@
 
 use crate::record::Outcome;
 
-/// Shortest time to come back that a refusal names.
+/// Minimum retry delay of a refusal.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Longest time to come back that a refusal names.
+/// Maximum retry delay of a refusal, before jitter.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(600);
-/// Largest share of the time to come back that jitter adds.
-const JITTER_SHARE: f64 = 0.5;
+/// Maximum jitter, as a fraction of the retry delay.
+const MAX_JITTER_FRACTION: f64 = 0.5;
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The team's rate is used up.
+    /// The team has used up its rate limit.
     RateLimited,
     /// The predicted queueing time is too long.
     Overloaded,
-    /// The deadline can't be met even without a queue, or passed in the queue.
+    /// The deadline can't be met even without a queue, or passed while the request was queued.
     DeadlineImpossible,
-    /// The content crashed upstreams.
+    /// The content is quarantined because it has crashed upstreams.
     Quarantined,
-    /// The instance takes no new work because it is about to stop.
+    /// The instance is shutting down and accepts no new requests.
     Leaving,
     /// The instance has no configuration yet.
     NoConfiguration,
     /// No region is permitted to serve the request.
     NotPermitted,
-    /// Live upstreams serve the target, but only where the request may not go.
+    /// Live upstreams serve the target, but only in regions where the request must not be served.
     ServedElsewhere,
     /// No live upstream serves the target.
     NoUpstream,
-    /// Every attempt failed before an upstream can have begun it.
+    /// Every attempt failed before an upstream could begin the work.
     NotStarted,
     /// The upstream failed, and the retries are used up.
     UpstreamFailed,
-    /// The answer was lost; whether the call ran can't be told.
+    /// The answer was lost, and the call is not idempotent; it is unknown whether the call ran.
     AnswerLost,
 }
 
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Short text for people.
+    /// Short human-readable text, the `title` of the problem document.
     pub fn title(self) -> &'static str {
         match self {
             Reason::RateLimited => "The team's rate limit is used up",
@@ -112,7 +112,7 @@
         }
     }
 
-    /// HTTP status.
+    /// HTTP status code of the answer.
     pub fn status(self) -> u16 {
         match self {
             Reason::RateLimited => 429,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// How a request ends that is refused for this reason before any attempt.
+    /// Outcome of a request that is refused for this reason before any attempt.
     pub fn outcome(self) -> Outcome {
         match self {
             Reason::Quarantined | Reason::UpstreamFailed => Outcome::Failed,
@@ -145,20 +145,20 @@
     }
 }
 
-/// The final answer to a request that is given up.
+/// The final answer to a request that is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is refused.
     pub reason: Reason,
-    /// How the request ended.
+    /// Whether an upstream may have begun the work.
     pub outcome: Outcome,
-    /// Time after which to come back.
+    /// Time after which the caller may retry.
     #[serde(rename = "after")]
     pub retry_after: Duration,
 }
 
 impl Refusal {
-    /// A refusal with the reason's own outcome.
+    /// Creates a refusal with the default outcome of `reason`.
     ///
     /// ```
     /// use medlarlug_core::{record::Outcome, refusal::{Reason, Refusal}};
@@ -172,40 +172,40 @@
         Refusal { reason, outcome: reason.outcome(), retry_after }
     }
 
-    /// `Retry-After` in whole seconds, rounded up.
+    /// Value of `Retry-After` in whole seconds, rounded up.
     pub fn retry_after_secs(&self) -> u64 {
         self.retry_after.as_secs() + u64::from(self.retry_after.subsec_nanos() > 0)
     }
 }
 
-/// Seeded jitter for the time to come back.
+/// Seeded jitter for retry delays.
 #[derive(Debug, Clone)]
 pub struct RetryJitter {
     random: ChaCha8Rng,
 }
 
 impl RetryJitter {
-    /// A source of jitter.
+    /// Creates a source of jitter; the same seed gives the same sequence.
     pub fn new(seed: u64) -> RetryJitter {
         RetryJitter { random: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// `wait` within [`MIN_RETRY_AFTER`] and [`MAX_RETRY_AFTER`], lengthened by up to a half.
+    /// Clamps `wait` to [`MIN_RETRY_AFTER`] and [`MAX_RETRY_AFTER`], then lengthens it by up to a half.
     ///
     /// ```
     /// use medlarlug_core::refusal::RetryJitter;
     /// use std::time::Duration;
     ///
-    /// let after = RetryJitter::new(7).apply(Duration::from_secs(10));
-    /// assert!(after >= Duration::from_secs(10) && after <= Duration::from_secs(15));
+    /// let delay = RetryJitter::new(7).apply(Duration::from_secs(10));
+    /// assert!(delay >= Duration::from_secs(10) && delay <= Duration::from_secs(15));
     /// ```
     pub fn apply(&mut self, wait: Duration) -> Duration {
         let base = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
-        let jitter: f64 = self.random.random_range(0.0..JITTER_SHARE);
+        let jitter: f64 = self.random.random_range(0.0..MAX_JITTER_FRACTION);
         base.mul_f64(1.0 + jitter)
     }
 
-    /// A refusal with a spread time to come back.
+    /// Creates a refusal with the retry delay `wait`, clamped and with jitter.
     pub fn refuse(&mut self, reason: Reason, wait: Duration) -> Refusal {
         Refusal::new(reason, self.apply(wait))
     }
--- a/crates/medlarlug-core/src/retry.rs
+++ b/crates/medlarlug-core/src/retry.rs
@@ -1,14 +1,14 @@
-//! The retry budget and the decision to try again.
+//! The retry budget and the retry decision.
 //!
-//! One [`RetryBudget`] per instance and model holds [`MAX_STORED_RETRIES`] retries, full at the
-//! start. A retry that was taken comes back after [`SUCCESSES_PER_RETRY`] successes. So among any
-//! 100 requests in a row there are at most 10 retries: the attempts stay at 1.1 times the requests
-//! or below. When every upstream fails, 10 retries are made in all, and none until successes have
-//! been counted again. Only the instance that sent a request to an upstream deposits its success:
-//! one that forwarded it to another zone does not, so that each success pays once.
+//! One [`RetryBudget`] per instance and model holds [`MAX_STORED_RETRIES`] retries and is full at the
+//! start. A used retry is returned after [`SUCCESSES_PER_RETRY`] successes, so any 100 consecutive
+//! requests cause at most 10 retries: there are at most 1.1 times as many attempts as requests. If
+//! every upstream fails, 10 retries are made in all, and none after that until successes have been
+//! counted again. Only the instance that sent a request to an upstream records its success; one that
+//! forwarded the request to another zone does not, so that each success counts once.
 //!
-//! Only idempotent work is tried again, or work that was proven not to have run: the connection
-//! was refused before a byte was sent, or the receiving zone refused it as not run.
+//! A request is retried only if it is idempotent, or if it has certainly not run: the connection
+//! was refused before a byte was sent, or the receiving zone refused the request as not run.
 
 use std::time::Duration;
 
@@ -20,16 +20,16 @@
     time::Time,
 };
 
-/// Retries that the budget holds at most.
+/// Maximum number of retries in the budget.
 pub const MAX_STORED_RETRIES: u32 = 10;
-/// Attempts that one request gets at most.
+/// Maximum number of attempts per request, including the first.
 pub const MAX_ATTEMPTS: u32 = 3;
-/// Successes after which a retry that was taken comes back.
+/// Number of successes after which a used retry is returned to the budget.
 pub const SUCCESSES_PER_RETRY: u64 = 100;
-/// Time to come back when the budget is used up.
-const BUDGET_WAIT: Duration = Duration::from_secs(2);
+/// Retry delay of a request that is given up after a failed attempt.
+const GIVEN_UP_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Retries that successes pay for.
+/// A budget of retries that successful requests refill.
 ///
 /// ```
 /// use medlarlug_core::retry::{MAX_STORED_RETRIES, RetryBudget, SUCCESSES_PER_RETRY};
@@ -43,19 +43,19 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetryBudget {
     successes: u64,
-    // Successes that had been counted when each retry was taken, the oldest first.
+    // Value of `successes` when each used retry was taken, oldest first.
     taken: Vec<u64>,
 }
 
 impl RetryBudget {
-    /// Counts a request that was answered.
+    /// Counts an answered request, and returns the retries that were taken long enough ago.
     pub fn record_success(&mut self) {
         self.successes += 1;
         let successes = self.successes;
         self.taken.retain(|it| successes - it < SUCCESSES_PER_RETRY);
     }
 
-    /// Takes one retry out, if there is one.
+    /// Takes one retry; returns `false` if the budget is used up.
     pub fn take(&mut self) -> bool {
         if self.remaining() == 0 {
             return false;
@@ -64,66 +64,66 @@
         true
     }
 
-    /// Requests that were answered.
+    /// Number of answered requests recorded so far.
     pub fn successes(&self) -> u64 {
         self.successes
     }
 
-    /// Whole retries that are left.
+    /// Number of retries that can be taken.
     pub fn remaining(&self) -> u32 {
         MAX_STORED_RETRIES.saturating_sub(self.taken.len() as u32)
     }
 }
 
-/// How an attempt failed.
+/// How an attempt failed, which decides whether its work may have begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Failure {
     /// The connection was refused before a byte was sent.
     NotSent,
     /// The receiving zone refused the request as not run.
     ZoneRefused,
-    /// The connection was lost, or stayed silent, after the request was sent.
+    /// The connection was lost or timed out after the request had been sent.
     Lost,
     /// The upstream answered with an error after it may have begun the work.
     Error,
 }
 
 impl Failure {
-    /// Whether no upstream can have begun the work of this attempt.
+    /// Whether it is certain that no upstream began the work of this attempt.
     pub fn is_not_run(self) -> bool {
         matches!(self, Failure::NotSent | Failure::ZoneRefused)
     }
 }
 
-/// The attempts that were made for one request.
+/// The attempts made for one request, and the conditions for another one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attempts {
-    /// Whether the work may be repeated.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether another zone handed the request over; it crosses no further.
+    /// Whether another zone forwarded the request; it is not forwarded again.
     pub forwarded: bool,
-    /// Moment by which the answer has to begin.
+    /// Time by which the answer has to begin.
     pub deadline: Time,
-    /// Time that an attempt takes at least.
+    /// Minimum duration of an attempt; a retry needs that much time before the deadline.
     pub min_attempt_time: Duration,
     made: u32,
-    zones: u32,
+    zone_refusals: u32,
     may_have_run: bool,
 }
 
-/// What to do after a failed attempt.
+/// The action after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Try another upstream of the same zone.
+    /// Retry on another upstream of the same zone.
     RetryInZone,
-    /// Hand the request to one other permitted zone.
+    /// Forward the request to one other permitted zone.
     RetryInOtherZone,
-    /// Give the caller this final answer now.
+    /// Refuse the request to the caller.
     GiveUp(Refusal),
 }
 
 impl Attempts {
-    /// A request without an attempt so far.
+    /// Creates the state of a request before its first attempt.
     pub fn new(
         idempotent: bool,
         forwarded: bool,
@@ -136,17 +136,17 @@
             deadline,
             min_attempt_time,
             made: 0,
-            zones: 0,
+            zone_refusals: 0,
             may_have_run: false,
         }
     }
 
-    /// Attempts that failed so far.
+    /// Number of failed attempts so far.
     pub fn made(&self) -> u32 {
         self.made
     }
 
-    /// How the request ends if it is given up now.
+    /// Outcome of the request if it is given up now.
     pub fn outcome(&self) -> Outcome {
         match (self.may_have_run, self.idempotent) {
             (false, _) => Outcome::NotRun,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Counts a failed attempt and decides what follows.
+    /// Counts a failed attempt, and takes a retry from `budget` if the request is retried.
     ///
     /// ```
     /// use medlarlug_core::{
@@ -178,12 +178,12 @@
         now: Time,
         failure: Failure,
         budget: &mut RetryBudget,
-        spread: &mut RetryJitter,
+        jitter: &mut RetryJitter,
     ) -> Decision {
         self.count(failure);
         let is_in_time = now + self.min_attempt_time < self.deadline;
-        if !self.is_repeatable(failure) || !is_in_time || !budget.take() {
-            return Decision::GiveUp(self.refusal(spread));
+        if !self.may_retry(failure) || !is_in_time || !budget.take() {
+            return Decision::GiveUp(self.refusal(jitter));
         }
         match failure {
             Failure::ZoneRefused => Decision::RetryInOtherZone,
@@ -194,19 +194,19 @@
     fn count(&mut self, failure: Failure) {
         self.made += 1;
         self.may_have_run |= !failure.is_not_run();
-        self.zones += u32::from(failure == Failure::ZoneRefused);
+        self.zone_refusals += u32::from(failure == Failure::ZoneRefused);
     }
 
-    fn is_repeatable(&self, failure: Failure) -> bool {
+    fn may_retry(&self, failure: Failure) -> bool {
         let is_safe = self.idempotent || !self.may_have_run;
-        let may_cross = !self.forwarded && self.zones <= 1;
-        let has_place = failure != Failure::ZoneRefused || may_cross;
-        is_safe && has_place && self.made < MAX_ATTEMPTS
+        let may_cross = !self.forwarded && self.zone_refusals <= 1;
+        let has_target = failure != Failure::ZoneRefused || may_cross;
+        is_safe && has_target && self.made < MAX_ATTEMPTS
     }
 
-    /// The final answer when no further attempt is possible because of `refusal`.
+    /// The final refusal if no further attempt is possible because of `refusal`.
     ///
-    /// It says that the work was not run only if no attempt so far can have run it.
+    /// Its outcome is [`Outcome::NotRun`] only if no attempt so far can have begun the work.
     ///
     /// ```
     /// use medlarlug_core::{
@@ -239,7 +239,7 @@
         }
     }
 
-    fn refusal(&self, spread: &mut RetryJitter) -> Refusal {
-        spread.refuse(self.reason(), BUDGET_WAIT)
+    fn refusal(&self, jitter: &mut RetryJitter) -> Refusal {
+        jitter.refuse(self.reason(), GIVEN_UP_RETRY_AFTER)
     }
 }
--- a/crates/medlarlug-core/src/time.rs
+++ b/crates/medlarlug-core/src/time.rs
@@ -1,8 +1,8 @@
-//! Monotonic time as the cores see it.
+//! Monotonic time for the cores.
 //!
 //! A [`Time`] is a reading of one process's monotonic clock. It is never sent to another process:
-//! messages carry the *age* of what they tell as a [`Duration`], and the receiver subtracts it
-//! from its own reading.
+//! messages carry the *age* of their content as a [`Duration`], and the receiver subtracts it
+//! from its own clock reading.
 
 use std::{
     fmt,
@@ -25,7 +25,7 @@
 pub struct Time(u64);
 
 impl Time {
-    /// The origin of the clock.
+    /// The origin of the clock, which the embedding process chooses.
     pub const ZERO: Time = Time(0);
 
     /// The reading `micros` microseconds after the origin.
@@ -43,7 +43,7 @@
         self.0
     }
 
-    /// The moment `age` before this one, or the origin if that is later.
+    /// The time `age` before this one, or the origin if that is later.
     pub fn saturating_sub(self, age: Duration) -> Time {
         Time(self.0.saturating_sub(micros(age)))
     }
--- a/crates/medlarlug-core/src/units.rs
+++ b/crates/medlarlug-core/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and prices as newtypes.
+//! Newtypes for rates, prices and sizes.
 
 use std::{fmt, str::FromStr};
 
@@ -6,30 +6,30 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// A quantity outside its permitted range.
+/// The error of parsing or converting a quantity.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum UnitError {
-    /// A rate has to be a finite number above zero.
-    #[error("a rate of {value} a second is impossible; give a number above zero")]
+    /// A rate is not a finite number above zero.
+    #[error("invalid rate {value}/s: must be a finite number above zero")]
     Rate {
         /// The refused value.
         value: f64,
     },
-    /// A price has to be finite and not negative.
-    #[error("a price of {value} is impossible; give zero or more")]
+    /// A price is not a finite number of at least zero.
+    #[error("invalid price {value}: must be a finite number of at least zero")]
     Price {
         /// The refused value.
         value: f64,
     },
-    /// The text is no number.
-    #[error("`{text}` is no number")]
+    /// The text is not a number.
+    #[error("`{text}` is not a number")]
     Text {
         /// The refused text.
         text: SmolStr,
     },
 }
 
-macro_rules! real {
+macro_rules! float_unit {
     ($(#[$doc:meta])* $name:ident, $unit:literal, $error:ident, $check:expr) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
         pub struct $name(f64);
 
         impl $name {
-            /// The plain number.
+            /// The value without its unit.
             pub fn get(self) -> f64 {
                 self.0
             }
@@ -80,8 +80,8 @@
     };
 }
 
-real!(
-    /// Events a second, above zero.
+float_unit!(
+    /// A rate in events per second, above zero.
     ///
     /// ```
     /// use medlarlug_core::units::Rate;
@@ -94,7 +94,7 @@
     Rate,
     |value| value.is_finite() && value > 0.0
 );
-real!(
+float_unit!(
     /// A price in the deployment's own unit, zero or more.
     ///
     /// ```
@@ -107,7 +107,7 @@
     |value| value.is_finite() && value >= 0.0
 );
 
-macro_rules! whole {
+macro_rules! integer_unit {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
         $(#[$doc])*
         #[derive(
@@ -132,17 +132,17 @@
     };
 }
 
-whole!(
+integer_unit!(
     /// A number of tokens.
     Tokens,
     u64
 );
-whole!(
-    /// A number of requests that an upstream runs at once.
+integer_unit!(
+    /// A number of requests that run at once.
     Slots,
     u32
 );
-whole!(
+integer_unit!(
     /// A size in bytes.
     ByteSize,
     u64
--- a/crates/medlarlug-core/tests/testsuite/follower.rs
+++ b/crates/medlarlug-core/tests/testsuite/follower.rs
@@ -45,7 +45,7 @@
     Request {
         from: usize,
         to: InstanceId,
-        ask: UpdateRequest,
+        request: UpdateRequest,
     },
     Response {
         to: usize,
@@ -148,9 +148,9 @@
         let note = ReleaseNote::try_from(note(base, items)).unwrap();
         self.group.apply(Command::Apply(note));
         self.tracker.record_commit(self.keeper_now(), Revision(base + 1));
-        let ask = UpdateRequest { token: 0, revision: Revision(base), full: false };
+        let request = UpdateRequest { token: 0, revision: Revision(base), full: false };
         for to in 0..INSTANCES {
-            let update = self.group.update_for(&ask).unwrap();
+            let update = self.group.update_for(&request).unwrap();
             self.messages.push(Message::Push { to, update });
         }
     }
@@ -172,8 +172,8 @@
         process.follower.handle(process.now(self.real), event, &mut out);
         for effect in out {
             match effect {
-                Effect::RequestUpdate { source, ask } => {
-                    self.messages.push(Message::Request { from: index, to: source, ask });
+                Effect::RequestUpdate { source, request } => {
+                    self.messages.push(Message::Request { from: index, to: source, request });
                 }
                 Effect::Save(saved) => {
                     let starts = process.starts;
@@ -199,7 +199,7 @@
             return;
         }
         match message {
-            Message::Request { from, to, ask } => self.answer(from, &to, ask),
+            Message::Request { from, to, request } => self.answer(from, &to, request),
             Message::Response { to, answer } => self.feed(to, Event::ResponseReceived(answer)),
             Message::Saved { to, starts, saved } => self.save(to, starts, saved),
             Message::Push { to, update } if !self.processes[to].is_cut_off => {
@@ -219,22 +219,22 @@
     }
 
     /// The keeper answers those that are not cut off; instances answer each other.
-    fn answer(&mut self, from: usize, to: &InstanceId, ask: UpdateRequest) {
+    fn answer(&mut self, from: usize, to: &InstanceId, request: UpdateRequest) {
         let asking = self.processes[from].name.clone();
         let answer = if to.as_str() == KEEPER {
             if self.processes[from].is_cut_off {
                 return;
             }
-            self.tracker.record_confirmation(asking.clone(), id("riga-a"), ask.revision);
+            self.tracker.record_confirmation(asking.clone(), id("riga-a"), request.revision);
             let revision = self.group.configuration().revision;
             UpdateResponse {
-                token: ask.token,
-                update: self.group.update_for(&ask),
+                token: request.token,
+                update: self.group.update_for(&request),
                 confirmation: Some(Confirmation { revision, age: Duration::ZERO }),
             }
         } else {
             let peer = self.processes.iter().find(|it| it.name == *to).unwrap();
-            peer.follower.answer(peer.now(self.real), ask)
+            peer.follower.answer(peer.now(self.real), request)
         };
         self.messages.push(Message::Response { to: from, answer });
     }
@@ -301,10 +301,10 @@
     let mut follower = Follower::new(timing, Storage::Disk(Some(saved)), 0);
     let mut out = Vec::new();
     follower.handle(Time::from_millis(5_000), Event::Sources(sources()), &mut out);
-    let Effect::RequestUpdate { ask, .. } = &out[0] else { panic!("no question") };
+    let Effect::RequestUpdate { request, .. } = &out[0] else { panic!("no question") };
     let confirmation = Confirmation { revision: Revision(3), age: Duration::from_secs(2) };
     let answer =
-        UpdateResponse { token: ask.token, update: None, confirmation: Some(confirmation) };
+        UpdateResponse { token: request.token, update: None, confirmation: Some(confirmation) };
 
     follower.handle(Time::from_millis(9_000), Event::ResponseReceived(answer), &mut out);
 
@@ -321,8 +321,8 @@
 fn question(follower: &mut Follower, now: Time) -> UpdateRequest {
     let mut out = Vec::new();
     follower.handle(now, Event::Sources(sources()), &mut out);
-    let Some(Effect::RequestUpdate { ask, .. }) = out.first() else { panic!("no question") };
-    *ask
+    let Some(Effect::RequestUpdate { request, .. }) = out.first() else { panic!("no question") };
+    *request
 }
 
 /// A diskless follower that asked at `asked` and was offered revision 3, confirmed at `age`.
@@ -436,10 +436,12 @@
         let now = Time::from_millis(second * 1_000);
         let mut out = Vec::new();
         follower.handle(now, Event::Sources(sources()), &mut out);
-        let Some(Effect::RequestUpdate { source, ask }) = out.pop() else { panic!("no question") };
+        let Some(Effect::RequestUpdate { source, request }) = out.pop() else {
+            panic!("no question")
+        };
         asked += usize::from(second >= 20 && source.as_str() == KEEPER);
         let confirmation = age.map(|age| Confirmation { revision: Revision(3), age });
-        let answer = UpdateResponse { token: ask.token, update: None, confirmation };
+        let answer = UpdateResponse { token: request.token, update: None, confirmation };
         follower.handle(now, Event::ResponseReceived(answer), &mut Vec::new());
     }
     asked
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -281,8 +281,8 @@
         self.follower.borrow_mut().handle(self.now(), event, &mut effects);
         for effect in effects {
             match effect {
-                follower::Effect::RequestUpdate { source, ask } => {
-                    self.send(&source, Message::Ask(ask));
+                follower::Effect::RequestUpdate { source, request } => {
+                    self.send(&source, Message::Ask(request));
                 }
                 follower::Effect::Save(configuration) => {
                     self.unsaved.send_replace(Some(configuration));
