--- a/crates/medlarlug-core/src/gateway/attempt_timeout.rs
+++ b/crates/medlarlug-core/src/gateway/attempt_timeout.rs
@@ -17,9 +17,9 @@
 /// Limit as a multiple of the latency objective: the answer would be late by then in any case.
 const OBJECTIVE_FACTOR: f64 = 2.0;
 /// Shortest limit: the way to another region and back, and a few calls of a plain service.
-const SHORTEST: Duration = Duration::from_millis(800);
+const MIN_TIMEOUT: Duration = Duration::from_millis(800);
 /// Part of the time left that an attempt gets if another one is to follow it.
-const LEFT_SHARE: f64 = 0.6;
+const TIME_LEFT_SHARE: f64 = 0.6;
 
 /// What an attempt has to go by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,8 +56,8 @@
     if attempt.is_last || attempt.source == StreamSource::Instance {
         return attempt.time_left;
     }
-    let usual = (attempt.predicted_wait * PREDICTION_FACTOR)
+    let timeout = (attempt.predicted_wait * PREDICTION_FACTOR)
         .max(attempt.objective.mul_f64(OBJECTIVE_FACTOR))
-        .max(SHORTEST);
-    usual.min(attempt.time_left.mul_f64(LEFT_SHARE).max(SHORTEST)).min(attempt.time_left)
+        .max(MIN_TIMEOUT);
+    timeout.min(attempt.time_left.mul_f64(TIME_LEFT_SHARE).max(MIN_TIMEOUT)).min(attempt.time_left)
 }
--- a/crates/medlarlug-core/src/gateway/availability.rs
+++ b/crates/medlarlug-core/src/gateway/availability.rs
@@ -14,16 +14,16 @@
 use crate::{gateway::upstreams::Birth, ids::UpstreamId, time::Time};
 
 /// Longest rest that is granted; who asks for more is asked again after a day.
-const LONGEST_REST: Duration = Duration::from_secs(24 * 3_600);
+const MAX_BACKOFF: Duration = Duration::from_secs(24 * 3_600);
 /// Part of its rest by which instances return to an upstream at different times, so that they don't return
 /// together.
-const SPREAD_SHARE: f64 = 0.2;
+const JITTER_SHARE: f64 = 0.2;
 /// Longest time by which they do.
-const LONGEST_SPREAD: Duration = Duration::from_secs(1);
+const MAX_JITTER: Duration = Duration::from_secs(1);
 /// Time for which it is remembered that an incarnation was leaving; it is gone long before.
-const LEAVING_KEPT: Duration = Duration::from_secs(24 * 3_600);
+const LEAVING_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
-/// Time for which an upstream wants no requests, at most [a day](LONGEST_REST).
+/// Time for which an upstream wants no requests, at most [a day](MAX_BACKOFF).
 ///
 /// ```
 /// use medlarlug_core::gateway::availability::Backoff;
@@ -47,7 +47,7 @@
         let seconds: f64 = text.trim().parse().map_err(|_| BackoffError)?;
         match seconds {
             seconds if seconds.is_nan() || seconds < 0.0 => Err(BackoffError),
-            seconds if seconds >= LONGEST_REST.as_secs_f64() => Ok(Backoff(LONGEST_REST)),
+            seconds if seconds >= MAX_BACKOFF.as_secs_f64() => Ok(Backoff(MAX_BACKOFF)),
             seconds => Ok(Backoff(Duration::from_secs_f64(seconds))),
         }
     }
@@ -60,10 +60,10 @@
 }
 
 impl Backoff {
-    /// When the rest ends that was asked for at `now`; `spread` lies between 0 and 1 and differs from
+    /// When the rest ends that was asked for at `now`; `jitter` lies between 0 and 1 and differs from
     /// instance to instance.
-    fn end(self, now: Time, spread: f64) -> Time {
-        now + self.0 + self.0.mul_f64(SPREAD_SHARE).min(LONGEST_SPREAD).mul_f64(spread)
+    fn end(self, now: Time, jitter: f64) -> Time {
+        now + self.0 + self.0.mul_f64(JITTER_SHARE).min(MAX_JITTER).mul_f64(jitter)
     }
 }
 
@@ -90,23 +90,23 @@
 
 impl State {
     /// The same after the upstream has asked for a rest.
-    fn rests(self, until: Time) -> State {
+    fn extend_backoff(self, until: Time) -> State {
         match self {
             State::BackingOff { until: before } => State::BackingOff { until: until.max(before) },
             State::Leaving { .. } => self,
         }
     }
 
-    fn has_ended(self, now: Time) -> bool {
+    fn is_expired(self, now: Time) -> bool {
         match self {
             State::BackingOff { until } => until <= now,
-            State::Leaving { since } => now - since > LEAVING_KEPT,
+            State::Leaving { since } => now - since > LEAVING_RETENTION,
         }
     }
 }
 
 #[derive(Debug, Clone)]
-struct Told {
+struct UpstreamRecord {
     id: UpstreamId,
     birth: Birth,
     state: State,
@@ -120,14 +120,14 @@
 ///     time::Time,
 /// };
 ///
-/// let (mut told, id) = (AvailabilityTracker::default(), "engine-1".parse().unwrap());
-/// told.record_leaving(Time::ZERO, &id, Birth(1));
-/// assert_eq!(told.of(Time::ZERO, &id, Birth(1)), Availability::Leaving);
-/// assert_eq!(told.of(Time::ZERO, &id, Birth(2)), Availability::Available);
+/// let (mut tracker, id) = (AvailabilityTracker::default(), "engine-1".parse().unwrap());
+/// tracker.record_leaving(Time::ZERO, &id, Birth(1));
+/// assert_eq!(tracker.of(Time::ZERO, &id, Birth(1)), Availability::Leaving);
+/// assert_eq!(tracker.of(Time::ZERO, &id, Birth(2)), Availability::Available);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct AvailabilityTracker {
-    told: Vec<Told>,
+    records: Vec<UpstreamRecord>,
 }
 
 impl AvailabilityTracker {
@@ -137,12 +137,14 @@
         now: Time,
         id: &UpstreamId,
         birth: Birth,
-        rest: Backoff,
-        spread: f64,
+        backoff: Backoff,
+        jitter: f64,
     ) -> Option<Duration> {
-        let until = rest.end(now, spread);
+        let until = backoff.end(now, jitter);
         let before = self.of(now, id, birth);
-        self.tell(now, id, birth, State::BackingOff { until }, |state| state.rests(until));
+        self.record(now, id, birth, State::BackingOff { until }, |state| {
+            state.extend_backoff(until)
+        });
         match (before, self.of(now, id, birth)) {
             (
                 Availability::BackingOff { remaining: before },
@@ -157,17 +159,17 @@
     pub fn record_leaving(&mut self, now: Time, id: &UpstreamId, birth: Birth) -> bool {
         let before = self.of(now, id, birth);
         let leaving = State::Leaving { since: now };
-        self.tell(now, id, birth, leaving, |_| leaving);
+        self.record(now, id, birth, leaving, |_| leaving);
         before != Availability::Leaving
     }
 
     /// Whether an incarnation wants requests.
     pub fn of(&self, now: Time, id: &UpstreamId, birth: Birth) -> Availability {
-        let told = self.place(id).ok().map(|at| &self.told[at]);
-        match told.filter(|it| it.birth >= birth && !it.state.has_ended(now)) {
+        let record = self.index_of(id).ok().map(|at| &self.records[at]);
+        match record.filter(|it| it.birth >= birth && !it.state.is_expired(now)) {
             None => Availability::Available,
-            Some(Told { state: State::Leaving { .. }, .. }) => Availability::Leaving,
-            Some(Told { state: State::BackingOff { until }, .. }) => {
+            Some(UpstreamRecord { state: State::Leaving { .. }, .. }) => Availability::Leaving,
+            Some(UpstreamRecord { state: State::BackingOff { until }, .. }) => {
                 Availability::BackingOff { remaining: *until - now }
             }
         }
@@ -175,7 +177,7 @@
 
     /// Notes what an incarnation has said: `first`, or `next` after what it said before. What an
     /// older incarnation says late is void.
-    fn tell(
+    fn record(
         &mut self,
         now: Time,
         id: &UpstreamId,
@@ -183,18 +185,20 @@
         first: State,
         next: impl FnOnce(State) -> State,
     ) {
-        self.told.retain(|it| !it.state.has_ended(now));
-        match self.place(id) {
-            Ok(at) if self.told[at].birth > birth => {}
-            Ok(at) if self.told[at].birth == birth => {
-                self.told[at].state = next(self.told[at].state);
+        self.records.retain(|it| !it.state.is_expired(now));
+        match self.index_of(id) {
+            Ok(at) if self.records[at].birth > birth => {}
+            Ok(at) if self.records[at].birth == birth => {
+                self.records[at].state = next(self.records[at].state);
+            }
+            Ok(at) => self.records[at] = UpstreamRecord { id: id.clone(), birth, state: first },
+            Err(at) => {
+                self.records.insert(at, UpstreamRecord { id: id.clone(), birth, state: first })
             }
-            Ok(at) => self.told[at] = Told { id: id.clone(), birth, state: first },
-            Err(at) => self.told.insert(at, Told { id: id.clone(), birth, state: first }),
         }
     }
 
-    fn place(&self, id: &UpstreamId) -> Result<usize, usize> {
-        self.told.binary_search_by(|it| it.id.cmp(id))
+    fn index_of(&self, id: &UpstreamId) -> Result<usize, usize> {
+        self.records.binary_search_by(|it| it.id.cmp(id))
     }
 }
--- a/crates/medlarlug-core/src/gateway/cold.rs
+++ b/crates/medlarlug-core/src/gateway/cold.rs
@@ -15,7 +15,7 @@
 };
 
 /// Part of a cold upstream's rate that its sender uses.
-const SAFE_SHARE: f64 = 0.8;
+const USED_RATE_SHARE: f64 = 0.8;
 
 /// The live entry instance that sends to a cold upstream.
 ///
@@ -35,7 +35,7 @@
 
 /// Longest way of an announcement that its age does not show: from another region, with a lost
 /// packet.
-const NEWS_DELAY: Duration = Duration::from_millis(300);
+const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(300);
 
 /// Age of an announcement up to which its upstream is taken for the one that made it: three missed
 /// in a row. After that, it may have started anew where it can't announce itself.
@@ -43,7 +43,7 @@
 
 /// The same for an announcement from before this process started, which has seen no connection to the
 /// upstream break: the next one is made 1.2 s later, and keepers pass it on within a second.
-const TOLD_FOR: Duration = Duration::from_millis(2_500);
+const INHERITED_ANNOUNCEMENT_LIFETIME: Duration = Duration::from_millis(2_500);
 
 /// What may have turned upstreams cold without their having told so yet: the end of an evacuation,
 /// a crash that is seen as a connection that does not open, a start behind a cut, or anything while
@@ -82,13 +82,17 @@
         let ProcessTimes { started, resumed } = process;
         let zone = self.restored.binary_search_by(|it| it.0.cmp(&known.upstream.zone));
         let restored = zone.ok().map(|at| self.restored[at].1);
-        let missed = restored.max(resumed).map(|when| when + NEWS_DELAY);
-        let suspect = missed.max(observations.last_unreachable);
-        let is_suspect = suspect.is_some_and(|since| known.announced_at <= since);
-        let limit = if known.announced_at < started { TOLD_FOR } else { ANNOUNCEMENT_LIFETIME };
-        let is_unheard = now - known.announced_at > limit
+        let blind_until = restored.max(resumed).map(|when| when + MAX_ANNOUNCEMENT_DELAY);
+        let suspect_since = blind_until.max(observations.last_unreachable);
+        let is_suspect = suspect_since.is_some_and(|since| known.announced_at <= since);
+        let limit = if known.announced_at < started {
+            INHERITED_ANNOUNCEMENT_LIFETIME
+        } else {
+            ANNOUNCEMENT_LIFETIME
+        };
+        let is_stale = now - known.announced_at > limit
             && !observations.is_still_serving(now, known.announced_at);
-        is_suspect || is_unheard || known.may_be_cold(now)
+        is_suspect || is_stale || known.may_be_cold(now)
     }
 }
 
@@ -159,9 +163,9 @@
 
     /// Counts a request that goes out now.
     pub fn record_send(&mut self, now: Time, upstream: &UpstreamId, rate: f64) {
-        let pause = Duration::from_secs_f64(1.0 / (rate * SAFE_SHARE).max(0.01));
+        let interval = Duration::from_secs_f64(1.0 / (rate * USED_RATE_SHARE).max(0.01));
         self.next.retain(|it| it.1 > now);
-        let next = now + pause;
+        let next = now + interval;
         match self.next.binary_search_by(|it| it.0.cmp(upstream)) {
             Ok(at) => self.next[at].1 = next,
             Err(at) => self.next.insert(at, (upstream.clone(), next)),
--- a/crates/medlarlug-core/src/gateway/contacts.rs
+++ b/crates/medlarlug-core/src/gateway/contacts.rs
@@ -93,7 +93,7 @@
     known: Vec<Contact>,
     change: u64,
     /// The most entry instances that were known at once.
-    most_entries: usize,
+    peak_entries: usize,
 }
 
 impl Contacts {
@@ -102,39 +102,36 @@
     pub fn update(
         &mut self,
         now: Time,
-        card: InstanceInfo,
+        info: InstanceInfo,
         status: Option<Status>,
         age: Duration,
     ) -> bool {
-        let heard = now.saturating_sub(age);
-        match self.place(&card.id) {
+        let last_seen = now.saturating_sub(age);
+        match self.index_of(&info.id) {
             Ok(at) => {
                 let known = &mut self.known[at];
-                if heard < known.last_seen {
+                if last_seen < known.last_seen {
                     return false;
                 }
                 let is_ready = status.as_ref().map_or(known.status.ready, |it| it.ready);
-                let is_new = known.info != card || known.status.ready != is_ready;
-                known.info = card;
-                known.last_seen = heard;
+                let has_changed = known.info != info || known.status.ready != is_ready;
+                known.info = info;
+                known.last_seen = last_seen;
                 if let Some(status) = status {
                     known.status = status;
                 }
-                if is_new {
+                if has_changed {
                     self.change += 1;
                     known.change = self.change;
                 }
-                is_new
+                has_changed
             }
             Err(at) => {
                 let status = status.unwrap_or_default();
                 self.change += 1;
-                self.known.insert(
-                    at,
-                    Contact { info: card, status, last_seen: heard, change: self.change },
-                );
+                self.known.insert(at, Contact { info, status, last_seen, change: self.change });
                 let entries = self.known.iter().filter(|it| it.info.part == InstanceKind::Entry);
-                self.most_entries = self.most_entries.max(entries.count());
+                self.peak_entries = self.peak_entries.max(entries.count());
                 true
             }
         }
@@ -142,9 +139,9 @@
 
     /// Takes in a sign of life of a known instance.
     pub fn renew(&mut self, now: Time, id: &InstanceId, age: Duration) {
-        if let Ok(at) = self.place(id) {
-            let heard = now.saturating_sub(age);
-            self.known[at].last_seen = self.known[at].last_seen.max(heard);
+        if let Ok(at) = self.index_of(id) {
+            let last_seen = now.saturating_sub(age);
+            self.known[at].last_seen = self.known[at].last_seen.max(last_seen);
         }
     }
 
@@ -173,8 +170,8 @@
             .filter(|contact| contact.status.ready)
             .flat_map(|contact| {
                 let region = &contact.info.region;
-                let told = contact.status.spare.iter();
-                told.filter_map(|it| Some((region.clone(), it.service.clone(), it.wait_ms?)))
+                let waits = contact.status.spare.iter();
+                waits.filter_map(|it| Some((region.clone(), it.service.clone(), it.wait_ms?)))
             })
             .collect();
         all.sort();
@@ -188,7 +185,7 @@
 
     /// Forgets an instance that has left for good or was found dead.
     pub fn remove(&mut self, id: &InstanceId) {
-        if let Ok(at) = self.place(id) {
+        if let Ok(at) = self.index_of(id) {
             self.known.remove(at);
         }
     }
@@ -205,7 +202,7 @@
 
     /// The instance with `id`.
     pub fn get(&self, id: &InstanceId) -> Option<&Contact> {
-        self.place(id).ok().map(|at| &self.known[at])
+        self.index_of(id).ok().map(|at| &self.known[at])
     }
 
     /// Instances that were heard within [`LIVENESS_TIMEOUT`].
@@ -220,10 +217,10 @@
 
     /// The most entry instances that were known at once, forgotten ones included.
     pub fn peak_entries(&self) -> usize {
-        self.most_entries
+        self.peak_entries
     }
 
-    fn place(&self, id: &InstanceId) -> Result<usize, usize> {
+    fn index_of(&self, id: &InstanceId) -> Result<usize, usize> {
         self.known.binary_search_by(|contact| contact.info.id.cmp(id))
     }
 }
@@ -242,22 +239,22 @@
         .filter(|contact| contact.status.ready)
         .map(|contact| &contact.info)
         .collect();
-    let named = |filter: &dyn Fn(&InstanceInfo) -> bool| -> Vec<SocketAddr> {
-        ready.iter().filter(|card| filter(card)).filter_map(|card| card.front).collect()
+    let addresses = |filter: &dyn Fn(&InstanceInfo) -> bool| -> Vec<SocketAddr> {
+        ready.iter().filter(|info| filter(info)).filter_map(|info| info.front).collect()
     };
-    let in_zone = named(&|card| Some(&card.zone) == zone);
+    let in_zone = addresses(&|info| Some(&info.zone) == zone);
     if in_zone.len() >= MIN_ZONE_ENTRIES {
         return in_zone;
     }
-    let in_region = named(&|card| Some(&card.region) == region);
+    let in_region = addresses(&|info| Some(&info.region) == region);
     if !in_region.is_empty() {
         return in_region;
     }
-    let at_home = named(&|card| homes.contains(&card.region));
-    if !at_home.is_empty() {
-        return at_home;
+    let in_home_region = addresses(&|info| homes.contains(&info.region));
+    if !in_home_region.is_empty() {
+        return in_home_region;
     }
-    named(&|_| true)
+    addresses(&|_| true)
 }
 
 /// Entry instances that a zone has at least if its callers are kept within it.
--- a/crates/medlarlug-core/src/gateway/handover.rs
+++ b/crates/medlarlug-core/src/gateway/handover.rs
@@ -83,18 +83,18 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempts {
-    allowed: u32,
+    max_runs: u32,
     runs: u32,
-    most_arrivals: u32,
+    max_arrivals: u32,
     arrivals: u32,
 }
 
 impl Attempts {
-    /// A call that `allowed` upstreams may run, with `most_arrivals` requests that reach one; one
+    /// A call that `max_runs` upstreams may run, with `max_arrivals` requests that reach one; one
     /// of each at least.
-    pub fn new(allowed: u32, most_arrivals: u32) -> Attempts {
-        let (allowed, most_arrivals) = (allowed.max(1), most_arrivals.max(1));
-        Attempts { allowed, runs: 0, most_arrivals, arrivals: 0 }
+    pub fn new(max_runs: u32, max_arrivals: u32) -> Attempts {
+        let (max_runs, max_arrivals) = (max_runs.max(1), max_arrivals.max(1));
+        Attempts { max_runs, runs: 0, max_arrivals, arrivals: 0 }
     }
 
     /// An upstream has begun to run the call, or may have.
@@ -116,8 +116,8 @@
     /// Another instance had the call, and what it did with it is not known: it may have used all that was
     /// left.
     pub fn record_missing_report(&mut self) {
-        self.runs = self.runs.max(self.allowed);
-        self.arrivals = self.arrivals.max(self.most_arrivals);
+        self.runs = self.runs.max(self.max_runs);
+        self.arrivals = self.arrivals.max(self.max_arrivals);
     }
 
     /// Upstreams that ran the call, or may have.
@@ -132,12 +132,12 @@
 
     /// Upstreams that may still run it.
     pub fn runs_left(self) -> u32 {
-        self.allowed.saturating_sub(self.runs)
+        self.max_runs.saturating_sub(self.runs)
     }
 
     /// Requests that may still reach an upstream.
     pub fn arrivals_left(self) -> u32 {
-        self.most_arrivals.saturating_sub(self.arrivals)
+        self.max_arrivals.saturating_sub(self.arrivals)
     }
 
     /// Whether another request may go out.
--- a/crates/medlarlug-core/src/gateway/health.rs
+++ b/crates/medlarlug-core/src/gateway/health.rs
@@ -10,16 +10,16 @@
 
 /// First time for which an upstream is avoided that takes no more calls; places free up within a
 /// few steps of an engine.
-const FIRST_REST: Duration = Duration::from_millis(150);
+const FIRST_REFUSAL_BACKOFF: Duration = Duration::from_millis(150);
 /// Longest time for which an upstream is avoided that takes no more calls.
-const LONGEST_REST: Duration = Duration::from_millis(1_200);
+const MAX_REFUSAL_BACKOFF: Duration = Duration::from_millis(1_200);
 /// First time for which a broken upstream is avoided; a restart takes seconds.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+const FIRST_FAILURE_BACKOFF: Duration = Duration::from_millis(500);
 /// Longest time for which a broken upstream is avoided.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_FAILURE_BACKOFF: Duration = Duration::from_secs(4);
 /// Weight of the newest call in the share of failed calls: a few failures in a row, as they happen
 /// everywhere, do not make an upstream look broken.
-const SMOOTHING: f64 = 0.06;
+const FAILURE_RATE_SMOOTHING: f64 = 0.06;
 
 /// How a call ended, as far as the health of its upstream is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,10 +41,10 @@
 #[derive(Debug, Clone)]
 struct Health {
     id: UpstreamId,
-    strikes: u32,
-    avoid: Option<Time>,
+    consecutive_failures: u32,
+    avoided_until: Option<Time>,
     observations: Observations,
-    failures: f64,
+    failure_rate: f64,
 }
 
 /// The health of upstreams, sorted by id.
@@ -55,43 +55,50 @@
 
 impl Health {
     /// Avoids the upstream for a time that doubles with each strike, unless it is avoided already.
-    fn strike(&mut self, now: Time, first: Duration, longest: Duration) -> Option<Duration> {
-        if self.avoid.is_some_and(|until| now < until) {
+    fn back_off(&mut self, now: Time, first: Duration, max: Duration) -> Option<Duration> {
+        if self.avoided_until.is_some_and(|until| now < until) {
             return None;
         }
-        let pause = (first * 2u32.pow(self.strikes.min(3))).min(longest);
-        self.strikes += 1;
-        self.avoid = Some(now + pause);
-        Some(pause)
+        let backoff = (first * 2u32.pow(self.consecutive_failures.min(3))).min(max);
+        self.consecutive_failures += 1;
+        self.avoided_until = Some(now + backoff);
+        Some(backoff)
     }
 }
 
 impl HealthTracker {
     /// Takes in how a call ended. Returns how long the upstream is avoided from now on, if that
     /// is news.
-    pub fn record(&mut self, now: Time, id: &UpstreamId, end: UpstreamOutcome) -> Option<Duration> {
+    pub fn record(
+        &mut self,
+        now: Time,
+        id: &UpstreamId,
+        outcome: UpstreamOutcome,
+    ) -> Option<Duration> {
         let health = self.entry(id);
-        match end {
+        match outcome {
             UpstreamOutcome::Answered | UpstreamOutcome::AnsweredCold => {
-                if end == UpstreamOutcome::Answered {
+                if outcome == UpstreamOutcome::Answered {
                     health.observations.last_answer = Some(now);
                 }
-                health.failures *= 1.0 - SMOOTHING;
-                health.strikes = 0;
-                health.avoid = None;
+                health.failure_rate *= 1.0 - FAILURE_RATE_SMOOTHING;
+                health.consecutive_failures = 0;
+                health.avoided_until = None;
                 None
             }
             UpstreamOutcome::Failed | UpstreamOutcome::Broken => {
-                if end == UpstreamOutcome::Broken {
+                if outcome == UpstreamOutcome::Broken {
                     health.observations.last_broken = Some(now);
                 }
-                health.failures += SMOOTHING * (1.0 - health.failures);
+                health.failure_rate += FAILURE_RATE_SMOOTHING * (1.0 - health.failure_rate);
                 None
             }
-            UpstreamOutcome::Refused => health.strike(now, FIRST_REST, LONGEST_REST),
+            UpstreamOutcome::Refused => {
+                health.back_off(now, FIRST_REFUSAL_BACKOFF, MAX_REFUSAL_BACKOFF)
+            }
             UpstreamOutcome::Unreachable => {
                 health.observations.last_unreachable = Some(now);
-                health.strike(now, FIRST_PAUSE, LONGEST_PAUSE)
+                health.back_off(now, FIRST_FAILURE_BACKOFF, MAX_FAILURE_BACKOFF)
             }
         }
     }
@@ -104,41 +111,41 @@
 
     /// Forgets what was learned about an upstream, which has a new incarnation.
     pub fn forget(&mut self, id: &UpstreamId) {
-        if let Ok(at) = self.place(id) {
+        if let Ok(at) = self.index_of(id) {
             self.known.remove(at);
         }
     }
 
     /// Whether the upstream is to be avoided.
     pub fn is_avoided(&self, now: Time, id: &UpstreamId) -> bool {
-        let at = self.place(id);
-        at.is_ok_and(|at| self.known[at].avoid.is_some_and(|until| now < until))
+        let at = self.index_of(id);
+        at.is_ok_and(|at| self.known[at].avoided_until.is_some_and(|until| now < until))
     }
 
     /// What calls have shown of the upstream's connections.
     pub fn observations(&self, id: &UpstreamId) -> Observations {
-        self.place(id).map(|at| self.known[at].observations).unwrap_or_default()
+        self.index_of(id).map(|at| self.known[at].observations).unwrap_or_default()
     }
 
     /// Share of the upstream's recent calls that failed, 0 to 1.
     pub fn failure_rate(&self, id: &UpstreamId) -> f64 {
-        self.place(id).map_or(0.0, |at| self.known[at].failures)
+        self.index_of(id).map_or(0.0, |at| self.known[at].failure_rate)
     }
 
-    fn place(&self, id: &UpstreamId) -> Result<usize, usize> {
+    fn index_of(&self, id: &UpstreamId) -> Result<usize, usize> {
         self.known.binary_search_by(|it| it.id.cmp(id))
     }
 
     fn entry(&mut self, id: &UpstreamId) -> &mut Health {
-        let at = match self.place(id) {
+        let at = match self.index_of(id) {
             Ok(at) => at,
             Err(at) => {
                 let health = Health {
                     id: id.clone(),
-                    strikes: 0,
-                    avoid: None,
+                    consecutive_failures: 0,
+                    avoided_until: None,
                     observations: Observations::default(),
-                    failures: 0.0,
+                    failure_rate: 0.0,
                 };
                 self.known.insert(at, health);
                 at
--- a/crates/medlarlug-core/src/gateway/keeper_view.rs
+++ b/crates/medlarlug-core/src/gateway/keeper_view.rs
@@ -22,9 +22,9 @@
 #[derive(Debug, Clone)]
 pub struct KeeperView {
     /// When each keeper was last heard, sorted by address.
-    heard: Vec<(SocketAddr, Time)>,
+    last_heard: Vec<(SocketAddr, Time)>,
     /// Since when the view is complete.
-    complete: Option<Time>,
+    complete_since: Option<Time>,
     /// Stalls of this process, during which it hears nothing.
     stall: StallDetector,
     was_complete: bool,
@@ -33,27 +33,27 @@
 impl Default for KeeperView {
     fn default() -> KeeperView {
         let stall = StallDetector::new(KEEPER_TIMEOUT);
-        KeeperView { heard: Vec::new(), complete: None, stall, was_complete: false }
+        KeeperView { last_heard: Vec::new(), complete_since: None, stall, was_complete: false }
     }
 }
 
 impl KeeperView {
     /// Takes in that a keeper was heard.
     pub fn record_keeper(&mut self, now: Time, keeper: SocketAddr) {
-        match self.heard.binary_search_by(|it| it.0.cmp(&keeper)) {
-            Ok(at) => self.heard[at].1 = now,
-            Err(at) => self.heard.insert(at, (keeper, now)),
+        match self.last_heard.binary_search_by(|it| it.0.cmp(&keeper)) {
+            Ok(at) => self.last_heard[at].1 = now,
+            Err(at) => self.last_heard.insert(at, (keeper, now)),
         }
     }
 
     /// Takes in which keepers there are, sorted. Has to be called more often than [`KEEPER_TIMEOUT`].
     /// Returns the length of the stall that ends now, if there was one.
     pub fn update(&mut self, now: Time, keepers: &[SocketAddr]) -> Option<Duration> {
-        self.heard.retain(|it| keepers.binary_search(&it.0).is_ok());
-        let heard = self.heard.iter().filter(|it| now - it.1 <= KEEPER_TIMEOUT).count();
-        let is_complete = heard >= needed(keepers.len());
+        self.last_heard.retain(|it| keepers.binary_search(&it.0).is_ok());
+        let heard = self.last_heard.iter().filter(|it| now - it.1 <= KEEPER_TIMEOUT).count();
+        let is_complete = heard >= required_keepers(keepers.len());
         let stalled = self.stall.tick(now);
-        self.complete = match self.complete.filter(|_| stalled.is_none()) {
+        self.complete_since = match self.complete_since.filter(|_| stalled.is_none()) {
             Some(since) if is_complete => Some(since),
             _ => is_complete.then_some(now),
         };
@@ -64,7 +64,7 @@
     /// Whether the instance may act alone on what it sees: its view is complete, and has been for
     /// long enough that no other one acts on an older view.
     pub fn is_settled(&self, now: Time) -> bool {
-        let is_settled = self.complete.is_some_and(|since| now - since >= SETTLING_TIME);
+        let is_settled = self.complete_since.is_some_and(|since| now - since >= SETTLING_TIME);
         is_settled && !self.stall.is_overdue(now)
     }
 
@@ -81,7 +81,7 @@
 }
 
 /// Keepers that have to be heard so that any two instances share one.
-fn needed(keepers: usize) -> usize {
+fn required_keepers(keepers: usize) -> usize {
     match keepers {
         0 => 1,
         few if few <= KEEPER_SOURCES => few,
--- a/crates/medlarlug-core/src/gateway/load_exchange.rs
+++ b/crates/medlarlug-core/src/gateway/load_exchange.rs
@@ -16,9 +16,9 @@
 use crate::{gateway::placement::rendezvous_rank, ids::InstanceId, ids::ZoneId};
 
 /// Entry instances of a region up to which each tells all others.
-const DIRECT_INSTANCES: usize = 8;
+const MAX_DIRECT_INSTANCES: usize = 8;
 /// Collectors of a zone: each tells a quarter of its instances.
-const COLLECTORS: usize = 4;
+const COLLECTORS_PER_ZONE: usize = 4;
 /// Silence of a collector after which the next one is asked as well: two of its whole sums.
 pub const COLLECTOR_TIMEOUT: Duration = Duration::from_millis(600);
 
@@ -69,7 +69,7 @@
     /// assert_eq!((plan.role, plan.report_to.len()), (Role::Direct, 2));
     /// ```
     pub fn of(own: &Member, region: &[Member]) -> ExchangePlan {
-        if region.len() <= DIRECT_INSTANCES {
+        if region.len() <= MAX_DIRECT_INSTANCES {
             let others = region.iter().filter(|it| it.id != own.id);
             let report_to = others.map(|it| it.id.clone()).collect();
             return ExchangePlan { role: Role::Direct, report_to, aggregate_to: Vec::new() };
@@ -102,5 +102,5 @@
     let mut ranked: Vec<(u64, &InstanceId)> =
         members.map(|it| (rendezvous_rank(zone.as_str(), it.id.as_str()), &it.id)).collect();
     ranked.sort();
-    ranked.into_iter().rev().take(COLLECTORS).map(|it| it.1.clone()).collect()
+    ranked.into_iter().rev().take(COLLECTORS_PER_ZONE).map(|it| it.1.clone()).collect()
 }
--- a/crates/medlarlug-core/src/gateway/load_shedding.rs
+++ b/crates/medlarlug-core/src/gateway/load_shedding.rs
@@ -22,9 +22,9 @@
 
 impl CallForecast {
     /// Longest predicted wait with which the call is still worth its upstream's time.
-    fn patience(&self) -> Duration {
-        let most = self.time_left.mul_f64(WAIT_SHARE);
-        self.objective.map_or(most, |objective| most.min(objective.mul_f64(LATE_FACTOR)))
+    fn max_wait(&self) -> Duration {
+        let limit = self.time_left.mul_f64(MAX_WAIT_SHARE);
+        self.objective.map_or(limit, |objective| limit.min(objective.mul_f64(MAX_WAIT_OBJECTIVES)))
     }
 }
 
@@ -42,43 +42,43 @@
 
 /// Part of the time left that a predicted wait may take: predictions are not exact, and the answer
 /// itself takes time after its first token.
-const WAIT_SHARE: f64 = 0.8;
+const MAX_WAIT_SHARE: f64 = 0.8;
 /// Predicted wait, as a multiple of the latency objective, above which a call is refused although
 /// its caller would wait longer: its upstreams are behind, and each further call makes all later.
-const LATE_FACTOR: f64 = 1.5;
+const MAX_WAIT_OBJECTIVES: f64 = 1.5;
 /// Shortest time to come back.
-const MIN_AFTER: Duration = Duration::from_millis(150);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
 /// Time to come back when no upstream is known: a beat of news from upstreams.
-const UNKNOWN_AFTER: Duration = Duration::from_millis(600);
+const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_millis(600);
 /// Part of the time left after which callers no longer come back.
-const RETURN_SHARE: f64 = 1.0 / 3.0;
+const RETRY_AFTER_SHARE: f64 = 1.0 / 3.0;
 
-/// Decides about a call; `spread` lies between 0 and 1 and differs from call to call.
+/// Decides about a call; `jitter` lies between 0 and 1 and differs from call to call.
 ///
 /// ```
 /// use std::time::Duration;
 /// use medlarlug_core::gateway::load_shedding::{CallForecast, Verdict, decide};
 ///
 /// let second = Duration::from_secs(1);
-/// let outlook = CallForecast { predicted_wait: Some(second), time_left: second * 5, objective: Some(second) };
-/// assert_eq!(decide(outlook, 0.5), Verdict::Serve);
+/// let forecast = CallForecast { predicted_wait: Some(second), time_left: second * 5, objective: Some(second) };
+/// assert_eq!(decide(forecast, 0.5), Verdict::Serve);
 /// ```
-pub fn decide(outlook: CallForecast, spread: f64) -> Verdict {
-    let excess = match outlook.predicted_wait {
-        None => UNKNOWN_AFTER,
-        Some(wait) if wait <= outlook.patience() => return Verdict::Serve,
-        Some(wait) => wait.saturating_sub(outlook.objective.unwrap_or_default()),
+pub fn decide(forecast: CallForecast, jitter: f64) -> Verdict {
+    let excess = match forecast.predicted_wait {
+        None => NO_UPSTREAM_RETRY_AFTER,
+        Some(wait) if wait <= forecast.max_wait() => return Verdict::Serve,
+        Some(wait) => wait.saturating_sub(forecast.objective.unwrap_or_default()),
     };
-    Verdict::Refuse { retry_after: retry_after(excess, outlook.time_left, spread) }
+    Verdict::Refuse { retry_after: retry_after(excess, forecast.time_left, jitter) }
 }
 
-/// When to come back if all upstreams want no requests for `rest`: no sooner, and not all together.
-pub fn retry_after_backoff(rest: Duration, spread: f64) -> Duration {
-    rest.max(MIN_AFTER).mul_f64(1.0 + 0.25 * spread)
+/// When to come back if all upstreams want no requests for `backoff`: no sooner, and not all together.
+pub fn retry_after_backoff(backoff: Duration, jitter: f64) -> Duration {
+    backoff.max(MIN_RETRY_AFTER).mul_f64(1.0 + 0.25 * jitter)
 }
 
 /// When to come back if the excess of work drains within `excess`.
-pub fn retry_after(excess: Duration, left: Duration, spread: f64) -> Duration {
-    let latest = left.mul_f64(RETURN_SHARE);
-    excess.max(MIN_AFTER).mul_f64(0.75 + 0.5 * spread).min(latest)
+pub fn retry_after(excess: Duration, left: Duration, jitter: f64) -> Duration {
+    let latest = left.mul_f64(RETRY_AFTER_SHARE);
+    excess.max(MIN_RETRY_AFTER).mul_f64(0.75 + 0.5 * jitter).min(latest)
 }
--- a/crates/medlarlug-core/src/gateway/peer_loads.rs
+++ b/crates/medlarlug-core/src/gateway/peer_loads.rs
@@ -98,9 +98,9 @@
 }
 
 #[derive(Debug, Clone)]
-struct Told {
+struct SourceReport {
     source: ReportSource,
-    heard: Time,
+    received_at: Time,
     /// Instances whose calls the loads are.
     instances: usize,
     /// Sorted by upstream.
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PeerLoads {
     /// Sorted by source.
-    told: Vec<Told>,
+    reports: Vec<SourceReport>,
     /// Sum of all `told`, sorted by upstream.
     total: Vec<LoadReport>,
 }
@@ -128,26 +128,27 @@
         instances: usize,
         loads: Vec<LoadReport>,
     ) {
-        let is_sum = source == ReportSource::Collector;
+        let is_aggregate = source == ReportSource::Collector;
         self.retain(|it| {
-            now - it.heard < REPORT_LIFETIME && (it.source == ReportSource::Collector) == is_sum
+            now - it.received_at < REPORT_LIFETIME
+                && (it.source == ReportSource::Collector) == is_aggregate
         });
-        let told = Told { source, heard: now, instances, loads };
-        match self.told.binary_search_by(|it| it.source.cmp(&told.source)) {
+        let report = SourceReport { source, received_at: now, instances, loads };
+        match self.reports.binary_search_by(|it| it.source.cmp(&report.source)) {
             Ok(at) => {
-                let old = std::mem::replace(&mut self.told[at], told.clone());
+                let old = std::mem::replace(&mut self.reports[at], report.clone());
                 self.subtract(&old.loads);
             }
-            Err(at) => self.told.insert(at, told.clone()),
+            Err(at) => self.reports.insert(at, report.clone()),
         }
-        self.add(&told.loads);
+        self.add(&report.loads);
     }
 
     /// Takes in what a source has under way at one upstream. It says nothing of other upstreams, so it
     /// is left out for a source without a whole report.
     pub fn apply_change(&mut self, source: &ReportSource, change: LoadReport) {
-        let Ok(at) = self.told.binary_search_by(|it| it.source.cmp(source)) else { return };
-        let loads = &mut self.told[at].loads;
+        let Ok(at) = self.reports.binary_search_by(|it| it.source.cmp(source)) else { return };
+        let loads = &mut self.reports[at].loads;
         match loads.binary_search_by(|it| it.upstream.cmp(&change.upstream)) {
             Ok(at) => {
                 let old = std::mem::replace(&mut loads[at], change);
@@ -160,10 +161,10 @@
 
     /// What others have under way at an upstream, and for how many instances that was told.
     pub fn load_at(&self, now: Time, upstream: UpstreamKey) -> (LoadReport, usize) {
-        let is_fresh = |it: &&Told| now - it.heard < REPORT_LIFETIME;
-        let fresh = self.told.iter().filter(is_fresh);
+        let is_fresh = |it: &&SourceReport| now - it.received_at < REPORT_LIFETIME;
+        let fresh = self.reports.iter().filter(is_fresh);
         let instances = fresh.clone().map(|it| it.instances).sum();
-        if fresh.clone().count() == self.told.len() {
+        if fresh.clone().count() == self.reports.len() {
             return (load_of(&self.total, upstream), instances);
         }
         let loads = fresh.map(|it| load_of(&it.loads, upstream));
@@ -172,35 +173,35 @@
 
     /// Drops reports that count no more.
     pub fn drop_expired(&mut self, now: Time) {
-        self.retain(|it| now - it.heard < REPORT_LIFETIME);
+        self.retain(|it| now - it.received_at < REPORT_LIFETIME);
     }
 
-    /// The sum over the own calls and those of all sources but the ones that `is_left_out`, and the
+    /// The sum over the own calls and those of all sources but the ones that `is_excluded`, and the
     /// instances that it stands for.
     pub fn aggregate(
         &self,
         own: &[LoadReport],
-        is_left_out: impl Fn(&ReportSource) -> bool,
+        is_excluded: impl Fn(&ReportSource) -> bool,
     ) -> (usize, Vec<LoadReport>) {
-        let mut sum = PeerLoads { told: Vec::new(), total: self.total.clone() };
+        let mut sum = PeerLoads { reports: Vec::new(), total: self.total.clone() };
         let mut instances = 1;
-        for told in &self.told {
-            match is_left_out(&told.source) {
-                true => sum.subtract(&told.loads),
-                false => instances += told.instances,
+        for report in &self.reports {
+            match is_excluded(&report.source) {
+                true => sum.subtract(&report.loads),
+                false => instances += report.instances,
             }
         }
         sum.add(own);
         (instances, sum.total)
     }
 
-    fn retain(&mut self, keep: impl Fn(&Told) -> bool) {
-        if self.told.iter().all(&keep) {
+    fn retain(&mut self, keep: impl Fn(&SourceReport) -> bool) {
+        if self.reports.iter().all(&keep) {
             return;
         }
-        let (kept, dropped) = std::mem::take(&mut self.told).into_iter().partition(keep);
-        self.told = kept;
-        dropped.iter().for_each(|it: &Told| self.subtract(&it.loads));
+        let (kept, dropped) = std::mem::take(&mut self.reports).into_iter().partition(keep);
+        self.reports = kept;
+        dropped.iter().for_each(|it: &SourceReport| self.subtract(&it.loads));
     }
 
     fn add(&mut self, loads: &[LoadReport]) {
--- a/crates/medlarlug-core/src/gateway/permits.rs
+++ b/crates/medlarlug-core/src/gateway/permits.rs
@@ -23,17 +23,17 @@
 
 /// Part of a limit that is given out. The rest covers permits that are used late, and instances that don't
 /// know of the limit yet.
-const PACE_SHARE: f64 = 0.8;
+const ALLOCATED_SHARE: f64 = 0.8;
 /// Time after which a permit is void that was not used.
 pub const PERMIT_LIFETIME: Duration = Duration::from_millis(500);
 /// Time after which what an instance asked for is void: two of its questions and a lost one.
-const WANT_LIFETIME: Duration = Duration::from_millis(250);
+const REQUEST_LIFETIME: Duration = Duration::from_millis(250);
 /// Time between two questions of an instance for permits for the same upstream.
-pub const ASK_INTERVAL: Duration = Duration::from_millis(80);
+pub const REQUEST_INTERVAL: Duration = Duration::from_millis(80);
 /// Time for which permits may be saved up, beyond a single one: a few rounds of the allotter.
-const SAVED_TIME: Duration = Duration::from_millis(100);
+const BURST_TIME: Duration = Duration::from_millis(100);
 /// Time without questions after which an allotter forgets an upstream.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+const BUCKET_RETENTION: Duration = Duration::from_secs(60);
 
 /// Permits a second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
@@ -42,7 +42,7 @@
 impl PermitRate {
     /// The pace of the allotter.
     pub fn for_allocator(limit: UpstreamLimit) -> PermitRate {
-        PermitRate(limit.per_second() * PACE_SHARE)
+        PermitRate(limit.per_second() * ALLOCATED_SHARE)
     }
 
     /// The pace of one of `instances` that don't know what the others do.
@@ -57,7 +57,7 @@
 
     /// Most permits that are saved up.
     fn capacity(self) -> f64 {
-        1.0 + self.0 * SAVED_TIME.as_secs_f64()
+        1.0 + self.0 * BURST_TIME.as_secs_f64()
     }
 }
 
@@ -93,48 +93,48 @@
     id: InstanceId,
     /// Calls that would use a permit.
     calls: u32,
-    asked: Time,
+    requested_at: Time,
 }
 
 /// What an allotter gives out for one upstream.
 #[derive(Debug, Clone)]
-struct Account {
+struct PermitBucket {
     upstream: UpstreamId,
     birth: Birth,
-    pace: PermitRate,
-    /// Permits that are saved up, as of `filled`.
-    saved: f64,
-    filled: Time,
+    rate: PermitRate,
+    /// Permits that are saved up, as of `refilled_at`.
+    available: f64,
+    refilled_at: Time,
     /// When an instance last asked.
-    asked: Time,
+    requested_at: Time,
     /// Instances that wait, those that got a permit longest ago first.
     queue: VecDeque<Waiter>,
 }
 
-impl Account {
-    fn fill(&mut self, now: Time) {
-        let gained = self.pace.0 * (now - self.filled).as_secs_f64();
-        self.saved = (self.saved + gained).min(self.pace.capacity());
-        self.filled = now;
-        self.queue.retain(|it| now - it.asked <= WANT_LIFETIME);
+impl PermitBucket {
+    fn refill(&mut self, now: Time) {
+        let gained = self.rate.0 * (now - self.refilled_at).as_secs_f64();
+        self.available = (self.available + gained).min(self.rate.capacity());
+        self.refilled_at = now;
+        self.queue.retain(|it| now - it.requested_at <= REQUEST_LIFETIME);
     }
 
-    fn ask(&mut self, now: Time, id: InstanceId, calls: u32) {
-        self.asked = now;
+    fn enqueue(&mut self, now: Time, id: InstanceId, calls: u32) {
+        self.requested_at = now;
         match self.queue.iter_mut().find(|it| it.id == id) {
-            Some(waiter) => (waiter.calls, waiter.asked) = (calls, now),
-            None => self.queue.push_back(Waiter { id, calls, asked: now }),
+            Some(waiter) => (waiter.calls, waiter.requested_at) = (calls, now),
+            None => self.queue.push_back(Waiter { id, calls, requested_at: now }),
         }
     }
 
     /// Gives out one permit after the other, in turn.
     fn grant(&mut self, now: Time) -> Vec<PermitGrant> {
-        self.fill(now);
+        self.refill(now);
         let mut grants: Vec<PermitGrant> = Vec::new();
-        while self.saved >= 1.0
+        while self.available >= 1.0
             && let Some(waiter) = self.queue.pop_front()
         {
-            self.saved -= 1.0;
+            self.available -= 1.0;
             match grants.iter_mut().find(|it| it.to == waiter.id) {
                 Some(grant) => grant.permits += 1,
                 None => {
@@ -153,40 +153,48 @@
 /// What an instance gives out as an allotter, sorted by upstream.
 #[derive(Debug, Clone, Default)]
 pub struct PermitAllocator {
-    accounts: Vec<Account>,
+    buckets: Vec<PermitBucket>,
 }
 
 impl PermitAllocator {
-    /// An instance asks. A new account begins with `saved` of a permit, below one.
-    pub fn request(&mut self, now: Time, want: PermitRequest, pace: PermitRate, saved: f64) {
-        self.accounts.retain(|it| now - it.asked <= FORGET_AFTER);
-        let PermitRequest { from, upstream, birth, calls } = want;
-        let at = match self.accounts.binary_search_by(|it| it.upstream.cmp(&upstream)) {
+    /// An instance asks. A new account begins with `available` of a permit, below one.
+    pub fn request(&mut self, now: Time, request: PermitRequest, rate: PermitRate, available: f64) {
+        self.buckets.retain(|it| now - it.requested_at <= BUCKET_RETENTION);
+        let PermitRequest { from, upstream, birth, calls } = request;
+        let at = match self.buckets.binary_search_by(|it| it.upstream.cmp(&upstream)) {
             Ok(at) => at,
             Err(at) => {
-                let (filled, queue) = (now, VecDeque::new());
-                let account = Account { upstream, birth, pace, saved, filled, asked: now, queue };
-                self.accounts.insert(at, account);
+                let (refilled_at, queue) = (now, VecDeque::new());
+                let bucket = PermitBucket {
+                    upstream,
+                    birth,
+                    rate,
+                    available,
+                    refilled_at,
+                    requested_at: now,
+                    queue,
+                };
+                self.buckets.insert(at, bucket);
                 at
             }
         };
-        let account = &mut self.accounts[at];
-        if account.birth > birth {
+        let bucket = &mut self.buckets[at];
+        if bucket.birth > birth {
             return;
         }
-        account.fill(now);
-        (account.birth, account.pace) = (birth, pace);
-        account.ask(now, from, calls);
+        bucket.refill(now);
+        (bucket.birth, bucket.rate) = (birth, rate);
+        bucket.enqueue(now, from, calls);
     }
 
     /// The permits that may be used from now on.
     pub fn grant(&mut self, now: Time) -> Vec<PermitGrant> {
-        self.accounts.iter_mut().flat_map(|it| it.grant(now)).collect()
+        self.buckets.iter_mut().flat_map(|it| it.grant(now)).collect()
     }
 
     /// Whether an instance waits for a permit.
     pub fn has_waiters(&self) -> bool {
-        self.accounts.iter().any(|it| !it.queue.is_empty())
+        self.buckets.iter().any(|it| !it.queue.is_empty())
     }
 }
 
@@ -194,7 +202,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Permits {
     held: Vec<Permit>,
-    wanted: Vec<Wanted>,
+    pending: Vec<PendingRequest>,
 }
 
 /// The right to send one request to an incarnation of an upstream.
@@ -202,33 +210,34 @@
 struct Permit {
     upstream: UpstreamId,
     birth: Birth,
-    until: Time,
+    expires_at: Time,
 }
 
 impl Permit {
     fn is_for(&self, now: Time, upstream: &UpstreamId, birth: Birth) -> bool {
-        self.upstream == *upstream && self.birth == birth && self.until > now
+        self.upstream == *upstream && self.birth == birth && self.expires_at > now
     }
 }
 
 /// An upstream for which calls want permits.
 #[derive(Debug, Clone)]
-struct Wanted {
+struct PendingRequest {
     upstream: UpstreamId,
     birth: Birth,
     /// Calls since the last question.
     calls: u32,
     /// Whether a call has wanted a permit since.
     is_due: bool,
-    asked: Option<Time>,
+    requested_at: Option<Time>,
 }
 
 impl Permits {
     /// Takes in permits that were granted to this instance.
     pub fn add_granted(&mut self, now: Time, upstream: &UpstreamId, birth: Birth, permits: u32) {
-        let until = now + PERMIT_LIFETIME;
-        let granted = (0..permits).map(|_| Permit { upstream: upstream.clone(), birth, until });
-        self.held.retain(|it| it.until > now);
+        let expires_at = now + PERMIT_LIFETIME;
+        let granted =
+            (0..permits).map(|_| Permit { upstream: upstream.clone(), birth, expires_at });
+        self.held.retain(|it| it.expires_at > now);
         self.held.extend(granted);
     }
 
@@ -245,31 +254,34 @@
 
     /// A call could use a permit for an incarnation; `is_first` if it had not said so before.
     pub fn record_demand(&mut self, upstream: &UpstreamId, birth: Birth, is_first: bool) {
-        let at = match self.wanted.binary_search_by(|it| it.upstream.cmp(upstream)) {
+        let at = match self.pending.binary_search_by(|it| it.upstream.cmp(upstream)) {
             Ok(at) => at,
             Err(at) => {
                 let upstream = upstream.clone();
-                let wanted = Wanted { upstream, birth, calls: 0, is_due: false, asked: None };
-                self.wanted.insert(at, wanted);
+                let pending =
+                    PendingRequest { upstream, birth, calls: 0, is_due: false, requested_at: None };
+                self.pending.insert(at, pending);
                 at
             }
         };
-        let wanted = &mut self.wanted[at];
-        (wanted.birth, wanted.is_due) = (birth, true);
-        wanted.calls = wanted.calls.saturating_add(u32::from(is_first));
+        let pending = &mut self.pending[at];
+        (pending.birth, pending.is_due) = (birth, true);
+        pending.calls = pending.calls.saturating_add(u32::from(is_first));
     }
 
     /// The questions that are due, and whether there are more later.
     pub fn due_requests(&mut self, now: Time, from: &InstanceId) -> (Vec<PermitRequest>, bool) {
-        let is_recent = |it: &Wanted| it.asked.is_some_and(|asked| now - asked < ASK_INTERVAL);
-        self.wanted.retain(|it| it.is_due || is_recent(it));
-        let due = self.wanted.iter_mut().filter(|it| it.is_due && !is_recent(it));
-        let questions = due.map(|it| {
+        let is_recent = |it: &PendingRequest| {
+            it.requested_at.is_some_and(|requested_at| now - requested_at < REQUEST_INTERVAL)
+        };
+        self.pending.retain(|it| it.is_due || is_recent(it));
+        let due = self.pending.iter_mut().filter(|it| it.is_due && !is_recent(it));
+        let requests = due.map(|it| {
             let calls = std::mem::take(&mut it.calls).max(1);
-            (it.is_due, it.asked) = (false, Some(now));
+            (it.is_due, it.requested_at) = (false, Some(now));
             let (upstream, birth) = (it.upstream.clone(), it.birth);
             PermitRequest { from: from.clone(), upstream, birth, calls }
         });
-        (questions.collect(), self.wanted.iter().any(|it| it.is_due))
+        (requests.collect(), self.pending.iter().any(|it| it.is_due))
     }
 }
--- a/crates/medlarlug-core/src/gateway/placement.rs
+++ b/crates/medlarlug-core/src/gateway/placement.rs
@@ -49,7 +49,7 @@
 impl Choice {
     /// Whether it is a long prompt, which takes turns with others at its engine.
     pub fn is_long(&self) -> bool {
-        self.prefill_tokens >= LONG_PROMPT
+        self.prefill_tokens >= LONG_PROMPT_TOKENS
     }
 
     /// Whether peers have to know of it at once: it is a long prompt, or a call to a plain service,
@@ -104,57 +104,57 @@
 
 /// Prompt tokens that an engine reads in a millisecond, until it is known better; the engines of
 /// the first deployments read 38 to 52.
-pub(super) const READ_RATE: f64 = 40.0;
+pub(super) const PREFILL_TOKENS_PER_MS: f64 = 40.0;
 /// Time to the first token beside reading, in milliseconds: a step and the way there and back.
 const FIRST_TOKEN_MS: f64 = 30.0;
 /// Delay by each request that runs beside, in milliseconds.
-const BESIDE_MS: f64 = 0.4;
+const CONCURRENT_REQUEST_MS: f64 = 0.4;
 /// Time of one call to a plain service, in milliseconds, until it is known better.
 const PLAIN_CALL_MS: f64 = 30.0;
 /// Time for which a part is taken to be held after its last use.
-const WARM_FOR: Duration = Duration::from_secs(10);
+const CACHE_LIFETIME: Duration = Duration::from_secs(10);
 /// Part of an engine's memory that shared parts are taken to fill at most.
-const WARM_SHARE: f64 = 0.5;
+const CACHE_SHARE: f64 = 0.5;
 /// Extra cost of an upstream that fails all its calls, in milliseconds. It grows with the square of
 /// the share of failures: some calls fail everywhere, and a share that is common counts for little.
-const FAILURE_MS: f64 = 2_000.0;
+const FAILURE_PENALTY_MS: f64 = 2_000.0;
 /// Part of the reading of a shared part that is taken to be saved on its preferred engine, where
 /// peers have probably sent it.
-const PREFERRED_GAIN: f64 = 0.9;
+const PREFERRED_CACHE_SHARE: f64 = 0.9;
 /// Weight of reading a shared part again, which delays all streams of the engine.
-const REREAD_WEIGHT: f64 = 8.0;
+const RECOMPUTE_WEIGHT: f64 = 8.0;
 /// Queued prompt tokens above which the streams of an engine stall noticeably: a few steps in which
 /// it reads as much as it takes at once.
-const STALL_TOKENS: f64 = 12_000.0;
+const STALL_THRESHOLD_TOKENS: f64 = 12_000.0;
 /// Prompt tokens that an engine reads in one step; a more urgent prompt waits for these at most.
 const STEP_TOKENS: f64 = 4_096.0;
 /// Tokens to read from which on a prompt waits for its turn, and peers are told of it at once;
 /// shorter ones hardly stop streams.
-const LONG_PROMPT: u32 = 1_000;
+const LONG_PROMPT_TOKENS: u32 = 1_000;
 /// Queued prompt tokens at an engine above which a long prompt waits for its turn: one prompt.
-const TURN_TOKENS: f64 = 3_000.0;
-/// Weight of the time that queued tokens above [`STALL_TOKENS`] take.
+const ADMISSION_QUEUE_TOKENS: f64 = 3_000.0;
+/// Weight of the time that queued tokens above [`STALL_THRESHOLD_TOKENS`] take.
 const STALL_WEIGHT: f64 = 2.0;
 /// Time over which the own load is averaged, for peers without a report.
-const AVERAGE_TIME: Duration = Duration::from_secs(2);
+const AVERAGING_TIME: Duration = Duration::from_secs(2);
 /// Weight of the newest call in the smoothed slowness.
-const SMOOTHING: f64 = 0.1;
+const LATENCY_RATIO_SMOOTHING: f64 = 0.1;
 /// Bounds of the smoothed slowness.
-const SLOWNESS: std::ops::RangeInclusive<f64> = 0.5..=12.0;
+const LATENCY_RATIO_BOUNDS: std::ops::RangeInclusive<f64> = 0.5..=12.0;
 
 /// What peers have under way at an upstream.
 #[derive(Debug, Default)]
-struct Others {
+struct PeerLoad {
     running: f64,
-    unread: f64,
+    prefill_tokens: f64,
     urgent: f64,
     waiting: f64,
 }
 
 /// What a candidate would cost a call.
-struct Predicted {
+struct Prediction {
     /// Tokens to read.
-    unread: u32,
+    prefill_tokens: u32,
     /// Time to the first token or the answer, in milliseconds.
     wait: f64,
     /// Delay of other calls, in milliseconds: by parts that are read again, and by stalls.
@@ -162,29 +162,29 @@
 }
 
 #[derive(Debug, Clone)]
-struct Warm {
+struct CachedPart {
     part: u64,
     tokens: u32,
     used: Time,
 }
 
 #[derive(Debug, Clone)]
-struct Load {
+struct UpstreamLoad {
     id: UpstreamId,
     running: Averaged,
     /// Prompt tokens sent and not yet read.
-    unread: Averaged,
+    prefill_tokens: Averaged,
     /// Those of them that have rank 0.
     urgent: Averaged,
     /// Prompt tokens of calls that wait for their turn.
     waiting: u64,
     /// Held parts, sorted by part.
-    warm: Vec<Warm>,
+    cached: Vec<CachedPart>,
     /// Measured time to the first token, or of a plain call, against the prediction.
-    slowness: f64,
+    latency_ratio: f64,
 }
 
-/// A quantity with its average over [`AVERAGE_TIME`].
+/// A quantity with its average over [`AVERAGING_TIME`].
 #[derive(Debug, Clone, Default)]
 struct Averaged {
     value: u64,
@@ -195,7 +195,7 @@
 
 impl Averaged {
     fn average_at(&self, now: Time) -> f64 {
-        let age = (now - self.updated).as_secs_f64() / AVERAGE_TIME.as_secs_f64();
+        let age = (now - self.updated).as_secs_f64() / AVERAGING_TIME.as_secs_f64();
         let value = self.value as f64;
         value + (self.average - value) * (-age).exp()
     }
@@ -211,7 +211,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Loads {
     /// Sorted by id.
-    known: Vec<Load>,
+    known: Vec<UpstreamLoad>,
     peers: PeerLoads,
 }
 
@@ -226,7 +226,7 @@
 }
 
 /// Rank of an upstream for a prompt part, cheaper than [`rendezvous_rank`].
-fn part_rank(part: u64, upstream: &UpstreamId) -> u64 {
+fn part_rendezvous_rank(part: u64, upstream: &UpstreamId) -> u64 {
     // FNV-1a, then the finalizer of SplitMix64.
     let mut hash = 0xcbf2_9ce4_8422_2325 ^ part;
     for byte in upstream.as_str().bytes() {
@@ -257,17 +257,17 @@
         peers: usize,
     ) -> Option<Choice> {
         let preferred = demand.affinity().and_then(|part| {
-            let ranked = candidates.iter().max_by_key(|it| part_rank(part, it.id));
+            let ranked = candidates.iter().max_by_key(|it| part_rendezvous_rank(part, it.id));
             ranked.map(|candidate| candidate.id)
         });
         let predicted = candidates.iter().map(|candidate| {
             let is_preferred = preferred == Some(candidate.id);
             let predicted = self.predict(now, demand, candidate, peers, is_preferred);
-            let way = candidate.round_trip.as_secs_f64() * 1_000.0;
-            let cost = way
+            let travel_ms = candidate.round_trip.as_secs_f64() * 1_000.0;
+            let cost = travel_ms
                 + predicted.wait
                 + predicted.others
-                + candidate.failure_rate.powi(2) * FAILURE_MS;
+                + candidate.failure_rate.powi(2) * FAILURE_PENALTY_MS;
             (cost, predicted, candidate)
         });
         let best = predicted.min_by(|a, b| {
@@ -277,14 +277,8 @@
         let (cost, predicted, candidate) = best;
         let wait = Duration::from_secs_f64(predicted.wait / 1_000.0);
         let cost = Duration::from_secs_f64(cost / 1_000.0);
-        let (unread, rank) = (predicted.unread, demand.priority);
-        Some(Choice {
-            id: candidate.id.clone(),
-            wait,
-            cost,
-            prefill_tokens: unread,
-            priority: rank,
-        })
+        let (prefill_tokens, priority) = (predicted.prefill_tokens, demand.priority);
+        Some(Choice { id: candidate.id.clone(), wait, cost, prefill_tokens, priority })
     }
 
     fn predict(
@@ -294,27 +288,28 @@
         candidate: &Candidate,
         peers: usize,
         is_preferred: bool,
-    ) -> Predicted {
-        let load = self.place(candidate.id).ok().map(|at| &self.known[at]);
-        let slowness = load.map_or(1.0, |load| load.slowness);
+    ) -> Prediction {
+        let load = self.index_of(candidate.id).ok().map(|at| &self.known[at]);
+        let latency_ratio = load.map_or(1.0, |load| load.latency_ratio);
         let others = self.others(now, candidate.id, peers);
         let running = load.map_or(0.0, |load| load.running.value as f64) + others.running;
         if candidate.memory_tokens == 0 {
             let queue = (running + 1.0 - f64::from(candidate.slots)).max(0.0);
             let busy = 0.1 * running / f64::from(candidate.slots.max(1));
             let calls = 1.0 + busy + queue / f64::from(candidate.slots.max(1));
-            let wait = calls * PLAIN_CALL_MS * slowness;
-            return Predicted { unread: 0, wait, others: 0.0 };
+            let wait = calls * PLAIN_CALL_MS * latency_ratio;
+            return Prediction { prefill_tokens: 0, wait, others: 0.0 };
         }
-        let held = load.map_or(0, |load| load.held(now, &demand.parts));
-        let mut unread = f64::from(demand.prompt_tokens.saturating_sub(held));
+        let cached = load.map_or(0, |load| load.cached_tokens(now, &demand.parts));
+        let mut prefill_tokens = f64::from(demand.prompt_tokens.saturating_sub(cached));
         let own = demand.parts.last().map_or(demand.prompt_tokens, |part| part.tokens);
-        let mut shared = (unread - f64::from(own)).max(0.0);
+        let mut shared = (prefill_tokens - f64::from(own)).max(0.0);
         if is_preferred {
-            unread -= shared * PREFERRED_GAIN;
-            shared *= 1.0 - PREFERRED_GAIN;
+            prefill_tokens -= shared * PREFERRED_CACHE_SHARE;
+            shared *= 1.0 - PREFERRED_CACHE_SHARE;
         }
-        let waiting = load.map_or(0.0, |load| load.unread.value as f64) + others.unread;
+        let waiting =
+            load.map_or(0.0, |load| load.prefill_tokens.value as f64) + others.prefill_tokens;
         let excess = (running + 1.0 - f64::from(candidate.slots)).max(0.0);
         let urgent = load.map_or(0.0, |load| load.urgent.value as f64) + others.urgent;
         let queued = load.map_or(0.0, |load| load.waiting as f64) + others.waiting;
@@ -322,18 +317,23 @@
             0 => urgent + (waiting - urgent).clamp(0.0, STEP_TOKENS),
             _ => waiting + queued,
         };
-        let read = (ahead + unread) / READ_RATE;
-        let wait = FIRST_TOKEN_MS + read + running * BESIDE_MS + excess * FIRST_TOKEN_MS;
-        let stall = (waiting + unread - STALL_TOKENS).max(0.0) * STALL_WEIGHT;
-        let others = (shared * REREAD_WEIGHT + stall) / READ_RATE;
-        Predicted { unread: unread as u32, wait: wait * slowness, others: others * slowness }
+        let read = (ahead + prefill_tokens) / PREFILL_TOKENS_PER_MS;
+        let wait =
+            FIRST_TOKEN_MS + read + running * CONCURRENT_REQUEST_MS + excess * FIRST_TOKEN_MS;
+        let stall = (waiting + prefill_tokens - STALL_THRESHOLD_TOKENS).max(0.0) * STALL_WEIGHT;
+        let others = (shared * RECOMPUTE_WEIGHT + stall) / PREFILL_TOKENS_PER_MS;
+        Prediction {
+            prefill_tokens: prefill_tokens as u32,
+            wait: wait * latency_ratio,
+            others: others * latency_ratio,
+        }
     }
 
     /// What this instance has under way, to be told to its peers, sorted by upstream; idle upstreams
     /// are left out.
     pub fn report(&self) -> Vec<LoadReport> {
         let busy = self.known.iter().filter(|load| load.running.value > 0 || load.waiting > 0);
-        let mut reports: Vec<LoadReport> = busy.map(Load::report).collect();
+        let mut reports: Vec<LoadReport> = busy.map(UpstreamLoad::report).collect();
         reports.sort_by_key(|it| it.upstream);
         reports
     }
@@ -341,7 +341,7 @@
     /// What this instance has under way at one upstream.
     pub fn report_of(&self, id: &UpstreamId) -> LoadReport {
         let idle = || LoadReport::idle(UpstreamKey::of(id));
-        self.place(id).map_or_else(|_| idle(), |at| self.known[at].report())
+        self.index_of(id).map_or_else(|_| idle(), |at| self.known[at].report())
     }
 
     /// Takes in what peers have under way, see [`PeerLoads::apply_report`].
@@ -380,20 +380,20 @@
     }
 
     /// What the other `peers` have under way at an upstream.
-    fn others(&self, now: Time, id: &UpstreamId, peers: usize) -> Others {
-        let (told, instances) = self.peers.load_at(now, UpstreamKey::of(id));
-        let mut others = Others {
-            running: f64::from(told.running),
-            unread: f64::from(told.unread),
-            urgent: f64::from(told.urgent),
-            waiting: f64::from(told.waiting),
+    fn others(&self, now: Time, id: &UpstreamId, peers: usize) -> PeerLoad {
+        let (reported, instances) = self.peers.load_at(now, UpstreamKey::of(id));
+        let mut others = PeerLoad {
+            running: f64::from(reported.running),
+            prefill_tokens: f64::from(reported.unread),
+            urgent: f64::from(reported.urgent),
+            waiting: f64::from(reported.waiting),
         };
         let silent = peers.saturating_sub(1 + instances) as f64;
         if silent > 0.0
-            && let Ok(at) = self.place(id)
+            && let Ok(at) = self.index_of(id)
         {
             others.running += self.known[at].running.average_at(now) * silent;
-            others.unread += self.known[at].unread.average_at(now) * silent;
+            others.prefill_tokens += self.known[at].prefill_tokens.average_at(now) * silent;
             others.urgent += self.known[at].urgent.average_at(now) * silent;
         }
         others
@@ -405,8 +405,8 @@
         if !choice.is_long() {
             return true;
         }
-        let own = self.place(&choice.id).map_or(0, |at| self.known[at].unread.value);
-        own as f64 + self.others(now, &choice.id, peers).unread <= TURN_TOKENS
+        let own = self.index_of(&choice.id).map_or(0, |at| self.known[at].prefill_tokens.value);
+        own as f64 + self.others(now, &choice.id, peers).prefill_tokens <= ADMISSION_QUEUE_TOKENS
     }
 
     /// Counts a call that waits for its turn at `choice`, so that others go elsewhere.
@@ -424,63 +424,65 @@
     pub fn record_sent(&mut self, now: Time, choice: &Choice, demand: &Demand, memory: u64) {
         let load = self.entry(&choice.id);
         load.running.change(now, load.running.value + 1);
-        load.unread.change(now, load.unread.value + u64::from(choice.prefill_tokens));
+        load.prefill_tokens
+            .change(now, load.prefill_tokens.value + u64::from(choice.prefill_tokens));
         if demand.priority == 0 {
             load.urgent.change(now, load.urgent.value + u64::from(choice.prefill_tokens));
         }
         for part in demand.parts.iter().rev().skip(1) {
-            load.use_part(now, *part);
+            load.touch_part(now, *part);
         }
-        load.trim(now, memory);
+        load.evict(now, memory);
     }
 
     /// The first token or the answer of a call came after `took`.
     pub fn record_first_token(&mut self, now: Time, choice: &Choice, took: Duration) {
         let load = self.entry(&choice.id);
-        load.was_read(now, choice);
-        let predicted = choice.wait.as_secs_f64().max(0.001) / load.slowness;
-        let ratio = (took.as_secs_f64() / predicted).clamp(*SLOWNESS.start(), *SLOWNESS.end());
-        load.slowness += SMOOTHING * (ratio - load.slowness);
+        load.finish_prefill(now, choice);
+        let predicted = choice.wait.as_secs_f64().max(0.001) / load.latency_ratio;
+        let ratio = (took.as_secs_f64() / predicted)
+            .clamp(*LATENCY_RATIO_BOUNDS.start(), *LATENCY_RATIO_BOUNDS.end());
+        load.latency_ratio += LATENCY_RATIO_SMOOTHING * (ratio - load.latency_ratio);
     }
 
-    /// A call ended; `was_read` tells whether [`Loads::record_first_token`] was called for it.
-    pub fn record_end(&mut self, now: Time, choice: &Choice, was_read: bool) {
+    /// A call ended; `prefill_done` tells whether [`Loads::record_first_token`] was called for it.
+    pub fn record_end(&mut self, now: Time, choice: &Choice, prefill_done: bool) {
         let load = self.entry(&choice.id);
         load.running.change(now, load.running.value.saturating_sub(1));
-        if !was_read {
-            load.was_read(now, choice);
+        if !prefill_done {
+            load.finish_prefill(now, choice);
         }
     }
 
     /// Forgets what an upstream holds, which has a new incarnation.
     pub fn reset(&mut self, id: &UpstreamId) {
-        if let Ok(at) = self.place(id) {
-            self.known[at].warm.clear();
-            self.known[at].slowness = 1.0;
+        if let Ok(at) = self.index_of(id) {
+            self.known[at].cached.clear();
+            self.known[at].latency_ratio = 1.0;
         }
     }
 
     /// Calls of this instance that run at the upstream.
     pub fn running(&self, id: &UpstreamId) -> u64 {
-        self.place(id).map_or(0, |at| self.known[at].running.value)
+        self.index_of(id).map_or(0, |at| self.known[at].running.value)
     }
 
-    fn place(&self, id: &UpstreamId) -> Result<usize, usize> {
+    fn index_of(&self, id: &UpstreamId) -> Result<usize, usize> {
         self.known.binary_search_by(|load| load.id.cmp(id))
     }
 
-    fn entry(&mut self, id: &UpstreamId) -> &mut Load {
-        let at = match self.place(id) {
+    fn entry(&mut self, id: &UpstreamId) -> &mut UpstreamLoad {
+        let at = match self.index_of(id) {
             Ok(at) => at,
             Err(at) => {
-                let load = Load {
+                let load = UpstreamLoad {
                     id: id.clone(),
                     running: Averaged::default(),
-                    unread: Averaged::default(),
+                    prefill_tokens: Averaged::default(),
                     urgent: Averaged::default(),
                     waiting: 0,
-                    warm: Vec::new(),
-                    slowness: 1.0,
+                    cached: Vec::new(),
+                    latency_ratio: 1.0,
                 };
                 self.known.insert(at, load);
                 at
@@ -490,55 +492,55 @@
     }
 }
 
-impl Load {
+impl UpstreamLoad {
     fn report(&self) -> LoadReport {
         let count = |value: u64| u32::try_from(value).unwrap_or(u32::MAX);
         LoadReport {
             upstream: UpstreamKey::of(&self.id),
             running: count(self.running.value),
-            unread: count(self.unread.value),
+            unread: count(self.prefill_tokens.value),
             urgent: count(self.urgent.value),
             waiting: count(self.waiting),
         }
     }
 
     /// The prompt of a call was read, or nobody waits for it any more.
-    fn was_read(&mut self, now: Time, choice: &Choice) {
+    fn finish_prefill(&mut self, now: Time, choice: &Choice) {
         let tokens = u64::from(choice.prefill_tokens);
-        self.unread.change(now, self.unread.value.saturating_sub(tokens));
+        self.prefill_tokens.change(now, self.prefill_tokens.value.saturating_sub(tokens));
         if choice.priority == 0 {
             self.urgent.change(now, self.urgent.value.saturating_sub(tokens));
         }
     }
 
     /// Tokens at the beginning of the prompt that are held.
-    fn held(&self, now: Time, parts: &[PromptPart]) -> u32 {
-        let is_held = |part: &&PromptPart| {
-            let at = self.warm.binary_search_by(|warm| warm.part.cmp(&part.id));
-            at.is_ok_and(|at| now - self.warm[at].used < WARM_FOR)
+    fn cached_tokens(&self, now: Time, parts: &[PromptPart]) -> u32 {
+        let is_cached = |part: &&PromptPart| {
+            let at = self.cached.binary_search_by(|cached| cached.part.cmp(&part.id));
+            at.is_ok_and(|at| now - self.cached[at].used < CACHE_LIFETIME)
         };
-        parts.iter().take_while(is_held).map(|part| part.tokens).sum()
+        parts.iter().take_while(is_cached).map(|part| part.tokens).sum()
     }
 
-    fn use_part(&mut self, now: Time, part: PromptPart) {
-        match self.warm.binary_search_by(|warm| warm.part.cmp(&part.id)) {
-            Ok(at) => self.warm[at].used = now,
+    fn touch_part(&mut self, now: Time, part: PromptPart) {
+        match self.cached.binary_search_by(|cached| cached.part.cmp(&part.id)) {
+            Ok(at) => self.cached[at].used = now,
             Err(at) => {
-                let warm = Warm { part: part.id, tokens: part.tokens, used: now };
-                self.warm.insert(at, warm);
+                let cached = CachedPart { part: part.id, tokens: part.tokens, used: now };
+                self.cached.insert(at, cached);
             }
         }
     }
 
     /// Drops the parts that the engine no longer holds: the least recently used ones.
-    fn trim(&mut self, now: Time, memory: u64) {
-        let limit = (memory as f64 * WARM_SHARE) as u64;
-        let mut total: u64 = self.warm.iter().map(|warm| u64::from(warm.tokens)).sum();
+    fn evict(&mut self, now: Time, memory: u64) {
+        let limit = (memory as f64 * CACHE_SHARE) as u64;
+        let mut total: u64 = self.cached.iter().map(|cached| u64::from(cached.tokens)).sum();
         while total > limit {
-            let oldest = self.warm.iter().enumerate().min_by_key(|(_, warm)| warm.used);
+            let oldest = self.cached.iter().enumerate().min_by_key(|(_, cached)| cached.used);
             let Some((at, _)) = oldest else { return };
-            total -= u64::from(self.warm.remove(at).tokens);
+            total -= u64::from(self.cached.remove(at).tokens);
         }
-        self.warm.retain(|warm| now - warm.used < WARM_FOR);
+        self.cached.retain(|cached| now - cached.used < CACHE_LIFETIME);
     }
 }
--- a/crates/medlarlug-core/src/gateway/prefill_queue.rs
+++ b/crates/medlarlug-core/src/gateway/prefill_queue.rs
@@ -28,13 +28,13 @@
 }
 
 /// Part of its latency objective that a call waits at most: the rest is for reading its prompt.
-const WAIT_SHARE: f64 = 0.6;
+const MAX_WAIT_SHARE: f64 = 0.6;
 /// The same for calls of rank 0, which are not refused.
-const URGENT_WAIT_SHARE: f64 = 0.35;
+const MAX_URGENT_WAIT_SHARE: f64 = 0.35;
 /// Weight of the newest call in the expected wait.
-const SMOOTHING: f64 = 0.3;
+const WAIT_SMOOTHING: f64 = 0.3;
 /// Time in which the expected wait falls to a third if no call waits.
-const MEMORY: Duration = Duration::from_secs(1);
+const DECAY_TIME: Duration = Duration::from_secs(1);
 
 /// Decides about a call that has waited for `waited`; `is_free` tells whether its engine would take
 /// a long prompt now.
@@ -48,12 +48,17 @@
 /// assert_eq!(decide(false, Duration::ZERO, objective, 1), PrefillDecision::Wait);
 /// assert_eq!(decide(false, objective, objective, 1), PrefillDecision::Refuse);
 /// ```
-pub fn decide(is_free: bool, waited: Duration, objective: Duration, rank: u8) -> PrefillDecision {
-    let share = if rank == 0 { URGENT_WAIT_SHARE } else { WAIT_SHARE };
+pub fn decide(
+    is_free: bool,
+    waited: Duration,
+    objective: Duration,
+    priority: u8,
+) -> PrefillDecision {
+    let share = if priority == 0 { MAX_URGENT_WAIT_SHARE } else { MAX_WAIT_SHARE };
     match waited < objective.mul_f64(share) {
         _ if is_free => PrefillDecision::Send,
         true => PrefillDecision::Wait,
-        false if rank == 0 => PrefillDecision::Send,
+        false if priority == 0 => PrefillDecision::Send,
         false => PrefillDecision::Refuse,
     }
 }
@@ -62,21 +67,21 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct QueueWaits {
     /// Smoothed wait in seconds, when it was last counted.
-    wait: f64,
-    counted: Time,
+    wait_s: f64,
+    updated_at: Time,
 }
 
 impl QueueWaits {
     /// Counts a call that waited for `waited`.
     pub fn record(&mut self, now: Time, waited: Duration) {
         let expected = self.expected(now).as_secs_f64();
-        self.wait = expected + SMOOTHING * (waited.as_secs_f64() - expected);
-        self.counted = now;
+        self.wait_s = expected + WAIT_SMOOTHING * (waited.as_secs_f64() - expected);
+        self.updated_at = now;
     }
 
     /// What the next call is expected to wait.
     pub fn expected(&self, now: Time) -> Duration {
-        let age = (now - self.counted).as_secs_f64() / MEMORY.as_secs_f64();
-        Duration::from_secs_f64(self.wait * (-age).exp())
+        let age = (now - self.updated_at).as_secs_f64() / DECAY_TIME.as_secs_f64();
+        Duration::from_secs_f64(self.wait_s * (-age).exp())
     }
 }
--- a/crates/medlarlug-core/src/gateway/remote_region.rs
+++ b/crates/medlarlug-core/src/gateway/remote_region.rs
@@ -10,18 +10,18 @@
 
 use std::time::Duration;
 
-use crate::gateway::placement::{Demand, READ_RATE};
+use crate::gateway::placement::{Demand, PREFILL_TOKENS_PER_MS};
 
 /// Prompt tokens of the call for which a region tells the wait.
 pub const REFERENCE_PROMPT_TOKENS: u32 = 2_000;
 
 /// Part of the shared tokens of a prompt that another region is taken to read again: sessions live
 /// in few regions, and parts that everyone shares are held in all.
-const UNHELD_SHARE: f64 = 0.5;
+const UNCACHED_SHARE: f64 = 0.5;
 
 /// Weight of reading a shared part again there: less than within a region, where other engines read
 /// it instead of the one that holds it, since here the own engines are behind.
-const REREAD_WEIGHT: f64 = 3.0;
+const RECOMPUTE_WEIGHT: f64 = 3.0;
 
 /// What is known of a service in another region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,15 +40,17 @@
 /// use std::time::Duration;
 /// use medlarlug_core::gateway::{remote_region::{RemoteService, predicted_cost}, placement::Demand};
 ///
-/// let told = Duration::from_millis(80);
-/// let region = RemoteService { reported_wait: told, pending_tokens: 0, upstreams: 4 };
-/// assert_eq!(predicted_cost(region, &Demand::default()), told);
+/// let reported_wait = Duration::from_millis(80);
+/// let service = RemoteService { reported_wait, pending_tokens: 0, upstreams: 4 };
+/// assert_eq!(predicted_cost(service, &Demand::default()), reported_wait);
 /// ```
-pub fn predicted_cost(region: RemoteService, demand: &Demand) -> Duration {
-    let queued = region.pending_tokens as f64 / READ_RATE / region.upstreams.max(1) as f64;
-    let shared = f64::from(demand.shared()) * UNHELD_SHARE;
-    let own = f64::from(demand.prompt_tokens.saturating_sub(demand.shared()));
-    let longer = (own + shared - f64::from(REFERENCE_PROMPT_TOKENS)).max(0.0) / READ_RATE;
-    let others = shared * REREAD_WEIGHT / READ_RATE;
-    region.reported_wait + Duration::from_secs_f64((queued + longer + others) / 1_000.0)
+pub fn predicted_cost(service: RemoteService, demand: &Demand) -> Duration {
+    let queued_ms =
+        service.pending_tokens as f64 / PREFILL_TOKENS_PER_MS / service.upstreams.max(1) as f64;
+    let recomputed = f64::from(demand.shared()) * UNCACHED_SHARE;
+    let own_tokens = f64::from(demand.prompt_tokens.saturating_sub(demand.shared()));
+    let extra_ms = (own_tokens + recomputed - f64::from(REFERENCE_PROMPT_TOKENS)).max(0.0)
+        / PREFILL_TOKENS_PER_MS;
+    let delay_ms = recomputed * RECOMPUTE_WEIGHT / PREFILL_TOKENS_PER_MS;
+    service.reported_wait + Duration::from_secs_f64((queued_ms + extra_ms + delay_ms) / 1_000.0)
 }
--- a/crates/medlarlug-core/src/gateway/retry_budget.rs
+++ b/crates/medlarlug-core/src/gateway/retry_budget.rs
@@ -34,12 +34,12 @@
 
 /// Longest time from the moment at which a repeat is paid for to its arrival at an upstream: a new
 /// connection to another region, and one to an upstream there.
-const LONGEST_WAY: Duration = Duration::from_secs(1);
+const MAX_DELIVERY_TIME: Duration = Duration::from_secs(1);
 /// Part of a window by which the way of a repeat is reckoned with at most.
-const WAY_SHARE: u32 = 4;
+const DELIVERY_WINDOW_DIVISOR: u32 = 4;
 /// Part of the allowance that is handed out; the rest covers repeats that arrive later than
-/// [`LONGEST_WAY`], and instances that others do not know yet.
-const ALLOWANCE_SHARE: f64 = 0.5;
+/// [`MAX_DELIVERY_TIME`], and instances that others do not know yet.
+const GRANTED_ALLOWANCE_SHARE: f64 = 0.5;
 
 /// What an instance may spend as one of many.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,13 +56,13 @@
 impl InstanceShare {
     /// Whether repeats of the process before this one may still count in the present window.
     fn overlaps_predecessor(self, bounds: RetryBounds) -> bool {
-        self.process_age.is_some_and(|age| age <= bounds.window + way(bounds))
+        self.process_age.is_some_and(|age| age <= bounds.window + delivery_time(bounds))
     }
 
     /// Repeats that the instance may make in a window beyond those that it has earned.
     pub fn allowance(self, bounds: RetryBounds) -> f64 {
         match self.has_complete_view {
-            true => ALLOWANCE_SHARE * bounds.allowance / self.instances.max(1) as f64,
+            true => GRANTED_ALLOWANCE_SHARE * bounds.allowance / self.instances.max(1) as f64,
             false => 0.0,
         }
     }
@@ -81,12 +81,12 @@
 
 /// Calls and repeats of one service at this entry instance.
 ///
-/// Repeats that are paid for in a window may arrive up to [`LONGEST_WAY`] later, together with those
+/// Repeats that are paid for in a window may arrive up to [`MAX_DELIVERY_TIME`] later, together with those
 /// of the next one. Calls count for a shorter time than a window, and repeats for a longer one.
 #[derive(Debug, Clone, Default)]
 pub struct RetryWindow {
     calls: VecDeque<Time>,
-    repeats: VecDeque<Time>,
+    retries: VecDeque<Time>,
 }
 
 impl RetryWindow {
@@ -102,32 +102,32 @@
         if self.balance(bounds, share).remaining < 1.0 {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
     /// What is left at the time of the last change.
     pub fn balance(&self, bounds: RetryBounds, share: InstanceShare) -> Balance {
-        let (calls, repeats) = (self.calls.len(), self.repeats.len());
+        let (calls, retries) = (self.calls.len(), self.retries.len());
         let left = match share.overlaps_predecessor(bounds) {
             true => 0.0,
-            false => bounds.ratio * calls as f64 + share.allowance(bounds) - repeats as f64,
+            false => bounds.ratio * calls as f64 + share.allowance(bounds) - retries as f64,
         };
-        Balance { calls, retries: repeats, remaining: left }
+        Balance { calls, retries, remaining: left }
     }
 
     fn trim(&mut self, now: Time, bounds: RetryBounds) {
-        let way = way(bounds);
-        drop_older(&mut self.calls, now, bounds.window.saturating_sub(way));
-        drop_older(&mut self.repeats, now, bounds.window + way);
+        let delivery_time = delivery_time(bounds);
+        drop_older_than(&mut self.calls, now, bounds.window.saturating_sub(delivery_time));
+        drop_older_than(&mut self.retries, now, bounds.window + delivery_time);
     }
 }
 
-fn way(bounds: RetryBounds) -> Duration {
-    LONGEST_WAY.min(bounds.window / WAY_SHARE)
+fn delivery_time(bounds: RetryBounds) -> Duration {
+    MAX_DELIVERY_TIME.min(bounds.window / DELIVERY_WINDOW_DIVISOR)
 }
 
-fn drop_older(times: &mut VecDeque<Time>, now: Time, age: Duration) {
+fn drop_older_than(times: &mut VecDeque<Time>, now: Time, age: Duration) {
     while times.front().is_some_and(|time| now - *time > age) {
         times.pop_front();
     }
@@ -150,14 +150,14 @@
 /// ```
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Spending {
-    arrived: u32,
+    arrivals: u32,
     paid: u32,
 }
 
 impl Spending {
     /// Whether the next request is free or paid for.
     pub fn is_covered(self) -> bool {
-        self.arrived <= self.paid
+        self.arrivals <= self.paid
     }
 
     /// One more request is paid for.
@@ -167,6 +167,6 @@
 
     /// A request has reached an upstream, or another instance that sent it to one.
     pub fn record_arrival(&mut self) {
-        self.arrived += 1;
+        self.arrivals += 1;
     }
 }
--- a/crates/medlarlug-core/src/gateway/stall.rs
+++ b/crates/medlarlug-core/src/gateway/stall.rs
@@ -8,7 +8,7 @@
 use crate::time::Time;
 
 /// Time in which a process that resumes reads what has queued.
-const READING_TIME: Duration = Duration::from_millis(500);
+const BACKLOG_READ_TIME: Duration = Duration::from_millis(500);
 
 /// Notices stalls by the time between two turns of a loop.
 ///
@@ -25,50 +25,50 @@
 pub struct StallDetector {
     /// Longest time between two turns that is no stall.
     limit: Duration,
-    turned: Option<Time>,
+    last_tick: Option<Time>,
     /// When the newest stall began and ended.
-    newest: Option<(Time, Time)>,
+    last_stall: Option<(Time, Time)>,
 }
 
 impl StallDetector {
     /// Takes more than `limit` without a turn for a stall.
     pub fn new(limit: Duration) -> StallDetector {
-        StallDetector { limit, turned: None, newest: None }
+        StallDetector { limit, last_tick: None, last_stall: None }
     }
 
     /// The loop has a turn; returns the length of the stall that it ends, if there was one.
     pub fn tick(&mut self, now: Time) -> Option<Duration> {
-        let began = self.began(now);
+        let began = self.stall_began(now);
         if let Some(began) = began {
-            self.newest = Some((began, now));
+            self.last_stall = Some((began, now));
         }
-        self.turned = Some(now);
+        self.last_tick = Some(now);
         began.map(|began| now - began)
     }
 
     /// When the process last resumed: now, if the loop has not had its turn since.
     pub fn last_resumed(&self, now: Time) -> Option<Time> {
-        self.began(now).map(|_| now).or(self.newest.map(|it| it.1))
+        self.stall_began(now).map(|_| now).or(self.last_stall.map(|it| it.1))
     }
 
     /// Whether the process has just resumed, and the loop has not had its turn since.
     pub fn is_overdue(&self, now: Time) -> bool {
-        self.began(now).is_some()
+        self.stall_began(now).is_some()
     }
 
     /// How old what is read now may be.
     pub fn max_message_age(&self, now: Time) -> Duration {
-        if let Some(began) = self.began(now) {
+        if let Some(began) = self.stall_began(now) {
             return now - began;
         }
-        match self.newest {
-            Some((began, ended)) if now - ended <= READING_TIME => now - began,
+        match self.last_stall {
+            Some((began, ended)) if now - ended <= BACKLOG_READ_TIME => now - began,
             _ => Duration::ZERO,
         }
     }
 
     /// When the stall began that no turn has ended yet.
-    fn began(&self, now: Time) -> Option<Time> {
-        self.turned.filter(|turned| now - *turned > self.limit)
+    fn stall_began(&self, now: Time) -> Option<Time> {
+        self.last_tick.filter(|last_tick| now - *last_tick > self.limit)
     }
 }
--- a/crates/medlarlug-core/src/gateway/stream_timeout.rs
+++ b/crates/medlarlug-core/src/gateway/stream_timeout.rs
@@ -11,12 +11,12 @@
 
 /// Silence after which an upstream is taken for dead, as a multiple of the longest pause of a
 /// stream that is on time. Engines that preempt a request pause it as well.
-const SILENT_PAUSES: u32 = 3;
+const PAUSE_FACTOR: u32 = 3;
 /// Pause that is taken for on time if the route has a shorter one: a few steps of a busy engine.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(300);
+const MIN_PAUSE: Duration = Duration::from_millis(300);
 /// Time in which the instance of another region goes on at a second upstream, after it has waited
 /// as long as a stream of its own may be silent: the prompt is read again, and the events travel.
-const HANDED_OVER_TIME: Duration = Duration::from_millis(1_500);
+const FORWARDED_EXTRA_TIME: Duration = Duration::from_millis(1_500);
 
 /// Where a stream comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 }
 
 /// Silence after which the stream goes on elsewhere; `None` if it is left to its source. `pause` is
-/// the longest pause of a stream that is on time, `may_repeat` tells whether another attempt is left.
+/// the longest pause of a stream that is on time, `may_retry` tells whether another attempt is left.
 ///
 /// ```
 /// use std::time::Duration;
@@ -38,13 +38,13 @@
 /// assert_eq!(idle_timeout(StreamSource::Upstream, pause, true), Some(pause * 3));
 /// assert_eq!(idle_timeout(StreamSource::Upstream, pause, false), None);
 /// ```
-pub fn idle_timeout(source: StreamSource, pause: Duration, may_repeat: bool) -> Option<Duration> {
-    if !may_repeat {
+pub fn idle_timeout(source: StreamSource, pause: Duration, may_retry: bool) -> Option<Duration> {
+    if !may_retry {
         return None;
     }
-    let own = pause.max(SHORTEST_PAUSE) * SILENT_PAUSES;
+    let own = pause.max(MIN_PAUSE) * PAUSE_FACTOR;
     Some(match source {
         StreamSource::Upstream => own,
-        StreamSource::Instance => own + HANDED_OVER_TIME,
+        StreamSource::Instance => own + FORWARDED_EXTRA_TIME,
     })
 }
--- a/crates/medlarlug-core/src/gateway/upstream_limits.rs
+++ b/crates/medlarlug-core/src/gateway/upstream_limits.rs
@@ -16,11 +16,11 @@
 
 /// Lowest rate that is kept, in requests a second: an upstream that takes none is asked this often, since
 /// only its answers tell that the limit has ended.
-const LOWEST_RATE: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 /// Highest rate, in requests a second, above which a limit is none.
-const HIGHEST_RATE: f64 = 1e6;
+const MAX_RATE: f64 = 1e6;
 /// Part by which a limit has to change before other instances are told.
-const NEWS_SHARE: f64 = 0.1;
+const PUBLISH_THRESHOLD: f64 = 0.1;
 
 /// Requests a second that an upstream takes from all entry instances together.
 ///
@@ -28,7 +28,7 @@
 /// use medlarlug_core::gateway::upstream_limits::UpstreamLimit;
 ///
 /// assert_eq!("1.7".parse::<UpstreamLimit>().unwrap().to_string(), "1.7/s");
-/// assert_eq!("0".parse::<UpstreamLimit>().unwrap(), UpstreamLimit::LOWEST);
+/// assert_eq!("0".parse::<UpstreamLimit>().unwrap(), UpstreamLimit::MIN);
 /// assert!("few".parse::<UpstreamLimit>().is_err());
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
 
 impl UpstreamLimit {
     /// The lowest limit, which also holds for an upstream that names one that can't be read.
-    pub const LOWEST: UpstreamLimit = UpstreamLimit(LOWEST_RATE);
+    pub const MIN: UpstreamLimit = UpstreamLimit(MIN_RATE);
 
     /// Requests a second.
     pub fn per_second(self) -> f64 {
@@ -62,7 +62,7 @@
     fn try_from(rate: f64) -> Result<UpstreamLimit, LimitError> {
         match rate.is_nan() || rate < 0.0 {
             true => Err(LimitError),
-            false => Ok(UpstreamLimit(rate.clamp(LOWEST_RATE, HIGHEST_RATE))),
+            false => Ok(UpstreamLimit(rate.clamp(MIN_RATE, MAX_RATE))),
         }
     }
 }
@@ -94,14 +94,14 @@
 }
 
 #[derive(Debug, Clone)]
-struct Known {
+struct LimitRecord {
     id: UpstreamId,
     birth: Birth,
     limit: UpstreamLimit,
     /// When an answer named it last.
-    named: Time,
+    named_at: Time,
     /// The limit as other instances were told.
-    told: UpstreamLimit,
+    published: UpstreamLimit,
 }
 
 /// The limits that this instance knows, sorted by upstream.
@@ -113,13 +113,13 @@
 /// };
 ///
 /// let (mut limits, id) = (UpstreamLimits::default(), "engine-1".parse().unwrap());
-/// let said = LimitHeader::Limit("1.7".parse().unwrap());
-/// limits.record_answer(Time::from_millis(20), Time::from_millis(10), &id, Birth(1), said);
+/// let header = LimitHeader::Limit("1.7".parse().unwrap());
+/// limits.record_answer(Time::from_millis(20), Time::from_millis(10), &id, Birth(1), header);
 /// assert!(limits.of(&id, Birth(1)).is_some());
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamLimits {
-    known: Vec<Known>,
+    known: Vec<LimitRecord>,
 }
 
 impl UpstreamLimits {
@@ -131,34 +131,36 @@
         sent: Time,
         id: &UpstreamId,
         birth: Birth,
-        said: LimitHeader,
+        header: LimitHeader,
     ) -> bool {
-        let known = self.place(id).ok().map(|at| self.known[at].clone());
+        let known = self.index_of(id).ok().map(|at| self.known[at].clone());
         if known.as_ref().is_some_and(|it| it.birth > birth) {
             return false;
         }
         let known = known.filter(|it| it.birth == birth);
-        let limit = match (said, &known) {
+        let limit = match (header, &known) {
             (LimitHeader::Absent, None) => return false,
-            (LimitHeader::Absent, Some(known)) if sent <= known.named => return false,
+            (LimitHeader::Absent, Some(known)) if sent <= known.named_at => return false,
             (LimitHeader::Absent, Some(_)) => {
                 self.remove(id);
                 return true;
             }
             (LimitHeader::Invalid, Some(known)) => known.limit,
-            (LimitHeader::Invalid, None) => UpstreamLimit::LOWEST,
+            (LimitHeader::Invalid, None) => UpstreamLimit::MIN,
             (LimitHeader::Limit(limit), Some(known))
-                if sent <= known.named && limit > known.limit =>
+                if sent <= known.named_at && limit > known.limit =>
             {
                 known.limit
             }
             (LimitHeader::Limit(limit), _) => limit,
         };
-        let told = known.map(|it| it.told);
-        let is_news = told.is_none_or(|told| (limit.0 - told.0).abs() > told.0 * NEWS_SHARE);
-        let told = if is_news { limit } else { told.unwrap_or(limit) };
-        self.set(Known { id: id.clone(), birth, limit, named: now, told });
-        is_news
+        let published = known.map(|it| it.published);
+        let has_changed = published.is_none_or(|published| {
+            (limit.0 - published.0).abs() > published.0 * PUBLISH_THRESHOLD
+        });
+        let published = if has_changed { limit } else { published.unwrap_or(limit) };
+        self.set(LimitRecord { id: id.clone(), birth, limit, named_at: now, published });
+        has_changed
     }
 
     /// Takes in what another instance tells of an upstream; `None` if its limit has ended.
@@ -169,13 +171,19 @@
         birth: Birth,
         limit: Option<UpstreamLimit>,
     ) {
-        let newest = self.place(id).ok().map(|at| self.known[at].birth);
+        let newest = self.index_of(id).ok().map(|at| self.known[at].birth);
         if newest.is_some_and(|newest| newest > birth) {
             return;
         }
         match limit {
             Some(limit) => {
-                self.set(Known { id: id.clone(), birth, limit, named: now, told: limit });
+                self.set(LimitRecord {
+                    id: id.clone(),
+                    birth,
+                    limit,
+                    named_at: now,
+                    published: limit,
+                });
             }
             None => self.remove(id),
         }
@@ -183,7 +191,7 @@
 
     /// The limit of an incarnation, if it has one.
     pub fn of(&self, id: &UpstreamId, birth: Birth) -> Option<UpstreamLimit> {
-        let known = self.place(id).ok().map(|at| &self.known[at]);
+        let known = self.index_of(id).ok().map(|at| &self.known[at]);
         known.filter(|it| it.birth >= birth).map(|it| it.limit)
     }
 
@@ -194,19 +202,19 @@
 
     /// Forgets an upstream that is gone.
     pub fn remove(&mut self, id: &UpstreamId) {
-        if let Ok(at) = self.place(id) {
+        if let Ok(at) = self.index_of(id) {
             self.known.remove(at);
         }
     }
 
-    fn set(&mut self, known: Known) {
-        match self.place(&known.id) {
+    fn set(&mut self, known: LimitRecord) {
+        match self.index_of(&known.id) {
             Ok(at) => self.known[at] = known,
             Err(at) => self.known.insert(at, known),
         }
     }
 
-    fn place(&self, id: &UpstreamId) -> Result<usize, usize> {
+    fn index_of(&self, id: &UpstreamId) -> Result<usize, usize> {
         self.known.binary_search_by(|it| it.id.cmp(id))
     }
 }
--- a/crates/medlarlug-core/src/gateway/upstreams.rs
+++ b/crates/medlarlug-core/src/gateway/upstreams.rs
@@ -82,19 +82,19 @@
     /// Whether the upstream announced itself to this process.
     pub is_local: bool,
     /// Keepers that have told this process of this incarnation.
-    tellers: Vec<SocketAddr>,
+    keepers: Vec<SocketAddr>,
 }
 
 impl KnownUpstream {
-    /// It was heard again at `heard`, and has told nothing new.
-    fn renew(&mut self, heard: Time) {
+    /// It was heard again at `announced_at`, and has told nothing new.
+    fn renew(&mut self, announced_at: Time) {
         // The time that is left to be cold counts from the announcement that told it.
         // It is not over before an announcement says so, which is told as a change.
         if !self.upstream.cold.is_zero() {
-            let left = self.upstream.cold.saturating_sub(heard - self.announced_at);
+            let left = self.upstream.cold.saturating_sub(announced_at - self.announced_at);
             self.upstream.cold = left.max(Duration::from_millis(1));
         }
-        self.announced_at = self.announced_at.max(heard);
+        self.announced_at = self.announced_at.max(announced_at);
     }
 
     /// How long the upstream still is cold.
@@ -109,10 +109,10 @@
         !cold.is_zero() && now - self.announced_at < cold + COLD_JITTER
     }
 
-    /// Whether an announcement that was heard at `heard` says that it stays cold for longer than
+    /// Whether an announcement that was heard at `announced_at` says that it stays cold for longer than
     /// the last one said.
-    fn is_cold_longer(&self, upstream: &Upstream, heard: Time) -> bool {
-        heard + upstream.cold > self.announced_at + self.upstream.cold + COLD_JITTER
+    fn is_cold_longer(&self, upstream: &Upstream, announced_at: Time) -> bool {
+        announced_at + upstream.cold > self.announced_at + self.upstream.cold + COLD_JITTER
     }
 }
 
@@ -137,7 +137,7 @@
 
 /// Sequence numbers with which an incarnation whose predecessor left without a known birth may
 /// begin.
-const FIRST_SEQUENCES: u64 = 3;
+const MAX_FIRST_SEQUENCE: u64 = 3;
 
 /// The upstreams that a process knows, sorted by id.
 #[derive(Debug, Clone, Default)]
@@ -162,9 +162,9 @@
 
 /// Age up to which an upstream is part of a [`Heartbeat`] without being named: it announces itself each
 /// 1.2 s, and keepers tell each other within half a second.
-const PULSE_AGE: Duration = Duration::from_millis(1_800);
+const HEARTBEAT_MAX_AGE: Duration = Duration::from_millis(1_800);
 /// Silence after which a pulse does not renew an upstream: the keeper may have forgotten it.
-const PULSE_LIMIT: Duration = Duration::from_secs(20);
+const HEARTBEAT_RENEWAL_LIMIT: Duration = Duration::from_secs(20);
 
 /// What a keeper tells of all upstreams that it has told of on a link: that each was heard lately, but
 /// for some. Its size does not grow with the upstreams.
@@ -179,7 +179,7 @@
 impl Upstreams {
     /// The pulse of all known upstreams.
     pub fn heartbeat(&self, now: Time) -> Heartbeat {
-        let late = self.known.iter().filter(|it| now - it.announced_at > PULSE_AGE);
+        let late = self.known.iter().filter(|it| now - it.announced_at > HEARTBEAT_MAX_AGE);
         let late = late.filter(|it| it.upstream.state != UpstreamState::Gone);
         let late = late.map(|it| Renewal {
             id: it.upstream.id.clone(),
@@ -187,35 +187,39 @@
             sequence: it.upstream.sequence,
             age_ms: u32::try_from((now - it.announced_at).as_millis()).unwrap_or(u32::MAX),
         });
-        Heartbeat { age_ms: PULSE_AGE.as_millis() as u32, late: late.collect() }
+        Heartbeat { age_ms: HEARTBEAT_MAX_AGE.as_millis() as u32, late: late.collect() }
     }
 
     /// Takes in that `keeper` has told of an incarnation of an upstream, new or not.
     pub fn record_keeper(&mut self, keeper: SocketAddr, id: &UpstreamId, birth: Birth) {
-        let Ok(at) = self.place(id) else { return };
+        let Ok(at) = self.index_of(id) else { return };
         let known = &mut self.known[at];
-        if known.upstream.birth == birth && !known.tellers.contains(&keeper) {
-            known.tellers.push(keeper);
+        if known.upstream.birth == birth && !known.keepers.contains(&keeper) {
+            known.keepers.push(keeper);
         }
     }
 
     /// The link to `keeper` is a new one: what it told before says nothing of what it knows now.
     pub fn forget_keeper(&mut self, keeper: SocketAddr) {
-        self.known.iter_mut().for_each(|it| it.tellers.retain(|teller| *teller != keeper));
+        self.known.iter_mut().for_each(|known| known.keepers.retain(|it| *it != keeper));
     }
 
     /// Takes in the pulse of `keeper`. It renews what that keeper has told of: another one may have
     /// heard of an upstream that is silent since, which this keeper does not know.
-    pub fn apply_heartbeat(&mut self, now: Time, keeper: SocketAddr, pulse: &Heartbeat) {
-        let heard = now.saturating_sub(Duration::from_millis(pulse.age_ms.into()));
-        let mut late: Vec<&Renewal> = pulse.late.iter().collect();
+    pub fn apply_heartbeat(&mut self, now: Time, keeper: SocketAddr, heartbeat: &Heartbeat) {
+        let announced_at = now.saturating_sub(Duration::from_millis(heartbeat.age_ms.into()));
+        let mut late: Vec<&Renewal> = heartbeat.late.iter().collect();
         late.sort_by(|a, b| a.id.cmp(&b.id));
         for known in &mut self.known {
             let is_late = late.binary_search_by(|it| it.id.cmp(&known.upstream.id)).is_ok();
-            let is_told = known.tellers.contains(&keeper);
-            let is_here = known.upstream.state != UpstreamState::Gone;
-            if is_told && is_here && !is_late && now - known.announced_at <= PULSE_LIMIT {
-                known.renew(heard.max(known.announced_at));
+            let is_from_keeper = known.keepers.contains(&keeper);
+            let is_present = known.upstream.state != UpstreamState::Gone;
+            if is_from_keeper
+                && is_present
+                && !is_late
+                && now - known.announced_at <= HEARTBEAT_RENEWAL_LIMIT
+            {
+                known.renew(announced_at.max(known.announced_at));
             }
         }
         for renewal in late {
@@ -225,34 +229,28 @@
 
     /// Takes in what another process heard an upstream announce `age` before `now`.
     pub fn announce(&mut self, now: Time, upstream: Upstream, age: Duration) -> Effect {
-        self.take(now, upstream, age, false)
+        self.apply(now, upstream, age, false)
     }
 
     /// Takes in what an upstream announced to this process, which reads it up to `age` late.
     pub fn announce_local(&mut self, now: Time, upstream: Upstream, age: Duration) -> Effect {
-        self.take(now, upstream.extend_cold(age), age, true)
+        self.apply(now, upstream.extend_cold(age), age, true)
     }
 
-    fn take(&mut self, now: Time, upstream: Upstream, age: Duration, is_local: bool) -> Effect {
-        let heard = now.saturating_sub(age);
+    fn apply(&mut self, now: Time, upstream: Upstream, age: Duration, is_local: bool) -> Effect {
+        let announced_at = now.saturating_sub(age);
         if self.is_superseded(&upstream) {
             return Effect::Ignored;
         }
-        let at = match self.place(&upstream.id) {
+        let at = match self.index_of(&upstream.id) {
             Ok(at) => at,
             Err(at) => {
                 self.change += 1;
                 self.renewal += 1;
                 let (change, renewal) = (self.change, self.renewal);
-                let tellers = Vec::new();
-                let known = KnownUpstream {
-                    upstream,
-                    announced_at: heard,
-                    change,
-                    renewal,
-                    is_local,
-                    tellers,
-                };
+                let keepers = Vec::new();
+                let known =
+                    KnownUpstream { upstream, announced_at, change, renewal, is_local, keepers };
                 self.known.insert(at, known);
                 return Effect::Changed;
             }
@@ -267,12 +265,12 @@
             && old.address == upstream.address
             && old.service == upstream.service
             && old.cold.is_zero() == upstream.cold.is_zero()
-            && (upstream.cold.is_zero() || !known.is_cold_longer(&upstream, heard));
+            && (upstream.cold.is_zero() || !known.is_cold_longer(&upstream, announced_at));
         self.renewal += 1;
         if old.birth != upstream.birth {
-            known.tellers.clear();
+            known.keepers.clear();
         }
-        known.announced_at = heard.max(known.announced_at);
+        known.announced_at = announced_at.max(known.announced_at);
         known.upstream = upstream;
         known.renewal = self.renewal;
         known.is_local = is_local;
@@ -287,14 +285,14 @@
     /// Takes in that an upstream has renewed itself. Ignored for an incarnation that is not known
     /// yet: its whole announcement is on its way.
     pub fn renew(&mut self, now: Time, renewal: &Renewal) -> Effect {
-        let Ok(at) = self.place(&renewal.id) else { return Effect::Ignored };
+        let Ok(at) = self.index_of(&renewal.id) else { return Effect::Ignored };
         let known = &mut self.known[at];
         let is_same = known.upstream.birth == renewal.birth;
         if !is_same || renewal.sequence <= known.upstream.sequence {
             return Effect::Ignored;
         }
-        let heard = now.saturating_sub(Duration::from_millis(renewal.age_ms.into()));
-        known.renew(heard);
+        let announced_at = now.saturating_sub(Duration::from_millis(renewal.age_ms.into()));
+        known.renew(announced_at);
         known.upstream.sequence = renewal.sequence;
         known.is_local = false;
         self.renewal += 1;
@@ -318,7 +316,7 @@
     /// Takes in that an incarnation has said in an answer that it is leaving. Later announcements of the
     /// same incarnation do not take it back.
     pub fn mark_draining(&mut self, id: &UpstreamId, birth: Birth) -> Effect {
-        let Ok(at) = self.place(id) else { return Effect::Ignored };
+        let Ok(at) = self.index_of(id) else { return Effect::Ignored };
         let known = &mut self.known[at];
         if known.upstream.birth != birth || known.upstream.state != UpstreamState::Ready {
             return Effect::Ignored;
@@ -332,7 +330,7 @@
 
     /// Takes in that the present incarnation of `id` has left.
     pub fn mark_gone(&mut self, id: &UpstreamId) -> Effect {
-        let Ok(at) = self.place(id) else { return Effect::Ignored };
+        let Ok(at) = self.index_of(id) else { return Effect::Ignored };
         let known = &mut self.known[at];
         if known.upstream.state == UpstreamState::Gone {
             return Effect::Ignored;
@@ -346,11 +344,11 @@
 
     /// Takes in that an upstream has left of which nothing else is known.
     pub fn mark_unknown_gone(&mut self, now: Time, upstream: Upstream) -> Effect {
-        if self.place(&upstream.id).is_ok() {
+        if self.index_of(&upstream.id).is_ok() {
             return self.mark_gone(&upstream.id);
         }
         let gone = Upstream { state: UpstreamState::Gone, birth: Birth(0), ..upstream };
-        self.take(now, gone, Duration::ZERO, true)
+        self.apply(now, gone, Duration::ZERO, true)
     }
 
     /// Forgets upstreams that have announced nothing for [`FORGET_AFTER`], and returns their ids.
@@ -364,7 +362,7 @@
 
     /// The upstream with `id`.
     pub fn get(&self, id: &UpstreamId) -> Option<&KnownUpstream> {
-        self.place(id).ok().map(|at| &self.known[at])
+        self.index_of(id).ok().map(|at| &self.known[at])
     }
 
     /// All known upstreams, sorted by id.
@@ -397,7 +395,7 @@
         self.known.iter().filter(move |known| known.renewal > renewal)
     }
 
-    fn place(&self, id: &UpstreamId) -> Result<usize, usize> {
+    fn index_of(&self, id: &UpstreamId) -> Result<usize, usize> {
         self.known.binary_search_by(|known| known.upstream.id.cmp(id))
     }
 
@@ -418,7 +416,7 @@
     if new.birth != old.birth {
         let is_unknown = old.birth == Birth(0) && old.state == UpstreamState::Gone;
         return match is_unknown {
-            true => new.sequence <= FIRST_SEQUENCES,
+            true => new.sequence <= MAX_FIRST_SEQUENCE,
             false => new.birth > old.birth,
         };
     }
--- a/crates/medlarlug-core/tests/testsuite/gateway/upstream_limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/upstream_limits.rs
@@ -80,7 +80,7 @@
     unknown.record_answer(at(300), at(200), &engine(), Birth(1), LimitHeader::Invalid);
 
     assert_eq!(limits.of(&engine(), Birth(1)), Some(limit("2")));
-    assert_eq!(unknown.of(&engine(), Birth(1)), Some(UpstreamLimit::LOWEST));
+    assert_eq!(unknown.of(&engine(), Birth(1)), Some(UpstreamLimit::MIN));
 }
 
 #[test]
