--- a/crates/medlarlug-core/src/gateway/attempt_timeout.rs
+++ b/crates/medlarlug-core/src/gateway/attempt_timeout.rs
@@ -1,34 +1,35 @@
-//! How long an attempt may take until its first token or answer.
+//! Timeout of an attempt until its first token or answer.
 //!
-//! Giving an attempt up throws away what its upstream has done for it, and another upstream begins
-//! anew. So a call that merely waits behind others, in a queue that is longer than predicted, stays
-//! where it is: upstreams that are gone are noticed by their connections. What is left for this
-//! limit are upstreams that take calls and say nothing.
+//! When an attempt is given up, the work that its upstream has done is lost, and another upstream
+//! starts over. So a call that merely waits in a queue that is longer than predicted stays where it
+//! is; dead upstreams are detected by their connections. The timeout is for upstreams that accept
+//! calls and never respond.
 //!
-//! A call that was handed over is repeated by the instance that has it. The first instance cannot
-//! tell how often that was, so it has no attempt of its own to save time for.
+//! A call that was forwarded to another region is retried by the instance there. The first instance
+//! can't know how often that happened, so it keeps no time for an attempt of its own.
 
 use std::time::Duration;
 
 use crate::gateway::stream_timeout::StreamSource;
 
-/// Limit as a multiple of the predicted wait: predictions are rarely off by more.
+/// Timeout as a multiple of the predicted wait; predictions are rarely off by more.
 const PREDICTION_FACTOR: u32 = 4;
-/// Limit as a multiple of the latency objective: the answer would be late by then in any case.
+/// Timeout as a multiple of the latency objective; a later answer would miss the objective in any
+/// case.
 const OBJECTIVE_FACTOR: f64 = 2.0;
-/// Shortest limit: the way to another region and back, and a few calls of a plain service.
+/// Shortest timeout: a round trip to another region, and a few calls of a plain service.
 const MIN_TIMEOUT: Duration = Duration::from_millis(800);
-/// Part of the time left that an attempt gets if another one is to follow it.
+/// Share of the remaining time that an attempt gets if another one may follow.
 const TIME_LEFT_SHARE: f64 = 0.6;
 
-/// What an attempt has to go by.
+/// The inputs of the timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempt {
-    /// Where it goes.
+    /// Where the attempt is sent.
     pub source: StreamSource,
     /// Predicted time to the first token or the answer.
     pub predicted_wait: Duration,
-    /// Latency objective of its route.
+    /// Latency objective of the route.
     pub objective: Duration,
     /// Time until the call has to be answered.
     pub time_left: Duration,
@@ -36,11 +37,14 @@
     pub is_last: bool,
 }
 
-/// Time until the first token or answer after which the attempt is given up.
+/// Time without a first token or answer after which the attempt is given up.
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::{attempt_timeout::{Attempt, first_token_timeout}, stream_timeout::StreamSource};
+/// use medlarlug_core::gateway::{
+///     attempt_timeout::{Attempt, first_token_timeout},
+///     stream_timeout::StreamSource,
+/// };
 ///
 /// let second = Duration::from_secs(1);
 /// let attempt = Attempt {
--- a/crates/medlarlug-core/src/gateway/availability.rs
+++ b/crates/medlarlug-core/src/gateway/availability.rs
@@ -1,11 +1,12 @@
-//! What upstreams say in their answers about whether they want requests: that they are leaving, or
-//! that they want none for some time.
+//! What upstreams say in their answers about whether they accept requests: that they are leaving,
+//! or that they want no requests for some time (a backoff).
 //!
-//! What an upstream says holds for its incarnation, not for its id or address. Leaving is final: no
-//! later announcement or answer of the same incarnation takes it back. A rest is ended by its time or by
-//! a younger incarnation, not by answers to requests that went out before it; a longer one replaces a
-//! shorter one. Nothing is sent to an upstream that rests, not even to see whether it is back sooner: it
-//! has said when it is, and a request that it turns away costs its caller the way there.
+//! A statement holds for the upstream's incarnation, not for its id or address. Leaving is final:
+//! no later announcement or answer of the same incarnation takes it back. A backoff ends when its
+//! time is up or with a younger incarnation, not by an answer to a request that was sent before it;
+//! a longer backoff replaces a shorter one. Nothing is sent to an upstream during its backoff, not
+//! even a probe: the upstream has said when it accepts requests again, and a refused request costs
+//! its caller a round trip.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -13,14 +14,15 @@
 
 use crate::{gateway::upstreams::Birth, ids::UpstreamId, time::Time};
 
-/// Longest rest that is granted; who asks for more is asked again after a day.
+/// Longest backoff that is granted. An upstream that asks for more gets a request after a day.
 const MAX_BACKOFF: Duration = Duration::from_secs(24 * 3_600);
-/// Part of its rest by which instances return to an upstream at different times, so that they don't return
-/// together.
+/// Share of a backoff over which instances spread their return to an upstream, so that they don't
+/// return together.
 const JITTER_SHARE: f64 = 0.2;
-/// Longest time by which they do.
+/// Upper bound of that spread.
 const MAX_JITTER: Duration = Duration::from_secs(1);
-/// Time for which it is remembered that an incarnation was leaving; it is gone long before.
+/// Time for which it is remembered that an incarnation was leaving; the upstream is gone long
+/// before.
 const LEAVING_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
 /// Time for which an upstream wants no requests, at most [a day](MAX_BACKOFF).
@@ -35,9 +37,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Backoff(Duration);
 
-/// A text that holds no time to rest.
+/// Returned for a text that is not a non-negative number of seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("not a number of seconds from zero on")]
+#[error("expected a non-negative number of seconds")]
 pub struct BackoffError;
 
 impl FromStr for Backoff {
@@ -60,28 +62,28 @@
 }
 
 impl Backoff {
-    /// When the rest ends that was asked for at `now`; `jitter` lies between 0 and 1 and differs from
-    /// instance to instance.
+    /// When a backoff that was requested at `now` ends. `jitter` lies between 0 and 1 and differs
+    /// between instances.
     fn end(self, now: Time, jitter: f64) -> Time {
         now + self.0 + self.0.mul_f64(JITTER_SHARE).min(MAX_JITTER).mul_f64(jitter)
     }
 }
 
-/// Whether an upstream wants requests.
+/// Whether an upstream accepts requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Availability {
-    /// It has said nothing else.
+    /// It has not said otherwise.
     Available,
-    /// It wants none for some time.
+    /// It wants no requests for some time.
     BackingOff {
         /// Time until this instance sends requests again.
         remaining: Duration,
     },
-    /// It wants none any more.
+    /// It wants no requests any more.
     Leaving,
 }
 
-/// The state of one incarnation, as it has told this instance.
+/// The state of one incarnation, as this instance received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     BackingOff { until: Time },
@@ -89,7 +91,7 @@
 }
 
 impl State {
-    /// The same after the upstream has asked for a rest.
+    /// The state after another backoff until `until`.
     fn extend_backoff(self, until: Time) -> State {
         match self {
             State::BackingOff { until: before } => State::BackingOff { until: until.max(before) },
@@ -112,7 +114,7 @@
     state: State,
 }
 
-/// What upstreams have told this instance, sorted by id.
+/// What upstreams have said to this instance, sorted by id.
 ///
 /// ```
 /// use medlarlug_core::{
@@ -131,7 +133,8 @@
 }
 
 impl AvailabilityTracker {
-    /// An incarnation has asked for a rest; returns for how long it gets one, if that is news.
+    /// Records that an incarnation asked for a backoff. Returns the time until its end if that is
+    /// later than before.
     pub fn record_backoff(
         &mut self,
         now: Time,
@@ -155,7 +158,7 @@
         }
     }
 
-    /// An incarnation has said that it is leaving; returns whether that is news.
+    /// Records that an incarnation is leaving. Returns whether that was not known before.
     pub fn record_leaving(&mut self, now: Time, id: &UpstreamId, birth: Birth) -> bool {
         let before = self.of(now, id, birth);
         let leaving = State::Leaving { since: now };
@@ -163,7 +166,7 @@
         before != Availability::Leaving
     }
 
-    /// Whether an incarnation wants requests.
+    /// Whether an incarnation accepts requests.
     pub fn of(&self, now: Time, id: &UpstreamId, birth: Birth) -> Availability {
         let record = self.index_of(id).ok().map(|at| &self.records[at]);
         match record.filter(|it| it.birth >= birth && !it.state.is_expired(now)) {
@@ -175,8 +178,8 @@
         }
     }
 
-    /// Notes what an incarnation has said: `first`, or `next` after what it said before. What an
-    /// older incarnation says late is void.
+    /// Stores the state of an incarnation: `first`, or `next` of its previous state if there is
+    /// one. A late statement of an older incarnation is ignored.
     fn record(
         &mut self,
         now: Time,
--- a/crates/medlarlug-core/src/gateway/cold.rs
+++ b/crates/medlarlug-core/src/gateway/cold.rs
@@ -1,10 +1,10 @@
-//! Requests to upstreams that have just started and crash when they get many.
+//! Requests to cold upstreams: they have just started and crash under many requests.
 //!
-//! The limit holds for all entry instances together. Instances that see the same peers agree on
-//! one of them that sends to a cold upstream, by the highest rank of the pair of upstream and
-//! instance. It sends only while its [`keeper_view`](super::keeper_view) of the others is settled: behind a cut,
-//! after a freeze or a start, and while keepers are down, a cold upstream gets nothing and becomes
-//! warm by itself.
+//! The limit holds for all entry instances together. Instances that see the same peers agree on a
+//! single sender for each cold upstream, the instance with the highest rendezvous rank for it. It
+//! sends only while its [`keeper_view`](super::keeper_view) is settled. Behind a network partition,
+//! after a freeze or a start, and while keepers are down, a cold upstream gets no requests and
+//! becomes warm by itself.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
     time::Time,
 };
 
-/// Part of a cold upstream's rate that its sender uses.
+/// Share of a cold upstream's rate that its sender uses.
 const USED_RATE_SHARE: f64 = 0.8;
 
-/// The live entry instance that sends to a cold upstream.
+/// The live entry instance that sends to a cold upstream; `None` if there are no instances.
 ///
 /// ```
 /// use medlarlug_core::gateway::cold::designated_sender;
@@ -33,31 +33,34 @@
     instances.iter().max_by_key(|instance| rendezvous_rank(instance.as_str(), upstream.as_str()))
 }
 
-/// Longest way of an announcement that its age does not show: from another region, with a lost
-/// packet.
+/// Longest delay of an announcement that its age does not include: it comes from another region,
+/// and a packet is lost.
 const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(300);
 
-/// Age of an announcement up to which its upstream is taken for the one that made it: three missed
-/// in a row. After that, it may have started anew where it can't announce itself.
+/// Age of an announcement up to which its upstream is assumed to be the same incarnation: three
+/// missed announcements in a row. After that, the upstream may have restarted where its
+/// announcements don't get through.
 pub const ANNOUNCEMENT_LIFETIME: Duration = Duration::from_millis(4_500);
 
-/// The same for an announcement from before this process started, which has seen no connection to the
-/// upstream break: the next one is made 1.2 s later, and keepers pass it on within a second.
+/// The same age for an announcement from before this process started, since this process has not
+/// seen whether a connection to the upstream broke. The next announcement is made 1.2 s later, and
+/// keepers forward it within a second.
 const INHERITED_ANNOUNCEMENT_LIFETIME: Duration = Duration::from_millis(2_500);
 
-/// What may have turned upstreams cold without their having told so yet: the end of an evacuation,
-/// a crash that is seen as a connection that does not open, a start behind a cut, or anything while
-/// this process was stalled.
+/// Decides whether an upstream counts as cold. An upstream may have become cold before its
+/// announcement says so: by the end of an evacuation, by a crash that shows as a connection that
+/// does not open, by a restart behind a network partition, or by anything that happened while this
+/// process was stalled.
 ///
-/// Such an upstream counts as cold until it announces itself anew.
+/// Such an upstream counts as cold until its next announcement.
 #[derive(Debug, Clone, Default)]
 pub struct ColdDetector {
-    /// When the evacuation of a zone was withdrawn last, sorted by zone.
+    /// When the evacuation of each zone was last withdrawn, sorted by zone.
     restored: Vec<(ZoneId, Time)>,
 }
 
 impl ColdDetector {
-    /// The evacuation of a zone was withdrawn at `when`.
+    /// Records that the evacuation of a zone was withdrawn at `when`.
     pub fn zone_restored(&mut self, when: Time, zone: &ZoneId) {
         match self.restored.binary_search_by(|it| it.0.cmp(zone)) {
             Ok(at) => self.restored[at].1 = self.restored[at].1.max(when),
@@ -65,13 +68,14 @@
         }
     }
 
-    /// The zones that were evacuated, and when that was withdrawn last.
+    /// The zones whose evacuation was withdrawn, and when that last happened.
     pub fn restored_zones(&self) -> &[(ZoneId, Time)] {
         &self.restored
     }
 
-    /// Whether the upstream counts as cold: it has said so, or may have turned cold since it was
-    /// last heard. `process` is when this process started, and when it last resumed after a stall.
+    /// Whether the upstream counts as cold: its announcement says so, or it may have become cold
+    /// since the announcement. `process` tells when this process started and last resumed after a
+    /// stall.
     pub fn is_cold(
         &self,
         now: Time,
@@ -96,28 +100,29 @@
     }
 }
 
-/// Moments of a process before which it has seen nothing itself.
+/// Times of this process before which it has observed nothing itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProcessTimes {
-    /// When it started.
+    /// When the process started.
     pub started: Time,
-    /// When it last resumed after a stall.
+    /// When the process last resumed after a stall.
     pub resumed: Option<Time>,
 }
 
-/// What an instance has seen of an upstream in its own calls.
+/// What an instance has observed of an upstream in its own calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Observations {
-    /// When it last answered a call, while it did not count as cold.
+    /// When the upstream last answered a call while it did not count as cold.
     pub last_answer: Option<Time>,
     /// When a connection to it last broke.
     pub last_broken: Option<Time>,
-    /// When a connection to it last failed to open, or all of them broke.
+    /// When a connection to it last failed to open, or all its connections broke.
     pub last_unreachable: Option<Time>,
 }
 
 impl Observations {
-    /// Whether it has gone on answering since, and no connection has broken.
+    /// Whether the upstream has answered calls after `since`, the last time recently, and no
+    /// connection to it has broken after `since`.
     fn is_still_serving(self, now: Time, since: Time) -> bool {
         let is_answering =
             self.last_answer.is_some_and(|it| it > since && now - it <= ANNOUNCEMENT_LIFETIME);
@@ -125,18 +130,19 @@
     }
 }
 
-/// The evacuated zones, sorted, and how often they have changed.
+/// The evacuated zones, and how often they have changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Evacuations<'a> {
-    /// Number of changes.
+    /// Number of changes so far.
     pub round: u64,
-    /// The zones.
+    /// The evacuated zones, sorted.
     pub zones: &'a [ZoneId],
 }
 
 impl Evacuations<'_> {
-    /// The zones that were restored between an earlier state and this one; `None` if there were
-    /// more changes than can be seen, so that any zone may have been evacuated and restored.
+    /// The zones whose evacuation was withdrawn between an earlier state and this one. `None` if
+    /// there were more changes than the two states show, so that any zone may have been evacuated
+    /// and restored.
     pub fn restored_since(self, before: Evacuations) -> Option<Vec<ZoneId>> {
         let lacks = |zones: &[ZoneId], zone: &ZoneId| zones.binary_search(zone).is_err();
         let restored = before.zones.iter().filter(|zone| lacks(self.zones, zone));
@@ -147,21 +153,21 @@
     }
 }
 
-/// When this instance may send to the cold upstreams that it is the sender for.
+/// Paces the requests to the cold upstreams that this instance is the sender for.
 #[derive(Debug, Clone, Default)]
 pub struct ColdSendPacer {
-    /// The next moment at which a request may go out, sorted by upstream.
+    /// The earliest time of the next request, sorted by upstream.
     next: Vec<(UpstreamId, Time)>,
 }
 
 impl ColdSendPacer {
-    /// Whether a request may go out now to an upstream that bears `rate` requests a second.
+    /// Whether a request may be sent now to an upstream that tolerates `rate` requests per second.
     pub fn may_send(&self, now: Time, upstream: &UpstreamId, rate: f64) -> bool {
         let at = self.next.binary_search_by(|it| it.0.cmp(upstream));
         rate > 0.0 && at.map_or(true, |at| self.next[at].1 <= now)
     }
 
-    /// Counts a request that goes out now.
+    /// Counts a request that is sent now.
     pub fn record_send(&mut self, now: Time, upstream: &UpstreamId, rate: f64) {
         let interval = Duration::from_secs_f64(1.0 / (rate * USED_RATE_SHARE).max(0.01));
         self.next.retain(|it| it.1 > now);
--- a/crates/medlarlug-core/src/gateway/contacts.rs
+++ b/crates/medlarlug-core/src/gateway/contacts.rs
@@ -1,8 +1,9 @@
-//! The instances of the system, learned from a few contact addresses.
+//! The instances of the system, discovered from a few contact addresses.
 //!
-//! A process is told the addresses of some keepers. It introduces itself to these, learns of the
-//! other keepers from them, and keeps trying all it has heard of. An instance that was not heard
-//! of for a while is forgotten, unless it is one of the configured contacts.
+//! A process is configured with the addresses of some keepers. It introduces itself to them, learns
+//! about the other keepers from them, and keeps trying to reach all keepers that it knows. An
+//! instance that was not heard of for a while is forgotten, unless it is one of the configured
+//! contacts.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,77 +15,82 @@
     time::Time,
 };
 
-/// What an instance does.
+/// The kind of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum InstanceKind {
-    /// Takes calls in.
+    /// Receives calls.
     Entry,
-    /// Keeps the replicated state.
+    /// Holds the replicated state.
     Keeper,
 }
 
-/// How an instance introduces itself.
+/// What an instance says about itself when it connects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceInfo {
-    /// Its id.
+    /// The id of the instance, which it keeps over restarts.
     pub id: InstanceId,
-    /// What it does.
-    pub part: InstanceKind,
-    /// Its availability zone.
+    /// Whether it is an entry instance or a keeper.
+    #[serde(rename = "part")]
+    pub kind: InstanceKind,
+    /// The availability zone that it runs in.
     pub zone: ZoneId,
-    /// Its region.
+    /// The region that it runs in.
     pub region: RegionId,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub internal: SocketAddr,
-    /// Where callers reach it; entry instances only.
-    pub front: Option<SocketAddr>,
+    /// Address for callers; entry instances only.
+    #[serde(rename = "front")]
+    pub public: Option<SocketAddr>,
 }
 
-/// Work that an entry instance could take over from other regions, for one service.
+/// Predicted wait for one service at an entry instance, which shows whether it could serve calls of
+/// other regions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceWait {
-    /// The service.
+    /// The service that the prediction is for.
     pub service: ServiceName,
-    /// Predicted wait of a call of usual size, in milliseconds; `None` if no upstream is usable.
+    /// Predicted wait of a call of reference size, in milliseconds; `None` if no upstream is
+    /// usable.
     pub wait_ms: Option<u32>,
 }
 
-/// Predicted wait of a call of usual size in a region.
+/// Predicted wait of a call of reference size in a region.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RegionWait {
-    /// The region.
+    /// The region that serves the call.
     pub region: RegionId,
-    /// The service.
+    /// The service that the prediction is for.
     pub service: ServiceName,
-    /// The wait, in milliseconds.
+    /// Median over the live entry instances of the region, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// What an entry instance tells of its state.
+/// State that an entry instance reports.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Whether it takes new callers.
+    /// Whether it accepts new callers.
     pub ready: bool,
-    /// What it could take over, sorted by service.
-    pub spare: Vec<ServiceWait>,
+    /// Predicted waits for calls of other regions, sorted by service.
+    #[serde(rename = "spare")]
+    pub service_waits: Vec<ServiceWait>,
 }
 
 /// A known instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Contact {
-    /// How it introduced itself.
+    /// What the instance says about itself.
     pub info: InstanceInfo,
-    /// Its newest status.
+    /// Its newest reported status.
     pub status: Status,
-    /// When it was last heard, by this process or by the one that told of it.
+    /// When it was last heard, by this process or by the one that forwarded the heartbeat.
     pub last_seen: Time,
     /// Number of its last change, see [`Contacts::changed_since`].
     change: u64,
 }
 
-/// Silence after which an instance is no longer taken to be alive.
+/// Time without a heartbeat after which an instance no longer counts as live.
 pub const LIVENESS_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Silence after which a keeper forgets an instance.
+/// Time without a heartbeat after which a keeper forgets an instance.
 pub const FORGET_AFTER: Duration = Duration::from_secs(30);
 
 /// The known instances, sorted by id.
@@ -92,13 +98,13 @@
 pub struct Contacts {
     known: Vec<Contact>,
     change: u64,
-    /// The most entry instances that were known at once.
+    /// Largest number of entry instances that were known at once.
     peak_entries: usize,
 }
 
 impl Contacts {
-    /// Takes in that an instance was heard `age` before `now`. Returns whether it is new or has
-    /// changed.
+    /// Handles a message of an instance that was heard `age` before `now`. Returns whether the
+    /// instance is new or has changed.
     pub fn update(
         &mut self,
         now: Time,
@@ -130,14 +136,14 @@
                 let status = status.unwrap_or_default();
                 self.change += 1;
                 self.known.insert(at, Contact { info, status, last_seen, change: self.change });
-                let entries = self.known.iter().filter(|it| it.info.part == InstanceKind::Entry);
+                let entries = self.known.iter().filter(|it| it.info.kind == InstanceKind::Entry);
                 self.peak_entries = self.peak_entries.max(entries.count());
                 true
             }
         }
     }
 
-    /// Takes in a sign of life of a known instance.
+    /// Handles a heartbeat of a known instance that is `age` old.
     pub fn renew(&mut self, now: Time, id: &InstanceId, age: Duration) {
         if let Ok(at) = self.index_of(id) {
             let last_seen = now.saturating_sub(age);
@@ -145,7 +151,7 @@
         }
     }
 
-    /// Takes in a sign of life of the instance at an internal address.
+    /// Handles a heartbeat of the instance at an internal address.
     pub fn renew_at(&mut self, now: Time, address: SocketAddr) {
         if let Some(contact) = self.known.iter_mut().find(|it| it.info.internal == address) {
             contact.last_seen = now;
@@ -162,15 +168,15 @@
         self.known.iter().filter(move |contact| contact.change > change)
     }
 
-    /// Predicted waits in milliseconds by region and service, sorted: the median of what the live
-    /// entry instances of the region tell.
+    /// Predicted waits by region and service, sorted: the median of what the live, ready entry
+    /// instances of the region report.
     pub fn waits(&self, now: Time) -> Vec<RegionWait> {
         let mut all: Vec<(RegionId, ServiceName, u32)> = self
             .live_entries(now)
             .filter(|contact| contact.status.ready)
             .flat_map(|contact| {
                 let region = &contact.info.region;
-                let waits = contact.status.spare.iter();
+                let waits = contact.status.service_waits.iter();
                 waits.filter_map(|it| Some((region.clone(), it.service.clone(), it.wait_ms?)))
             })
             .collect();
@@ -190,7 +196,7 @@
         }
     }
 
-    /// Forgets instances that were silent for `limit`.
+    /// Forgets instances without a heartbeat for longer than `limit`.
     pub fn forget(&mut self, now: Time, limit: Duration) {
         self.known.retain(|contact| now - contact.last_seen <= limit);
     }
@@ -200,7 +206,7 @@
         &self.known
     }
 
-    /// The instance with `id`.
+    /// The instance with `id`, live or not.
     pub fn get(&self, id: &InstanceId) -> Option<&Contact> {
         self.index_of(id).ok().map(|at| &self.known[at])
     }
@@ -212,10 +218,10 @@
 
     /// Entry instances that were heard within [`LIVENESS_TIMEOUT`].
     pub fn live_entries(&self, now: Time) -> impl Iterator<Item = &Contact> {
-        self.live(now).filter(|contact| contact.info.part == InstanceKind::Entry)
+        self.live(now).filter(|contact| contact.info.kind == InstanceKind::Entry)
     }
 
-    /// The most entry instances that were known at once, forgotten ones included.
+    /// Largest number of entry instances that were known at once, forgotten ones included.
     pub fn peak_entries(&self) -> usize {
         self.peak_entries
     }
@@ -225,8 +231,8 @@
     }
 }
 
-/// The addresses of entry instances to name to a caller in `zone` of `region`, near ones first:
-/// those of its zone, else of its region, else of a region in `homes`, else any.
+/// The addresses of ready entry instances for a caller in `zone` of `region`, nearest first: those
+/// of its zone, else of its region, else of a region in `homes`, else any.
 pub fn entry_addresses(
     contacts: &Contacts,
     now: Time,
@@ -240,7 +246,7 @@
         .map(|contact| &contact.info)
         .collect();
     let addresses = |filter: &dyn Fn(&InstanceInfo) -> bool| -> Vec<SocketAddr> {
-        ready.iter().filter(|info| filter(info)).filter_map(|info| info.front).collect()
+        ready.iter().filter(|info| filter(info)).filter_map(|info| info.public).collect()
     };
     let in_zone = addresses(&|info| Some(&info.zone) == zone);
     if in_zone.len() >= MIN_ZONE_ENTRIES {
@@ -257,5 +263,5 @@
     addresses(&|_| true)
 }
 
-/// Entry instances that a zone has at least if its callers are kept within it.
+/// Minimum number of ready entry instances in a zone for its callers to be kept within it.
 const MIN_ZONE_ENTRIES: usize = 2;
--- a/crates/medlarlug-core/src/gateway/handover.rs
+++ b/crates/medlarlug-core/src/gateway/handover.rs
@@ -1,8 +1,8 @@
-//! A call that one region hands over to another.
+//! A call that one region forwards to another.
 //!
-//! The two entry instances may hold different tables. Whoever has the newer one decides how the
-//! call is routed, so that neither goes back behind a table that it has served by. The attempts
-//! that the first instance has left bind in either case.
+//! The two entry instances may hold different route tables. The instance with the newer table
+//! decides how the call is routed, so that neither routes by a table older than one that it has
+//! already used. The remaining attempts of the first instance bind the second in either case.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,9 +11,9 @@
 /// How the first instance routed the call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handover {
-    /// The table that the route is from.
+    /// Version of the table that the route is from.
     pub version: TableVersion,
-    /// The route, with the attempts that are left.
+    /// The route, with the number of attempts that remain.
     pub route: Route,
     /// The service that was picked by the route's weights.
     pub service: ServiceName,
@@ -23,8 +23,8 @@
 
 impl Handover {
     /// The route and service by which an instance with the table `own` serves the call; `None` if
-    /// its newer table has no route for it. `point`, between 0 and 1, picks among the services of
-    /// a route that no longer leads to the one that was picked.
+    /// its newer table has no route for it. `point`, between 0 and 1, picks among the services of a
+    /// route that no longer targets the service that was picked before.
     pub fn resolve(
         self,
         own: &RouteTable,
@@ -46,30 +46,32 @@
     }
 }
 
-/// What an instance did with a call that another one handed to it.
+/// What an instance did with a call that another instance forwarded to it.
 ///
-/// Every answer to such a call carries it, whatever kind of answer it is. An answer without one, or no answer,
-/// may stand for everything that was left; see [`Attempts::record_missing_report`].
+/// Every answer to such a call carries a report, whatever its status. An answer without a report,
+/// or no answer, may mean that all remaining attempts were used; see
+/// [`Attempts::record_missing_report`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverReport {
-    /// Upstreams that began to run the call, or may have.
+    /// Upstreams that started to run the call, or may have.
     pub runs: u32,
     /// Requests that reached an upstream, refused ones included.
     pub arrivals: u32,
-    /// Whether the instance promises that the call has not run, and never will by this hand-over.
+    /// Whether the instance guarantees that the call has not run, and will not run because of this
+    /// forwarding.
     pub is_refused: bool,
 }
 
 impl HandoverReport {
-    /// A call that reached no upstream and may be tried elsewhere.
+    /// The call reached no upstream and may be tried elsewhere.
     pub const REFUSED: HandoverReport = HandoverReport { runs: 0, arrivals: 0, is_refused: true };
-    /// A call that the instance rejected by itself.
+    /// The instance itself rejected the call.
     pub const REJECTED: HandoverReport =
         HandoverReport { is_refused: false, ..HandoverReport::REFUSED };
 }
 
-/// The attempts of a call: how many upstreams may run it and how many requests for it may reach one, and
-/// how many have, or may have.
+/// The attempts of a call: how many upstreams may run it, how many requests for it may reach one,
+/// and how many have, or may have.
 ///
 /// ```
 /// use medlarlug_core::gateway::handover::{Attempts, HandoverReport};
@@ -90,31 +92,31 @@
 }
 
 impl Attempts {
-    /// A call that `max_runs` upstreams may run, with `max_arrivals` requests that reach one; one
-    /// of each at least.
+    /// A call that `max_runs` upstreams may run, with at most `max_arrivals` requests that reach
+    /// one; both are at least one.
     pub fn new(max_runs: u32, max_arrivals: u32) -> Attempts {
         let (max_runs, max_arrivals) = (max_runs.max(1), max_arrivals.max(1));
         Attempts { max_runs, runs: 0, max_arrivals, arrivals: 0 }
     }
 
-    /// An upstream has begun to run the call, or may have.
+    /// Records that an upstream has started to run the call, or may have.
     pub fn record_run(&mut self) {
         self.record_report(HandoverReport { runs: 1, arrivals: 1, is_refused: false });
     }
 
-    /// An upstream was reached and has not run the call.
+    /// Records that a request reached an upstream, which has not run the call.
     pub fn record_refusal(&mut self) {
         self.record_report(HandoverReport { runs: 0, arrivals: 1, is_refused: true });
     }
 
-    /// Another instance reports what it did with the call.
+    /// Adds what another instance reports that it did with the call.
     pub fn record_report(&mut self, report: HandoverReport) {
         self.runs = self.runs.saturating_add(report.runs);
         self.arrivals = self.arrivals.saturating_add(report.arrivals);
     }
 
-    /// Another instance had the call, and what it did with it is not known: it may have used all that was
-    /// left.
+    /// Records that another instance had the call and that its report is missing: it may have used
+    /// all remaining attempts.
     pub fn record_missing_report(&mut self) {
         self.runs = self.runs.max(self.max_runs);
         self.arrivals = self.arrivals.max(self.max_arrivals);
@@ -130,7 +132,7 @@
         self.arrivals
     }
 
-    /// Upstreams that may still run it.
+    /// Upstreams that may still run the call.
     pub fn runs_left(self) -> u32 {
         self.max_runs.saturating_sub(self.runs)
     }
@@ -140,12 +142,12 @@
         self.max_arrivals.saturating_sub(self.arrivals)
     }
 
-    /// Whether another request may go out.
+    /// Whether another request may be sent.
     pub fn may_send(self) -> bool {
         self.runs_left() > 0 && self.arrivals_left() > 0
     }
 
-    /// What is told to the instance that handed the call over.
+    /// The report to the instance that forwarded the call.
     pub fn report(self, is_refused: bool) -> HandoverReport {
         HandoverReport { runs: self.runs, arrivals: self.arrivals, is_refused }
     }
--- a/crates/medlarlug-core/src/gateway/health.rs
+++ b/crates/medlarlug-core/src/gateway/health.rs
@@ -1,40 +1,40 @@
 //! What an entry instance learns about upstreams from its own calls.
 //!
-//! An upstream that refuses connections or goes silent is avoided for a while that doubles with
-//! each further failure. One that answers but fails a part of its calls is not avoided: its share
-//! of failures makes it look slower to [`placement`](super::placement), so that it is used last.
+//! An upstream that refuses calls or can't be reached is avoided for a time that doubles with each
+//! further failure. An upstream that answers but fails some of its calls is not avoided: its
+//! failure rate adds to its cost in [`placement`](super::placement), so that it is used last.
 
 use std::time::Duration;
 
 use crate::{gateway::cold::Observations, ids::UpstreamId, time::Time};
 
-/// First time for which an upstream is avoided that takes no more calls; places free up within a
-/// few steps of an engine.
+/// First time for which an upstream that refuses calls is avoided; slots become free within a few
+/// steps of an engine.
 const FIRST_REFUSAL_BACKOFF: Duration = Duration::from_millis(150);
-/// Longest time for which an upstream is avoided that takes no more calls.
+/// Longest time for which an upstream that refuses calls is avoided.
 const MAX_REFUSAL_BACKOFF: Duration = Duration::from_millis(1_200);
-/// First time for which a broken upstream is avoided; a restart takes seconds.
+/// First time for which an unreachable upstream is avoided; a restart takes seconds.
 const FIRST_FAILURE_BACKOFF: Duration = Duration::from_millis(500);
-/// Longest time for which a broken upstream is avoided.
+/// Longest time for which an unreachable upstream is avoided.
 const MAX_FAILURE_BACKOFF: Duration = Duration::from_secs(4);
-/// Weight of the newest call in the share of failed calls: a few failures in a row, as they happen
-/// everywhere, do not make an upstream look broken.
+/// Weight of the newest call in the failure rate. It is small because a few failures in a row
+/// happen at any upstream and don't mean that it is broken.
 const FAILURE_RATE_SMOOTHING: f64 = 0.06;
 
-/// How a call ended, as far as the health of its upstream is concerned.
+/// Outcome of a request, as far as the health of its upstream is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamOutcome {
-    /// A whole answer.
+    /// The answer was complete.
     Answered,
-    /// A whole answer of an upstream that counted as cold.
+    /// The answer was complete, and the upstream counted as cold.
     AnsweredCold,
-    /// The upstream answered with a failure of its own, or with what is no answer.
+    /// The upstream answered with a failure of its own, or with an invalid answer.
     Failed,
-    /// The connection ended before the answer was whole.
+    /// The connection ended before the answer was complete.
     Broken,
-    /// The upstream refused the call as not run: it is full, or says so.
+    /// The upstream refused the call without running it, for example because it is full.
     Refused,
-    /// No connection, or silence.
+    /// The connection could not be opened, or the upstream did not respond.
     Unreachable,
 }
 
@@ -54,7 +54,8 @@
 }
 
 impl Health {
-    /// Avoids the upstream for a time that doubles with each strike, unless it is avoided already.
+    /// Avoids the upstream for a time that doubles with each consecutive failure, unless it is
+    /// already avoided.
     fn back_off(&mut self, now: Time, first: Duration, max: Duration) -> Option<Duration> {
         if self.avoided_until.is_some_and(|until| now < until) {
             return None;
@@ -67,8 +68,8 @@
 }
 
 impl HealthTracker {
-    /// Takes in how a call ended. Returns how long the upstream is avoided from now on, if that
-    /// is news.
+    /// Records the outcome of a request. Returns how long the upstream is avoided from now on, if
+    /// that has changed.
     pub fn record(
         &mut self,
         now: Time,
@@ -103,20 +104,21 @@
         }
     }
 
-    /// Takes in that the upstream may have crashed at `when`. It is not avoided, since it may be back.
+    /// Records that the upstream may have crashed at `when`. It is not avoided, since it may be
+    /// back.
     pub fn record_crash(&mut self, when: Time, id: &UpstreamId) {
         let observations = &mut self.entry(id).observations;
         observations.last_unreachable = observations.last_unreachable.max(Some(when));
     }
 
-    /// Forgets what was learned about an upstream, which has a new incarnation.
+    /// Forgets the health of an upstream that has a new incarnation.
     pub fn forget(&mut self, id: &UpstreamId) {
         if let Ok(at) = self.index_of(id) {
             self.known.remove(at);
         }
     }
 
-    /// Whether the upstream is to be avoided.
+    /// Whether calls should avoid the upstream now.
     pub fn is_avoided(&self, now: Time, id: &UpstreamId) -> bool {
         let at = self.index_of(id);
         at.is_ok_and(|at| self.known[at].avoided_until.is_some_and(|until| now < until))
@@ -127,7 +129,7 @@
         self.index_of(id).map(|at| self.known[at].observations).unwrap_or_default()
     }
 
-    /// Share of the upstream's recent calls that failed, 0 to 1.
+    /// Share of the upstream's recent calls that failed, from 0 to 1.
     pub fn failure_rate(&self, id: &UpstreamId) -> f64 {
         self.index_of(id).map_or(0.0, |at| self.known[at].failure_rate)
     }
--- a/crates/medlarlug-core/src/gateway/keeper_view.rs
+++ b/crates/medlarlug-core/src/gateway/keeper_view.rs
@@ -1,31 +1,33 @@
-//! Whether an entry instance sees enough of the others to act on its part of a common limit.
+//! Whether an entry instance sees enough of the others to act on its share of a common limit.
 //!
-//! Entry instances hear of each other from keepers. Each wants links to all keepers that it knows,
-//! and takes signs of life of the others from [`KEEPER_SOURCES`] of them. One that hears all keepers but
-//! one shares a keeper with the sources of every other instance: whichever two instances act, each
-//! has heard of the other. Behind a cut, after a freeze and while keepers are down the view is not
-//! complete, and an instance leaves its part to others.
+//! Entry instances learn about each other from keepers. Each opens links to all keepers that it
+//! knows, and receives the heartbeats of the other instances from [`KEEPER_SOURCES`] of them. An
+//! instance that hears all keepers but one shares a keeper with the sources of every other
+//! instance, so of any two instances that act, each has heard of the other. Behind a network
+//! partition, after a freeze and while keepers are down, the view is not complete, and an instance
+//! leaves its share to others.
 
 use std::{net::SocketAddr, time::Duration};
 
 use crate::{gateway::stall::StallDetector, time::Time};
 
-/// Keepers that tell an instance the signs of life of the others.
+/// Number of keepers that send an instance the heartbeats of the others.
 pub const KEEPER_SOURCES: usize = 2;
-/// Age of the last word of a keeper up to which it counts as heard: as long as a link may be silent.
+/// Age of the last message of a keeper up to which it counts as heard: the idle timeout of a link.
 pub const KEEPER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time for which a view has to be complete before an instance acts alone on it: until all others
-/// have heard of it, or count it as silent, see [`LIVENESS_TIMEOUT`](super::contacts::LIVENESS_TIMEOUT).
+/// have heard of the instance, or no longer count it as live, see
+/// [`LIVENESS_TIMEOUT`](super::contacts::LIVENESS_TIMEOUT).
 const SETTLING_TIME: Duration = Duration::from_millis(2_500);
 
-/// Which keepers an instance hears.
+/// The keepers that an instance hears.
 #[derive(Debug, Clone)]
 pub struct KeeperView {
     /// When each keeper was last heard, sorted by address.
     last_heard: Vec<(SocketAddr, Time)>,
-    /// Since when the view is complete.
+    /// Time since which the view is complete.
     complete_since: Option<Time>,
-    /// Stalls of this process, during which it hears nothing.
+    /// Stalls of this process, during which it hears no keeper.
     stall: StallDetector,
     was_complete: bool,
 }
@@ -38,7 +40,7 @@
 }
 
 impl KeeperView {
-    /// Takes in that a keeper was heard.
+    /// Records a message of a keeper.
     pub fn record_keeper(&mut self, now: Time, keeper: SocketAddr) {
         match self.last_heard.binary_search_by(|it| it.0.cmp(&keeper)) {
             Ok(at) => self.last_heard[at].1 = now,
@@ -46,8 +48,8 @@
         }
     }
 
-    /// Takes in which keepers there are, sorted. Has to be called more often than [`KEEPER_TIMEOUT`].
-    /// Returns the length of the stall that ends now, if there was one.
+    /// Updates the view with the known keepers, which are sorted. Has to be called more often than
+    /// every [`KEEPER_TIMEOUT`]. Returns the length of the stall that ends now, if there was one.
     pub fn update(&mut self, now: Time, keepers: &[SocketAddr]) -> Option<Duration> {
         self.last_heard.retain(|it| keepers.binary_search(&it.0).is_ok());
         let heard = self.last_heard.iter().filter(|it| now - it.1 <= KEEPER_TIMEOUT).count();
@@ -61,26 +63,26 @@
         stalled
     }
 
-    /// Whether the instance may act alone on what it sees: its view is complete, and has been for
-    /// long enough that no other one acts on an older view.
+    /// Whether the instance may act alone on its view: it is complete, and has been for long enough
+    /// that no other instance acts on an older view.
     pub fn is_settled(&self, now: Time) -> bool {
         let is_settled = self.complete_since.is_some_and(|since| now - since >= SETTLING_TIME);
         is_settled && !self.stall.is_overdue(now)
     }
 
-    /// When the process last resumed after a stall of [`KEEPER_TIMEOUT`] or more. What it knew then may be
-    /// out of date, though no age shows it.
+    /// When the process last resumed after a stall of [`KEEPER_TIMEOUT`] or more. What it knew then
+    /// may be out of date, although no age shows that.
     pub fn last_resumed(&self, now: Time) -> Option<Time> {
         self.stall.last_resumed(now)
     }
 
-    /// Whether the view was complete at any time.
+    /// Whether the view has been complete at any time.
     pub fn was_complete(&self) -> bool {
         self.was_complete
     }
 }
 
-/// Keepers that have to be heard so that any two instances share one.
+/// Number of keepers that have to be heard so that any two instances share one.
 fn required_keepers(keepers: usize) -> usize {
     match keepers {
         0 => 1,
--- a/crates/medlarlug-core/src/gateway/load_exchange.rs
+++ b/crates/medlarlug-core/src/gateway/load_exchange.rs
@@ -1,25 +1,29 @@
-//! Who tells whom of the load at upstreams.
+//! Which entry instances exchange their load at upstreams.
 //!
-//! Entry instances of a region place calls on the same upstreams, so each has to know what the
-//! others have under way. In a small region each tells all others. That grows with the square of the
-//! instances, so in a larger one each availability zone has a few *collectors*: the instances of the
-//! zone report to all of these, the first one sends the sum over the zone to those of the other zones,
-//! and each tells those that ask it what all others have under way. Instances ask different collectors
-//! first, and the others only while theirs is silent, so news are missing for [`COLLECTOR_TIMEOUT`] after a
-//! collector has died, and not until it is known to be dead.
+//! Entry instances of a region place calls on the same upstreams, so each has to know the in-flight
+//! load of the others. In a small region each instance reports to all others. The number of
+//! messages grows with the square of the instances, so in a larger region each availability zone
+//! has a few *collectors*. The instances of a zone report to all of its collectors, the first
+//! collector sends the aggregate of the zone to the collectors of the other zones, and each
+//! collector sends the aggregate over all other instances to those that ask for it. Instances ask
+//! different collectors first, and the others only while theirs does not answer, so updates are
+//! missing for [`COLLECTOR_TIMEOUT`] after a collector has died rather than until it is known to be
+//! dead.
 //!
-//! Everything here follows from the live entry instances that an instance knows. Two that disagree
-//! about these report to different collectors for a moment; the sums lack a part then.
+//! The plan depends only on the live entry instances that an instance knows. Two instances that
+//! disagree about these briefly report to different collectors, and the aggregates are incomplete
+//! meanwhile.
 
 use std::time::Duration;
 
 use crate::{gateway::placement::rendezvous_rank, ids::InstanceId, ids::ZoneId};
 
-/// Entry instances of a region up to which each tells all others.
+/// Maximum number of entry instances in a region in which each reports to all others.
 const MAX_DIRECT_INSTANCES: usize = 8;
-/// Collectors of a zone: each tells a quarter of its instances.
+/// Collectors of a zone: each serves a quarter of its instances.
 const COLLECTORS_PER_ZONE: usize = 4;
-/// Silence of a collector after which the next one is asked as well: two of its whole sums.
+/// Time without an aggregate from a collector after which the next one is asked as well: two
+/// intervals between full aggregates.
 pub const COLLECTOR_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A live entry instance of the own region.
@@ -27,37 +31,37 @@
 pub struct Member {
     /// Its id.
     pub id: InstanceId,
-    /// Its availability zone.
+    /// The availability zone that it runs in.
     pub zone: ZoneId,
 }
 
-/// What an instance does in the exchange.
+/// The role of an instance in the exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Tells all others of the region itself, and hears all of them.
+    /// Reports to all others of the region, and receives the reports of all of them.
     Direct,
-    /// Sums up the reports of its zone; `place` is 0 for the first collector.
+    /// Aggregates the reports of its zone; the first collector of a zone has `place` 0.
     Collector {
-        /// Its place among the collectors of the zone.
+        /// Index among the collectors of the zone.
         place: usize,
     },
     /// Reports to the collectors of its zone.
     Reporter,
 }
 
-/// The part of one instance in the exchange.
+/// What one instance does in the exchange.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExchangePlan {
-    /// What it does.
+    /// The role that follows from the region's size and the instance's rank in its zone.
     pub role: Role,
-    /// To whom it reports its own load; a reporter asks the first one for sums.
+    /// Instances that receive its own load report; a reporter asks the first one for aggregates.
     pub report_to: Vec<InstanceId>,
-    /// Collectors of other zones, to which a collector sends the sum over its zone.
+    /// Collectors of other zones, which receive the aggregate of a collector's zone.
     pub aggregate_to: Vec<InstanceId>,
 }
 
 impl ExchangePlan {
-    /// The part of `own` among the live entry instances of its region, itself included.
+    /// The plan of `own` among the live entry instances of its region, itself included.
     ///
     /// ```
     /// use medlarlug_core::gateway::load_exchange::{Member, ExchangePlan, Role};
--- a/crates/medlarlug-core/src/gateway/load_shedding.rs
+++ b/crates/medlarlug-core/src/gateway/load_shedding.rs
@@ -1,22 +1,23 @@
-//! When a call is refused, and when its caller is told to come back.
+//! Decides whether a call is refused, and when its caller should retry.
 //!
-//! This answers overload and the loss of upstreams. A call is refused as soon as it is known that
-//! no upstream can answer it within the time that its caller has left, so that the caller can turn
-//! elsewhere, and so that upstreams do not work on answers that nobody waits for. The time to come
-//! back is that in which the excess drains, spread at random so that callers do not return
-//! together, and at most a third of what the caller has left, since later it would give up.
+//! This handles overload and the loss of upstreams. A call is refused as soon as it is known that
+//! no upstream can answer it within the caller's remaining time. The caller can then turn
+//! elsewhere, and upstreams do not work on answers that nobody waits for. The retry delay is the
+//! time in which the excess drains, with random jitter so that callers do not return together. It
+//! is at most a third of the caller's remaining time, since a caller gives up rather than wait
+//! longer.
 
 use std::time::Duration;
 
-/// What is known about a call when it is about to be placed.
+/// What is known about a call before it is placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallForecast {
     /// Shortest predicted wait at any permitted upstream; `None` if there is none.
     pub predicted_wait: Option<Duration>,
-    /// Time that the caller has left.
+    /// Remaining time of the caller.
     pub time_left: Duration,
-    /// Latency objective of the route, if calls that are behind it delay others: at model engines,
-    /// not at plain services, whose predicted wait is mostly the risk of a failure.
+    /// Latency objective of the route if late calls delay others. That holds for model engines, not
+    /// for plain services, whose predicted wait is mostly the risk of a failure.
     pub objective: Option<Duration>,
 }
 
@@ -28,29 +29,29 @@
     }
 }
 
-/// What to do with the call.
+/// What to do with a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Send it.
+    /// Send it to an upstream.
     Serve,
-    /// Refuse it as not run.
+    /// Refuse it without running it.
     Refuse {
-        /// When the caller should come back.
+        /// When the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// Part of the time left that a predicted wait may take: predictions are not exact, and the answer
-/// itself takes time after its first token.
+/// Share of the remaining time that a predicted wait may take. Predictions are not exact, and the
+/// answer itself takes time after its first token.
 const MAX_WAIT_SHARE: f64 = 0.8;
-/// Predicted wait, as a multiple of the latency objective, above which a call is refused although
-/// its caller would wait longer: its upstreams are behind, and each further call makes all later.
+/// Predicted wait, as a multiple of the latency objective, above which a call is refused even if
+/// its caller would wait longer: its upstreams are behind, and each further call delays all others.
 const MAX_WAIT_OBJECTIVES: f64 = 1.5;
-/// Shortest time to come back.
+/// Shortest retry delay.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
-/// Time to come back when no upstream is known: a beat of news from upstreams.
+/// Retry delay when no upstream is known: one interval of announcement updates.
 const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_millis(600);
-/// Part of the time left after which callers no longer come back.
+/// Share of the remaining time after which callers no longer retry.
 const RETRY_AFTER_SHARE: f64 = 1.0 / 3.0;
 
 /// Decides about a call; `jitter` lies between 0 and 1 and differs from call to call.
@@ -60,7 +61,11 @@
 /// use medlarlug_core::gateway::load_shedding::{CallForecast, Verdict, decide};
 ///
 /// let second = Duration::from_secs(1);
-/// let forecast = CallForecast { predicted_wait: Some(second), time_left: second * 5, objective: Some(second) };
+/// let forecast = CallForecast {
+///     predicted_wait: Some(second),
+///     time_left: second * 5,
+///     objective: Some(second),
+/// };
 /// assert_eq!(decide(forecast, 0.5), Verdict::Serve);
 /// ```
 pub fn decide(forecast: CallForecast, jitter: f64) -> Verdict {
@@ -72,12 +77,12 @@
     Verdict::Refuse { retry_after: retry_after(excess, forecast.time_left, jitter) }
 }
 
-/// When to come back if all upstreams want no requests for `backoff`: no sooner, and not all together.
+/// Retry delay if all upstreams want no requests for `backoff`: no shorter, and with jitter.
 pub fn retry_after_backoff(backoff: Duration, jitter: f64) -> Duration {
     backoff.max(MIN_RETRY_AFTER).mul_f64(1.0 + 0.25 * jitter)
 }
 
-/// When to come back if the excess of work drains within `excess`.
+/// Retry delay if the excess of work drains within `excess`.
 pub fn retry_after(excess: Duration, left: Duration, jitter: f64) -> Duration {
     let latest = left.mul_f64(RETRY_AFTER_SHARE);
     excess.max(MIN_RETRY_AFTER).mul_f64(0.75 + 0.5 * jitter).min(latest)
--- a/crates/medlarlug-core/src/gateway/mod.rs
+++ b/crates/medlarlug-core/src/gateway/mod.rs
@@ -1,17 +1,19 @@
 //! Decisions of a gateway in front of upstreams that announce themselves.
 //!
-//! Callers are anonymous here: a [`table::RouteTable`] says by host and path which service serves a
-//! call and how often it may be tried. Operators replace the whole table under a version; keepers
-//! agree on it and on evacuated availability zones through the [`publication`] state machine.
+//! Callers are anonymous: a [`table::RouteTable`] maps host and path to the service that answers a
+//! call and says how often the call may be tried. Operators replace the whole table under a version
+//! number; keepers agree on the table and on evacuated availability zones through the
+//! [`publication`] state machine.
 //!
-//! Upstreams announce themselves to the keepers, which pass the news on to every entry instance.
-//! [`upstreams`] orders that news by incarnation and sequence. An entry instance picks an upstream
-//! by [`placement`] and by what others have under way there, which [`load_exchange`] spreads within a region
-//! and [`peer_loads`] sums up. It sends no more than [`cold`] allows to one that has just started, repeats calls
-//! within the [`retry_budget`] of their service, and avoids upstreams that [`health`] found broken.
-//! Where an upstream names a limit for all instances ([`upstream_limits`]), these share it by [`permits`].
-//! [`contacts`] keeps track of the instances of the system itself, and [`keeper_view`] tells whether one sees
-//! enough of the others to act on its part of a common limit. [`stall`] notices when a process was
+//! Upstreams announce themselves to the keepers, which forward the announcements to every entry
+//! instance. [`upstreams`] orders announcements by incarnation and sequence number. An entry
+//! instance picks an upstream by [`placement`], using the in-flight load that the other instances
+//! of its region report ([`load_exchange`], [`peer_loads`]). It limits requests to upstreams that
+//! have just started ([`cold`]), retries calls within the [`retry_budget`] of their service, and
+//! avoids upstreams that [`health`] found broken. Where an upstream limits the requests of all
+//! instances together ([`upstream_limits`]), they share the limit through [`permits`]. [`contacts`]
+//! tracks the instances of the system itself, and [`keeper_view`] tells whether an instance sees
+//! enough of the others to act on its share of a common limit. [`stall`] detects that a process was
 //! stalled.
 
 pub mod attempt_timeout;
--- a/crates/medlarlug-core/src/gateway/peer_loads.rs
+++ b/crates/medlarlug-core/src/gateway/peer_loads.rs
@@ -1,8 +1,9 @@
-//! What the other entry instances of the region have under way at each upstream, as they tell.
+//! In-flight load of the other entry instances of the region at each upstream, as they report it.
 //!
-//! Reports come from single instances, or are sums over several, see [`load_exchange`](super::load_exchange).
-//! Each replaces the one before from the same source. The total is kept up to date with every
-//! report, since it is asked for each candidate of each call.
+//! Reports come from single instances or aggregate several of them, see
+//! [`load_exchange`](super::load_exchange). Each report replaces the previous one from the same
+//! source. The total is updated with every report, since it is read for each candidate of each
+//! call.
 
 use std::{fmt, time::Duration};
 
@@ -13,17 +14,18 @@
     time::Time,
 };
 
-/// Age after which a report counts no more: a few times the interval between two of them.
+/// Age after which a report no longer counts: a few report intervals.
 pub const REPORT_LIFETIME: Duration = Duration::from_millis(1_200);
 
-/// Names an upstream in reports: a hash of its id, which is shorter. Two of a thousand upstreams have
-/// the same key once in ten thousand deployments, and then count as one.
+/// Identifies an upstream in reports by a hash of its id, which is shorter. In a deployment of a
+/// thousand upstreams, two of them have the same key with a probability of one in ten thousand;
+/// they then count as one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct UpstreamKey(u32);
 
 impl UpstreamKey {
-    /// The key of an upstream.
+    /// The key of the upstream with `id`.
     pub fn of(id: &UpstreamId) -> UpstreamKey {
         // FNV-1a.
         let hash = id
@@ -40,38 +42,45 @@
     }
 }
 
-/// What one or several instances have under way at an upstream.
+/// In-flight load of one or several instances at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The upstream.
+    /// Key of the upstream.
     pub upstream: UpstreamKey,
     /// Calls that run.
     pub running: u32,
-    /// Prompt tokens sent and not yet read.
-    pub unread: u32,
-    /// Those of them that have rank 0.
-    pub urgent: u32,
-    /// Prompt tokens of calls that wait for their turn there, and were not sent yet.
-    pub waiting: u32,
+    /// Prompt tokens that were sent and that the engine has not read yet.
+    #[serde(rename = "unread")]
+    pub prefill_tokens: u32,
+    /// The part of `prefill_tokens` that belongs to calls of priority 0.
+    #[serde(rename = "urgent")]
+    pub urgent_tokens: u32,
+    /// Prompt tokens of calls that wait for prefill admission at the upstream and were not sent
+    /// yet.
+    #[serde(rename = "waiting")]
+    pub queued_tokens: u32,
 }
 
 impl LoadReport {
-    /// An idle upstream.
+    /// The load of an idle upstream.
     pub fn idle(upstream: UpstreamKey) -> LoadReport {
-        LoadReport { upstream, running: 0, unread: 0, urgent: 0, waiting: 0 }
+        LoadReport { upstream, running: 0, prefill_tokens: 0, urgent_tokens: 0, queued_tokens: 0 }
     }
 
     fn is_idle(&self) -> bool {
-        self.running == 0 && self.unread == 0 && self.urgent == 0 && self.waiting == 0
+        self.running == 0
+            && self.prefill_tokens == 0
+            && self.urgent_tokens == 0
+            && self.queued_tokens == 0
     }
 
     fn plus(self, other: LoadReport) -> LoadReport {
         LoadReport {
             upstream: self.upstream,
             running: self.running.saturating_add(other.running),
-            unread: self.unread.saturating_add(other.unread),
-            urgent: self.urgent.saturating_add(other.urgent),
-            waiting: self.waiting.saturating_add(other.waiting),
+            prefill_tokens: self.prefill_tokens.saturating_add(other.prefill_tokens),
+            urgent_tokens: self.urgent_tokens.saturating_add(other.urgent_tokens),
+            queued_tokens: self.queued_tokens.saturating_add(other.queued_tokens),
         }
     }
 
@@ -79,9 +88,9 @@
         LoadReport {
             upstream: self.upstream,
             running: self.running.saturating_sub(other.running),
-            unread: self.unread.saturating_sub(other.unread),
-            urgent: self.urgent.saturating_sub(other.urgent),
-            waiting: self.waiting.saturating_sub(other.waiting),
+            prefill_tokens: self.prefill_tokens.saturating_sub(other.prefill_tokens),
+            urgent_tokens: self.urgent_tokens.saturating_sub(other.urgent_tokens),
+            queued_tokens: self.queued_tokens.saturating_sub(other.queued_tokens),
         }
     }
 }
@@ -89,11 +98,11 @@
 /// Where a report comes from.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReportSource {
-    /// One instance that tells of its own calls.
+    /// One instance, about its own calls.
     Peer(InstanceId),
-    /// A collector of another zone, with the sum over that zone.
+    /// A collector of another zone, about all instances of that zone.
     Zone(ZoneId),
-    /// A collector of the own zone, with the sum over all other instances.
+    /// A collector of the own zone, about all other instances of the region.
     Collector,
 }
 
@@ -101,7 +110,7 @@
 struct SourceReport {
     source: ReportSource,
     received_at: Time,
-    /// Instances whose calls the loads are.
+    /// Number of instances whose calls are included.
     instances: usize,
     /// Sorted by upstream.
     loads: Vec<LoadReport>,
@@ -112,15 +121,16 @@
 pub struct PeerLoads {
     /// Sorted by source.
     reports: Vec<SourceReport>,
-    /// Sum of all `told`, sorted by upstream.
+    /// Sum of all `reports`, sorted by upstream.
     total: Vec<LoadReport>,
 }
 
 impl PeerLoads {
-    /// Takes in a whole report over the calls of `instances` instances; `loads` is sorted by upstream.
+    /// Applies a full report about the calls of `instances` instances; `loads` is sorted by
+    /// upstream.
     ///
-    /// A collector's sum holds everything, so it replaces all other reports, and any other report
-    /// replaces it.
+    /// A collector's aggregate includes all other instances, so it replaces all other reports, and
+    /// any other report replaces it.
     pub fn apply_report(
         &mut self,
         now: Time,
@@ -144,8 +154,8 @@
         self.add(&report.loads);
     }
 
-    /// Takes in what a source has under way at one upstream. It says nothing of other upstreams, so it
-    /// is left out for a source without a whole report.
+    /// Applies the load of a source at one upstream. It is ignored for a source without a full
+    /// report, since it says nothing about other upstreams.
     pub fn apply_change(&mut self, source: &ReportSource, change: LoadReport) {
         let Ok(at) = self.reports.binary_search_by(|it| it.source.cmp(source)) else { return };
         let loads = &mut self.reports[at].loads;
@@ -159,7 +169,7 @@
         self.add(&[change]);
     }
 
-    /// What others have under way at an upstream, and for how many instances that was told.
+    /// The load of the others at an upstream, and the number of instances that it includes.
     pub fn load_at(&self, now: Time, upstream: UpstreamKey) -> (LoadReport, usize) {
         let is_fresh = |it: &&SourceReport| now - it.received_at < REPORT_LIFETIME;
         let fresh = self.reports.iter().filter(is_fresh);
@@ -171,13 +181,13 @@
         (loads.fold(LoadReport::idle(upstream), LoadReport::plus), instances)
     }
 
-    /// Drops reports that count no more.
+    /// Drops reports older than [`REPORT_LIFETIME`].
     pub fn drop_expired(&mut self, now: Time) {
         self.retain(|it| now - it.received_at < REPORT_LIFETIME);
     }
 
-    /// The sum over the own calls and those of all sources but the ones that `is_excluded`, and the
-    /// instances that it stands for.
+    /// The sum of the own load and that of all sources except those that `is_excluded` matches, and
+    /// the number of instances that it includes.
     pub fn aggregate(
         &self,
         own: &[LoadReport],
@@ -219,12 +229,12 @@
                 self.total[at] = self.total[at].minus(*load);
             }
         }
-        // Upstreams come and go; those that nobody uses are not kept.
+        // Upstreams come and go; idle ones are not kept.
         self.total.retain(|it| !it.is_idle());
     }
 }
 
-/// What `loads`, sorted by upstream, hold of one.
+/// The load at one upstream in `loads`, which is sorted by upstream.
 pub fn load_of(loads: &[LoadReport], upstream: UpstreamKey) -> LoadReport {
     let at = loads.binary_search_by(|it| it.upstream.cmp(&upstream));
     at.map_or(LoadReport::idle(upstream), |at| loads[at])
--- a/crates/medlarlug-core/src/gateway/permits.rs
+++ b/crates/medlarlug-core/src/gateway/permits.rs
@@ -1,17 +1,19 @@
-//! Division of a limit that holds for all entry instances of a region together.
+//! Division of an upstream's limit among all entry instances of a region.
 //!
-//! One instance of the region, the *allotter* of an upstream, gives out permits for single requests at a
-//! pace below the limit; the others ask it, each for the calls that it has. A permit that is not used in
-//! [`PERMIT_LIFETIME`] is void, so requests that were put off don't arrive together. Instances that see the
-//! same peers agree on the allotter, see [`cold::sender`](super::cold::sender).
+//! For each upstream, one instance of the region, the *permit allocator*, grants permits for single
+//! requests at a rate below the limit. The other instances request permits from it for the calls
+//! that they have. A permit that is not used within [`PERMIT_LIFETIME`] expires, so requests that
+//! were delayed don't arrive together. Instances that see the same peers agree on the allocator,
+//! see [`cold::designated_sender`](super::cold::designated_sender).
 //!
-//! Weighed against it: equal parts for all instances leave most of a low limit unused wherever demand is
-//! uneven, and with one permit saved up by each of many instances a burst exceeds it; one instance that sends
-//! alone, as to cold upstreams, serves only the callers that happen to use it.
+//! Alternatives: equal shares for all instances leave most of a low limit unused wherever demand is
+//! uneven, and a burst exceeds the limit when each of many instances has one permit saved up. A
+//! single instance that sends alone, as to cold upstreams, serves only the callers that happen to
+//! use it.
 //!
-//! An instance whose [`keeper_view`](super::keeper_view) of the others is not settled gives permits to itself, at an
-//! equal part of the pace. Such instances begin at a random moment of their turn, so that they don't act
-//! together.
+//! An instance whose [`keeper_view`](super::keeper_view) is not settled grants permits to itself,
+//! at an equal share of the rate. Such instances start at a random point of their interval, so that
+//! they don't send at the same time.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -21,69 +23,69 @@
     time::Time,
 };
 
-/// Part of a limit that is given out. The rest covers permits that are used late, and instances that don't
-/// know of the limit yet.
+/// Share of a limit that is granted. The rest covers permits that are used late, and instances that
+/// don't know of the limit yet.
 const ALLOCATED_SHARE: f64 = 0.8;
-/// Time after which a permit is void that was not used.
+/// Time after which an unused permit expires.
 pub const PERMIT_LIFETIME: Duration = Duration::from_millis(500);
-/// Time after which what an instance asked for is void: two of its questions and a lost one.
+/// Time after which a request for permits expires: two request intervals and a lost request.
 const REQUEST_LIFETIME: Duration = Duration::from_millis(250);
-/// Time between two questions of an instance for permits for the same upstream.
+/// Interval between two requests of an instance for permits for the same upstream.
 pub const REQUEST_INTERVAL: Duration = Duration::from_millis(80);
-/// Time for which permits may be saved up, beyond a single one: a few rounds of the allotter.
+/// Time for which unused permits accumulate, beyond a single one: a few rounds of the allocator.
 const BURST_TIME: Duration = Duration::from_millis(100);
-/// Time without questions after which an allotter forgets an upstream.
+/// Time without requests after which an allocator drops the bucket of an upstream.
 const BUCKET_RETENTION: Duration = Duration::from_secs(60);
 
-/// Permits a second.
+/// Rate at which permits are granted, in permits per second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct PermitRate(f64);
 
 impl PermitRate {
-    /// The pace of the allotter.
+    /// The rate of the allocator, which grants for all instances of the region.
     pub fn for_allocator(limit: UpstreamLimit) -> PermitRate {
         PermitRate(limit.per_second() * ALLOCATED_SHARE)
     }
 
-    /// The pace of one of `instances` that don't know what the others do.
+    /// The rate of one of `instances` that don't know what the others do and grant to themselves.
     pub fn for_isolated(limit: UpstreamLimit, instances: usize) -> PermitRate {
         PermitRate(PermitRate::for_allocator(limit).0 / instances.max(1) as f64)
     }
 
-    /// Permits a second.
+    /// Permits per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
 
-    /// Most permits that are saved up.
+    /// Maximum number of permits that accumulate.
     fn capacity(self) -> f64 {
         1.0 + self.0 * BURST_TIME.as_secs_f64()
     }
 }
 
-/// A question for permits.
+/// A request for permits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PermitRequest {
-    /// Who asks.
+    /// The instance that requests them.
     pub from: InstanceId,
-    /// The upstream.
+    /// The upstream that the permits are for.
     pub upstream: UpstreamId,
-    /// Its incarnation.
+    /// Incarnation of the upstream.
     pub birth: Birth,
-    /// Calls that would use a permit.
+    /// Number of calls that would use a permit.
     pub calls: u32,
 }
 
-/// Permits that an instance gets.
+/// Permits granted to an instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PermitGrant {
-    /// Who gets them.
+    /// The instance that may use them.
     pub to: InstanceId,
-    /// The upstream.
+    /// The upstream that the permits are for.
     pub upstream: UpstreamId,
-    /// Its incarnation.
+    /// Incarnation of the upstream.
     pub birth: Birth,
-    /// How many.
+    /// Number of requests that may be sent.
     pub permits: u32,
 }
 
@@ -91,23 +93,23 @@
 #[derive(Debug, Clone)]
 struct Waiter {
     id: InstanceId,
-    /// Calls that would use a permit.
+    /// Number of calls that would use a permit.
     calls: u32,
     requested_at: Time,
 }
 
-/// What an allotter gives out for one upstream.
+/// Token bucket of one upstream.
 #[derive(Debug, Clone)]
 struct PermitBucket {
     upstream: UpstreamId,
     birth: Birth,
     rate: PermitRate,
-    /// Permits that are saved up, as of `refilled_at`.
+    /// Permits that have accumulated, as of `refilled_at`.
     available: f64,
     refilled_at: Time,
-    /// When an instance last asked.
+    /// Time of the newest request from any instance.
     requested_at: Time,
-    /// Instances that wait, those that got a permit longest ago first.
+    /// Waiting instances; the one that got a permit longest ago comes first.
     queue: VecDeque<Waiter>,
 }
 
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Gives out one permit after the other, in turn.
+    /// Grants the available permits one by one, round-robin over the waiting instances.
     fn grant(&mut self, now: Time) -> Vec<PermitGrant> {
         self.refill(now);
         let mut grants: Vec<PermitGrant> = Vec::new();
@@ -150,14 +152,14 @@
     }
 }
 
-/// What an instance gives out as an allotter, sorted by upstream.
+/// The permit buckets that an instance keeps as an allocator, sorted by upstream.
 #[derive(Debug, Clone, Default)]
 pub struct PermitAllocator {
     buckets: Vec<PermitBucket>,
 }
 
 impl PermitAllocator {
-    /// An instance asks. A new account begins with `available` of a permit, below one.
+    /// Handles a request. A new bucket starts with `available` permits, which is below one.
     pub fn request(&mut self, now: Time, request: PermitRequest, rate: PermitRate, available: f64) {
         self.buckets.retain(|it| now - it.requested_at <= BUCKET_RETENTION);
         let PermitRequest { from, upstream, birth, calls } = request;
@@ -187,18 +189,18 @@
         bucket.enqueue(now, from, calls);
     }
 
-    /// The permits that may be used from now on.
+    /// Grants the permits that are available at `now`.
     pub fn grant(&mut self, now: Time) -> Vec<PermitGrant> {
         self.buckets.iter_mut().flat_map(|it| it.grant(now)).collect()
     }
 
-    /// Whether an instance waits for a permit.
+    /// Whether any instance waits for a permit.
     pub fn has_waiters(&self) -> bool {
         self.buckets.iter().any(|it| !it.queue.is_empty())
     }
 }
 
-/// The permits that an instance holds, and those that it asks for.
+/// The permits that an instance holds, and those that it has yet to request.
 #[derive(Debug, Clone, Default)]
 pub struct Permits {
     held: Vec<Permit>,
@@ -219,20 +221,20 @@
     }
 }
 
-/// An upstream for which calls want permits.
+/// An upstream for which calls need permits.
 #[derive(Debug, Clone)]
 struct PendingRequest {
     upstream: UpstreamId,
     birth: Birth,
-    /// Calls since the last question.
+    /// Calls that have been added since the last request.
     calls: u32,
-    /// Whether a call has wanted a permit since.
+    /// Whether a call has asked for a permit since the last request.
     is_due: bool,
     requested_at: Option<Time>,
 }
 
 impl Permits {
-    /// Takes in permits that were granted to this instance.
+    /// Adds permits that were granted to this instance.
     pub fn add_granted(&mut self, now: Time, upstream: &UpstreamId, birth: Birth, permits: u32) {
         let expires_at = now + PERMIT_LIFETIME;
         let granted =
@@ -241,18 +243,19 @@
         self.held.extend(granted);
     }
 
-    /// Whether a request may go out to an incarnation.
+    /// Whether a permit for a request to an incarnation is held.
     pub fn has(&self, now: Time, upstream: &UpstreamId, birth: Birth) -> bool {
         self.held.iter().any(|it| it.is_for(now, upstream, birth))
     }
 
-    /// Uses a permit for a request that goes out; returns whether there was one.
+    /// Uses a permit for a request that is sent; returns whether there was one.
     pub fn take(&mut self, now: Time, upstream: &UpstreamId, birth: Birth) -> bool {
         let at = self.held.iter().position(|it| it.is_for(now, upstream, birth));
         at.map(|at| self.held.remove(at)).is_some()
     }
 
-    /// A call could use a permit for an incarnation; `is_first` if it had not said so before.
+    /// Notes that a call could use a permit for an incarnation; `is_first` unless the call has been
+    /// noted before.
     pub fn record_demand(&mut self, upstream: &UpstreamId, birth: Birth, is_first: bool) {
         let at = match self.pending.binary_search_by(|it| it.upstream.cmp(upstream)) {
             Ok(at) => at,
@@ -269,7 +272,7 @@
         pending.calls = pending.calls.saturating_add(u32::from(is_first));
     }
 
-    /// The questions that are due, and whether there are more later.
+    /// The requests that are due now, and whether more will be due later.
     pub fn due_requests(&mut self, now: Time, from: &InstanceId) -> (Vec<PermitRequest>, bool) {
         let is_recent = |it: &PendingRequest| {
             it.requested_at.is_some_and(|requested_at| now - requested_at < REQUEST_INTERVAL)
--- a/crates/medlarlug-core/src/gateway/placement.rs
+++ b/crates/medlarlug-core/src/gateway/placement.rs
@@ -1,20 +1,21 @@
-//! Which upstream a call goes to.
+//! Selects the upstream for a call.
 //!
-//! For model engines the time to the first token is mostly the time in which prompts are read:
-//! those that wait already, and the parts of this prompt that the engine does not hold in its
-//! cache. [`Loads`] counts the former from what this instance has sent itself and what the other
-//! instances of its region have [reported](super::peer_loads); a peer without a fresh report is taken
-//! to send as much as this instance does on average. For plain services the time is that until a slot is free.
+//! For model engines, the time to the first token is mostly prefill time: that of the prompts that
+//! already wait, and that of the parts of this prompt that the engine does not have cached.
+//! [`Loads`] counts the former from what this instance has sent itself and what the other instances
+//! of its region have [reported](super::peer_loads). A peer without a fresh report is assumed to
+//! send as much as this instance does on average. For plain services, the time is the wait for a
+//! free slot.
 //!
-//! Reading a part again delays every stream of its engine, since engines read prompts between the
-//! steps of all others. So a part that is not held counts for more than the time in which it is
-//! read, and calls that share a part stay on the engine that every instance finds for it by the
-//! same rank, until waiting there has grown well above reading it again elsewhere. A long queue of
-//! prompts stalls the streams of its engine, so it weighs more than the time that it takes, and long
-//! prompts take turns at an engine, see [`prefill_queue`](super::prefill_queue).
+//! Recomputing a part delays every stream of its engine, since engines interleave prefill with the
+//! steps of all other requests. So a part that is not cached costs more than its own prefill time,
+//! and calls that share a part stay on the engine that every instance ranks highest for it, until
+//! the wait there is well above the cost of recomputing the part elsewhere. A long queue of prompts
+//! stalls the streams of its engine, so it costs more than the time that it takes, and long prompts
+//! are admitted to an engine one at a time, see [`prefill_queue`](super::prefill_queue).
 //!
-//! This answers load that is high but bearable. What to do when no upstream can serve in time is
-//! decided by [`load_shedding`](super::load_shedding).
+//! This handles load that is high but sustainable. What to do when no upstream can serve a call in
+//! time is decided by [`load_shedding`](super::load_shedding).
 
 use std::time::Duration;
 
@@ -27,45 +28,45 @@
 /// A part of a prompt that other prompts may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names the part.
+    /// Identifies the part; equal parts have equal ids.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length of the part in tokens.
     pub tokens: u32,
 }
 
-/// What a call asks of its upstream.
+/// What a call requires of its upstream.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Parts of the prompt in order; the last one is the call's own.
+    /// Parts of the prompt in order; the last one belongs to this call only.
     pub parts: Vec<PromptPart>,
-    /// Tokens of the prompt; zero for plain services.
+    /// Length of the prompt in tokens; zero for plain services.
     pub prompt_tokens: u32,
-    /// Tokens of the answer, at most.
+    /// Maximum length of the answer in tokens.
     pub max_output_tokens: u32,
-    /// Rank of the call; engines read the prompts of rank 0 first.
+    /// Priority of the call; engines prefill prompts of priority 0 first.
     pub priority: u8,
 }
 
 impl Choice {
-    /// Whether it is a long prompt, which takes turns with others at its engine.
+    /// Whether it is a long prompt, which has to be admitted to its engine.
     pub fn is_long(&self) -> bool {
         self.prefill_tokens >= LONG_PROMPT_TOKENS
     }
 
-    /// Whether peers have to know of it at once: it is a long prompt, or a call to a plain service,
-    /// which has few places.
+    /// Whether peers have to be notified at once: it is a long prompt, or a call to a plain
+    /// service, which has few slots.
     pub fn needs_immediate_report(&self) -> bool {
         self.is_long() || self.prefill_tokens == 0
     }
 }
 
 impl Demand {
-    /// Tokens of the parts that others may share: all but the last one.
+    /// Tokens of the parts that other prompts may share: all but the last part.
     pub fn shared(&self) -> u32 {
         self.parts.iter().rev().skip(1).map(|part| part.tokens).sum()
     }
 
-    /// The part by which calls are kept together: the last one that others share.
+    /// The part by which calls are kept on the same engine: the last one that others may share.
     fn affinity(&self) -> Option<u64> {
         let shared = self.parts.len().checked_sub(2)?;
         Some(self.parts[shared].id)
@@ -75,90 +76,91 @@
 /// An upstream that may be chosen.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate<'a> {
-    /// Its id.
+    /// Id of the upstream.
     pub id: &'a UpstreamId,
-    /// Requests that it works on at once.
+    /// Requests that it works on concurrently.
     pub slots: u32,
     /// Tokens that fit into its memory; zero for a plain service.
     pub memory_tokens: u64,
-    /// Share of its recent calls that failed, 0 to 1.
+    /// Share of its recent calls that failed, from 0 to 1.
     pub failure_rate: f64,
-    /// Time on the way to it and back.
+    /// Network round-trip time to it.
     pub round_trip: Duration,
 }
 
 /// The upstream that was chosen.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
-    /// Its id.
+    /// Id of the upstream.
     pub id: UpstreamId,
     /// Predicted time until the first token or the answer.
     pub wait: Duration,
-    /// The same with the delay of other calls and the risk of a failure.
+    /// The predicted wait with the round trip, the delay to other calls and the penalty for
+    /// failures.
     pub cost: Duration,
-    /// Tokens of the prompt that it is expected to read.
+    /// Prompt tokens that the engine is expected to prefill.
     pub prefill_tokens: u32,
-    /// Rank of the call.
+    /// Priority of the call.
     pub priority: u8,
 }
 
-/// Prompt tokens that an engine reads in a millisecond, until it is known better; the engines of
-/// the first deployments read 38 to 52.
+/// Prompt tokens that an engine prefills in a millisecond, before measurements correct the
+/// prediction; the engines of the first deployments reach 38 to 52.
 pub(super) const PREFILL_TOKENS_PER_MS: f64 = 40.0;
-/// Time to the first token beside reading, in milliseconds: a step and the way there and back.
+/// Time to the first token without prefill: one engine step and the round trip.
 const FIRST_TOKEN_MS: f64 = 30.0;
-/// Delay by each request that runs beside, in milliseconds.
+/// Delay caused by each request that runs concurrently.
 const CONCURRENT_REQUEST_MS: f64 = 0.4;
-/// Time of one call to a plain service, in milliseconds, until it is known better.
+/// Duration of one call to a plain service, before measurements correct the prediction.
 const PLAIN_CALL_MS: f64 = 30.0;
-/// Time for which a part is taken to be held after its last use.
+/// Time after its last use for which a part is assumed to be cached.
 const CACHE_LIFETIME: Duration = Duration::from_secs(10);
-/// Part of an engine's memory that shared parts are taken to fill at most.
+/// Maximum share of an engine's memory that shared parts are assumed to occupy.
 const CACHE_SHARE: f64 = 0.5;
-/// Extra cost of an upstream that fails all its calls, in milliseconds. It grows with the square of
-/// the share of failures: some calls fail everywhere, and a share that is common counts for little.
+/// Extra cost of an upstream that fails all its calls. It grows with the square of the failure
+/// rate: some calls fail at every upstream, and a common rate counts for little.
 const FAILURE_PENALTY_MS: f64 = 2_000.0;
-/// Part of the reading of a shared part that is taken to be saved on its preferred engine, where
-/// peers have probably sent it.
+/// Share of the prefill of a shared part that is assumed to be saved on its preferred engine, where
+/// peers have probably sent the part.
 const PREFERRED_CACHE_SHARE: f64 = 0.9;
-/// Weight of reading a shared part again, which delays all streams of the engine.
+/// Weight of recomputing a shared part, which delays all streams of the engine.
 const RECOMPUTE_WEIGHT: f64 = 8.0;
-/// Queued prompt tokens above which the streams of an engine stall noticeably: a few steps in which
-/// it reads as much as it takes at once.
+/// Queued prompt tokens above which the streams of an engine stall noticeably: a few steps with as
+/// much prefill as fits into each.
 const STALL_THRESHOLD_TOKENS: f64 = 12_000.0;
-/// Prompt tokens that an engine reads in one step; a more urgent prompt waits for these at most.
+/// Prompt tokens that an engine prefills in one step; a more urgent prompt waits for at most these.
 const STEP_TOKENS: f64 = 4_096.0;
-/// Tokens to read from which on a prompt waits for its turn, and peers are told of it at once;
-/// shorter ones hardly stop streams.
+/// Prefill tokens from which on a prompt has to be admitted to its engine, and peers are notified
+/// at once; shorter prompts hardly delay streams.
 const LONG_PROMPT_TOKENS: u32 = 1_000;
-/// Queued prompt tokens at an engine above which a long prompt waits for its turn: one prompt.
+/// Queued prompt tokens at an engine above which a long prompt waits for admission: one prompt.
 const ADMISSION_QUEUE_TOKENS: f64 = 3_000.0;
 /// Weight of the time that queued tokens above [`STALL_THRESHOLD_TOKENS`] take.
 const STALL_WEIGHT: f64 = 2.0;
 /// Time over which the own load is averaged, for peers without a report.
 const AVERAGING_TIME: Duration = Duration::from_secs(2);
-/// Weight of the newest call in the smoothed slowness.
+/// Weight of the newest call in the smoothed latency ratio.
 const LATENCY_RATIO_SMOOTHING: f64 = 0.1;
-/// Bounds of the smoothed slowness.
+/// Bounds of a single measured latency ratio before smoothing.
 const LATENCY_RATIO_BOUNDS: std::ops::RangeInclusive<f64> = 0.5..=12.0;
 
-/// What peers have under way at an upstream.
+/// In-flight load of peers at an upstream.
 #[derive(Debug, Default)]
 struct PeerLoad {
     running: f64,
     prefill_tokens: f64,
-    urgent: f64,
-    waiting: f64,
+    urgent_tokens: f64,
+    queued_tokens: f64,
 }
 
-/// What a candidate would cost a call.
+/// Predicted cost of a candidate for a call.
 struct Prediction {
-    /// Tokens to read.
+    /// Prompt tokens that the candidate has to prefill.
     prefill_tokens: u32,
     /// Time to the first token or the answer, in milliseconds.
-    wait: f64,
-    /// Delay of other calls, in milliseconds: by parts that are read again, and by stalls.
-    others: f64,
+    wait_ms: f64,
+    /// Delay to other calls, in milliseconds, by recomputed parts and by stalls.
+    delay_ms: f64,
 }
 
 #[derive(Debug, Clone)]
@@ -172,15 +174,15 @@
 struct UpstreamLoad {
     id: UpstreamId,
     running: Averaged,
-    /// Prompt tokens sent and not yet read.
+    /// Prompt tokens that were sent and not yet prefilled.
     prefill_tokens: Averaged,
-    /// Those of them that have rank 0.
-    urgent: Averaged,
-    /// Prompt tokens of calls that wait for their turn.
-    waiting: u64,
-    /// Held parts, sorted by part.
+    /// The part of `prefill_tokens` that belongs to calls of priority 0.
+    urgent_tokens: Averaged,
+    /// Prompt tokens of calls that wait for admission.
+    queued_tokens: u64,
+    /// Cached parts, sorted by part.
     cached: Vec<CachedPart>,
-    /// Measured time to the first token, or of a plain call, against the prediction.
+    /// Measured time to the first token, or duration of a plain call, divided by the prediction.
     latency_ratio: f64,
 }
 
@@ -189,7 +191,7 @@
 struct Averaged {
     value: u64,
     average: f64,
-    /// When the average was last brought up to date.
+    /// When the average was last updated.
     updated: Time,
 }
 
@@ -207,7 +209,7 @@
     }
 }
 
-/// What this instance and its peers have under way at each upstream.
+/// In-flight load of this instance and its peers at each upstream.
 #[derive(Debug, Clone, Default)]
 pub struct Loads {
     /// Sorted by id.
@@ -215,7 +217,8 @@
     peers: PeerLoads,
 }
 
-/// Orders upstreams for a key, alike at every instance: the highest rank is preferred.
+/// Rendezvous hash that orders upstreams for a key, equally at every instance; the highest rank is
+/// preferred.
 pub fn rendezvous_rank(key: &str, upstream: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(key.as_bytes());
@@ -225,7 +228,7 @@
     u64::from_le_bytes(hash.as_bytes()[..8].try_into().expect("a hash has 32 bytes"))
 }
 
-/// Rank of an upstream for a prompt part, cheaper than [`rendezvous_rank`].
+/// Rendezvous rank of an upstream for a prompt part; cheaper to compute than [`rendezvous_rank`].
 fn part_rendezvous_rank(part: u64, upstream: &UpstreamId) -> u64 {
     // FNV-1a, then the finalizer of SplitMix64.
     let mut hash = 0xcbf2_9ce4_8422_2325 ^ part;
@@ -238,14 +241,20 @@
 }
 
 impl Loads {
-    /// The candidate with the shortest predicted wait. `peers` entry instances, this one included,
-    /// send to the same upstreams.
+    /// The candidate with the lowest cost; `None` if there are no candidates. `peers` is the number
+    /// of entry instances that send to the same upstreams, this one included.
     ///
     /// ```
     /// use medlarlug_core::{gateway::placement::*, time::Time};
     ///
     /// let id = "engine-1".parse().unwrap();
-    /// let only = Candidate { id: &id, slots: 8, memory_tokens: 0, failure_rate: 0.0, round_trip: Default::default() };
+    /// let only = Candidate {
+    ///     id: &id,
+    ///     slots: 8,
+    ///     memory_tokens: 0,
+    ///     failure_rate: 0.0,
+    ///     round_trip: Default::default(),
+    /// };
     /// let choice = Loads::default().choose(Time::ZERO, &Demand::default(), &[only], 1).unwrap();
     /// assert_eq!(choice.id, id);
     /// ```
@@ -264,19 +273,19 @@
             let is_preferred = preferred == Some(candidate.id);
             let predicted = self.predict(now, demand, candidate, peers, is_preferred);
             let travel_ms = candidate.round_trip.as_secs_f64() * 1_000.0;
-            let cost = travel_ms
-                + predicted.wait
-                + predicted.others
+            let cost_ms = travel_ms
+                + predicted.wait_ms
+                + predicted.delay_ms
                 + candidate.failure_rate.powi(2) * FAILURE_PENALTY_MS;
-            (cost, predicted, candidate)
+            (cost_ms, predicted, candidate)
         });
         let best = predicted.min_by(|a, b| {
-            // Equal waits are spread by the instance's own order of upstreams.
+            // Equal costs: the upstream with fewer calls of this instance, which spreads the calls.
             a.0.total_cmp(&b.0).then_with(|| self.running(a.2.id).cmp(&self.running(b.2.id)))
         })?;
-        let (cost, predicted, candidate) = best;
-        let wait = Duration::from_secs_f64(predicted.wait / 1_000.0);
-        let cost = Duration::from_secs_f64(cost / 1_000.0);
+        let (cost_ms, predicted, candidate) = best;
+        let wait = Duration::from_secs_f64(predicted.wait_ms / 1_000.0);
+        let cost = Duration::from_secs_f64(cost_ms / 1_000.0);
         let (prefill_tokens, priority) = (predicted.prefill_tokens, demand.priority);
         Some(Choice { id: candidate.id.clone(), wait, cost, prefill_tokens, priority })
     }
@@ -291,60 +300,66 @@
     ) -> Prediction {
         let load = self.index_of(candidate.id).ok().map(|at| &self.known[at]);
         let latency_ratio = load.map_or(1.0, |load| load.latency_ratio);
-        let others = self.others(now, candidate.id, peers);
-        let running = load.map_or(0.0, |load| load.running.value as f64) + others.running;
+        let peer_load = self.peer_load(now, candidate.id, peers);
+        let running = load.map_or(0.0, |load| load.running.value as f64) + peer_load.running;
         if candidate.memory_tokens == 0 {
             let queue = (running + 1.0 - f64::from(candidate.slots)).max(0.0);
             let busy = 0.1 * running / f64::from(candidate.slots.max(1));
             let calls = 1.0 + busy + queue / f64::from(candidate.slots.max(1));
-            let wait = calls * PLAIN_CALL_MS * latency_ratio;
-            return Prediction { prefill_tokens: 0, wait, others: 0.0 };
+            let wait_ms = calls * PLAIN_CALL_MS * latency_ratio;
+            return Prediction { prefill_tokens: 0, wait_ms, delay_ms: 0.0 };
         }
         let cached = load.map_or(0, |load| load.cached_tokens(now, &demand.parts));
         let mut prefill_tokens = f64::from(demand.prompt_tokens.saturating_sub(cached));
-        let own = demand.parts.last().map_or(demand.prompt_tokens, |part| part.tokens);
-        let mut shared = (prefill_tokens - f64::from(own)).max(0.0);
+        let own_tokens = demand.parts.last().map_or(demand.prompt_tokens, |part| part.tokens);
+        let mut shared_tokens = (prefill_tokens - f64::from(own_tokens)).max(0.0);
         if is_preferred {
-            prefill_tokens -= shared * PREFERRED_CACHE_SHARE;
-            shared *= 1.0 - PREFERRED_CACHE_SHARE;
+            prefill_tokens -= shared_tokens * PREFERRED_CACHE_SHARE;
+            shared_tokens *= 1.0 - PREFERRED_CACHE_SHARE;
         }
-        let waiting =
-            load.map_or(0.0, |load| load.prefill_tokens.value as f64) + others.prefill_tokens;
-        let excess = (running + 1.0 - f64::from(candidate.slots)).max(0.0);
-        let urgent = load.map_or(0.0, |load| load.urgent.value as f64) + others.urgent;
-        let queued = load.map_or(0.0, |load| load.waiting as f64) + others.waiting;
-        let ahead = match demand.priority {
-            0 => urgent + (waiting - urgent).clamp(0.0, STEP_TOKENS),
-            _ => waiting + queued,
+        let in_prefill_tokens =
+            load.map_or(0.0, |load| load.prefill_tokens.value as f64) + peer_load.prefill_tokens;
+        let excess_requests = (running + 1.0 - f64::from(candidate.slots)).max(0.0);
+        let urgent_tokens =
+            load.map_or(0.0, |load| load.urgent_tokens.value as f64) + peer_load.urgent_tokens;
+        let queued_tokens =
+            load.map_or(0.0, |load| load.queued_tokens as f64) + peer_load.queued_tokens;
+        let tokens_ahead = match demand.priority {
+            0 => urgent_tokens + (in_prefill_tokens - urgent_tokens).clamp(0.0, STEP_TOKENS),
+            _ => in_prefill_tokens + queued_tokens,
         };
-        let read = (ahead + prefill_tokens) / PREFILL_TOKENS_PER_MS;
-        let wait =
-            FIRST_TOKEN_MS + read + running * CONCURRENT_REQUEST_MS + excess * FIRST_TOKEN_MS;
-        let stall = (waiting + prefill_tokens - STALL_THRESHOLD_TOKENS).max(0.0) * STALL_WEIGHT;
-        let others = (shared * RECOMPUTE_WEIGHT + stall) / PREFILL_TOKENS_PER_MS;
+        let prefill_ms = (tokens_ahead + prefill_tokens) / PREFILL_TOKENS_PER_MS;
+        let wait_ms = FIRST_TOKEN_MS
+            + prefill_ms
+            + running * CONCURRENT_REQUEST_MS
+            + excess_requests * FIRST_TOKEN_MS;
+        let stall_tokens =
+            (in_prefill_tokens + prefill_tokens - STALL_THRESHOLD_TOKENS).max(0.0) * STALL_WEIGHT;
+        let delay_ms = (shared_tokens * RECOMPUTE_WEIGHT + stall_tokens) / PREFILL_TOKENS_PER_MS;
         Prediction {
             prefill_tokens: prefill_tokens as u32,
-            wait: wait * latency_ratio,
-            others: others * latency_ratio,
+            wait_ms: wait_ms * latency_ratio,
+            delay_ms: delay_ms * latency_ratio,
         }
     }
 
-    /// What this instance has under way, to be told to its peers, sorted by upstream; idle upstreams
-    /// are left out.
+    /// The in-flight load of this instance, to be reported to its peers, sorted by upstream; idle
+    /// upstreams are omitted.
     pub fn report(&self) -> Vec<LoadReport> {
-        let busy = self.known.iter().filter(|load| load.running.value > 0 || load.waiting > 0);
+        let busy =
+            self.known.iter().filter(|load| load.running.value > 0 || load.queued_tokens > 0);
         let mut reports: Vec<LoadReport> = busy.map(UpstreamLoad::report).collect();
         reports.sort_by_key(|it| it.upstream);
         reports
     }
 
-    /// What this instance has under way at one upstream.
+    /// The in-flight load of this instance at one upstream.
     pub fn report_of(&self, id: &UpstreamId) -> LoadReport {
         let idle = || LoadReport::idle(UpstreamKey::of(id));
         self.index_of(id).map_or_else(|_| idle(), |at| self.known[at].report())
     }
 
-    /// Takes in what peers have under way, see [`PeerLoads::apply_report`].
+    /// Applies a full report of peers, see [`PeerLoads::apply_report`].
     pub fn apply_report(
         &mut self,
         now: Time,
@@ -355,79 +370,80 @@
         self.peers.apply_report(now, source, instances, loads);
     }
 
-    /// Takes in what peers have under way at one upstream, see [`PeerLoads::apply_change`].
+    /// Applies the load of peers at one upstream, see [`PeerLoads::apply_change`].
     pub fn apply_change(&mut self, source: &ReportSource, change: LoadReport) {
         self.peers.apply_change(source, change);
     }
 
-    /// Drops reports of peers that count no more.
+    /// Drops reports of peers that have expired.
     pub fn drop_expired_reports(&mut self, now: Time) {
         self.peers.drop_expired(now);
     }
 
-    /// What a collector tells the instance `to`: the sum over all instances but that one, and how many
-    /// they are.
+    /// The aggregate that a collector sends to the instance `to`: the sum over all instances but
+    /// that one, and their number.
     pub fn aggregate_for(&self, to: &InstanceId) -> (usize, Vec<LoadReport>) {
         let is_receiver =
             |source: &ReportSource| matches!(source, ReportSource::Peer(id) if id == to);
         self.peers.aggregate(&self.report(), is_receiver)
     }
 
-    /// What a collector tells other zones: the sum over the instances of its own, and how many they
-    /// are.
+    /// The aggregate that a collector sends to other zones: the sum over the instances of its own
+    /// zone, and their number.
     pub fn zone_aggregate(&self) -> (usize, Vec<LoadReport>) {
         self.peers.aggregate(&self.report(), |source| matches!(source, ReportSource::Zone(_)))
     }
 
-    /// What the other `peers` have under way at an upstream.
-    fn others(&self, now: Time, id: &UpstreamId, peers: usize) -> PeerLoad {
+    /// The in-flight load of the other `peers` at an upstream.
+    fn peer_load(&self, now: Time, id: &UpstreamId, peers: usize) -> PeerLoad {
         let (reported, instances) = self.peers.load_at(now, UpstreamKey::of(id));
-        let mut others = PeerLoad {
+        let mut load = PeerLoad {
             running: f64::from(reported.running),
-            prefill_tokens: f64::from(reported.unread),
-            urgent: f64::from(reported.urgent),
-            waiting: f64::from(reported.waiting),
+            prefill_tokens: f64::from(reported.prefill_tokens),
+            urgent_tokens: f64::from(reported.urgent_tokens),
+            queued_tokens: f64::from(reported.queued_tokens),
         };
-        let silent = peers.saturating_sub(1 + instances) as f64;
-        if silent > 0.0
+        let unreported = peers.saturating_sub(1 + instances) as f64;
+        if unreported > 0.0
             && let Ok(at) = self.index_of(id)
         {
-            others.running += self.known[at].running.average_at(now) * silent;
-            others.prefill_tokens += self.known[at].prefill_tokens.average_at(now) * silent;
-            others.urgent += self.known[at].urgent.average_at(now) * silent;
+            load.running += self.known[at].running.average_at(now) * unreported;
+            load.prefill_tokens += self.known[at].prefill_tokens.average_at(now) * unreported;
+            load.urgent_tokens += self.known[at].urgent_tokens.average_at(now) * unreported;
         }
-        others
+        load
     }
 
-    /// Whether the engine that was chosen would take the call now: long prompts go to an engine one
-    /// after the other, short ones at any time.
+    /// Whether the chosen engine accepts the call now: long prompts are admitted one at a time,
+    /// short ones always.
     pub fn can_admit(&self, now: Time, choice: &Choice, peers: usize) -> bool {
         if !choice.is_long() {
             return true;
         }
         let own = self.index_of(&choice.id).map_or(0, |at| self.known[at].prefill_tokens.value);
-        own as f64 + self.others(now, &choice.id, peers).prefill_tokens <= ADMISSION_QUEUE_TOKENS
+        own as f64 + self.peer_load(now, &choice.id, peers).prefill_tokens <= ADMISSION_QUEUE_TOKENS
     }
 
-    /// Counts a call that waits for its turn at `choice`, so that others go elsewhere.
+    /// Counts a call that waits for admission at `choice`, so that other calls avoid that engine.
     pub fn enqueue(&mut self, choice: &Choice) {
-        self.entry(&choice.id).waiting += u64::from(choice.prefill_tokens);
+        self.entry(&choice.id).queued_tokens += u64::from(choice.prefill_tokens);
     }
 
-    /// A call waits no longer for its turn.
+    /// Removes a call that no longer waits for admission.
     pub fn dequeue(&mut self, choice: &Choice) {
         let load = self.entry(&choice.id);
-        load.waiting = load.waiting.saturating_sub(u64::from(choice.prefill_tokens));
+        load.queued_tokens = load.queued_tokens.saturating_sub(u64::from(choice.prefill_tokens));
     }
 
-    /// Counts a call that goes out to `choice`; `memory` is that of the upstream in tokens.
+    /// Counts a call that is sent to `choice`; `memory` is the upstream's memory in tokens.
     pub fn record_sent(&mut self, now: Time, choice: &Choice, demand: &Demand, memory: u64) {
         let load = self.entry(&choice.id);
         load.running.change(now, load.running.value + 1);
         load.prefill_tokens
             .change(now, load.prefill_tokens.value + u64::from(choice.prefill_tokens));
         if demand.priority == 0 {
-            load.urgent.change(now, load.urgent.value + u64::from(choice.prefill_tokens));
+            load.urgent_tokens
+                .change(now, load.urgent_tokens.value + u64::from(choice.prefill_tokens));
         }
         for part in demand.parts.iter().rev().skip(1) {
             load.touch_part(now, *part);
@@ -435,7 +451,7 @@
         load.evict(now, memory);
     }
 
-    /// The first token or the answer of a call came after `took`.
+    /// Records that the first token or the answer of a call arrived after `took`.
     pub fn record_first_token(&mut self, now: Time, choice: &Choice, took: Duration) {
         let load = self.entry(&choice.id);
         load.finish_prefill(now, choice);
@@ -445,7 +461,8 @@
         load.latency_ratio += LATENCY_RATIO_SMOOTHING * (ratio - load.latency_ratio);
     }
 
-    /// A call ended; `prefill_done` tells whether [`Loads::record_first_token`] was called for it.
+    /// Records that a call ended; `prefill_done` tells whether [`Loads::record_first_token`] was
+    /// called for it.
     pub fn record_end(&mut self, now: Time, choice: &Choice, prefill_done: bool) {
         let load = self.entry(&choice.id);
         load.running.change(now, load.running.value.saturating_sub(1));
@@ -454,7 +471,7 @@
         }
     }
 
-    /// Forgets what an upstream holds, which has a new incarnation.
+    /// Clears the cached parts and the latency ratio of an upstream that has a new incarnation.
     pub fn reset(&mut self, id: &UpstreamId) {
         if let Ok(at) = self.index_of(id) {
             self.known[at].cached.clear();
@@ -462,7 +479,7 @@
         }
     }
 
-    /// Calls of this instance that run at the upstream.
+    /// Calls of this instance in flight at the upstream.
     pub fn running(&self, id: &UpstreamId) -> u64 {
         self.index_of(id).map_or(0, |at| self.known[at].running.value)
     }
@@ -479,8 +496,8 @@
                     id: id.clone(),
                     running: Averaged::default(),
                     prefill_tokens: Averaged::default(),
-                    urgent: Averaged::default(),
-                    waiting: 0,
+                    urgent_tokens: Averaged::default(),
+                    queued_tokens: 0,
                     cached: Vec::new(),
                     latency_ratio: 1.0,
                 };
@@ -498,22 +515,22 @@
         LoadReport {
             upstream: UpstreamKey::of(&self.id),
             running: count(self.running.value),
-            unread: count(self.prefill_tokens.value),
-            urgent: count(self.urgent.value),
-            waiting: count(self.waiting),
+            prefill_tokens: count(self.prefill_tokens.value),
+            urgent_tokens: count(self.urgent_tokens.value),
+            queued_tokens: count(self.queued_tokens),
         }
     }
 
-    /// The prompt of a call was read, or nobody waits for it any more.
+    /// The prompt of a call was prefilled, or the call no longer waits for it.
     fn finish_prefill(&mut self, now: Time, choice: &Choice) {
         let tokens = u64::from(choice.prefill_tokens);
         self.prefill_tokens.change(now, self.prefill_tokens.value.saturating_sub(tokens));
         if choice.priority == 0 {
-            self.urgent.change(now, self.urgent.value.saturating_sub(tokens));
+            self.urgent_tokens.change(now, self.urgent_tokens.value.saturating_sub(tokens));
         }
     }
 
-    /// Tokens at the beginning of the prompt that are held.
+    /// Tokens at the beginning of the prompt that the engine is assumed to have cached.
     fn cached_tokens(&self, now: Time, parts: &[PromptPart]) -> u32 {
         let is_cached = |part: &&PromptPart| {
             let at = self.cached.binary_search_by(|cached| cached.part.cmp(&part.id));
--- a/crates/medlarlug-core/src/gateway/prefill_queue.rs
+++ b/crates/medlarlug-core/src/gateway/prefill_queue.rs
@@ -1,15 +1,15 @@
-//! Turns of long prompts at model engines.
+//! Admission of long prompts to model engines.
 //!
-//! An engine takes one part of a prompt into each of its steps, and a step with such a part takes
-//! some twenty times as long as one without. While a queue of prompts is read without a break, all
-//! streams of the engine crawl, and end after their deadline. So long prompts go to an engine one
-//! after the other, and wait for their turn at the entry instances.
+//! An engine takes one chunk of a prompt into each of its steps, and a step with such a chunk takes
+//! some twenty times as long as one without. While a queue of prompts is prefilled without a break,
+//! all streams of the engine slow down so much that they miss their deadlines. So long prompts are
+//! sent to an engine one at a time, and wait for admission at the entry instances.
 //!
-//! A call that has waited for a good part of its latency objective is refused: its engines are
-//! overloaded, and sending it all the same would make the streams late that run there. Calls of the
-//! most urgent rank go all the same, since engines read them first.
+//! A call that has waited for a large part of its latency objective is refused: its engines are
+//! overloaded, and sending it anyway would delay the streams that run there. Calls of the highest
+//! priority are sent anyway, since engines prefill them first.
 //!
-//! What calls have waited lately is what the next one expects; it makes other regions attractive
+//! The recent waits are the expected wait of the next call. It makes other regions more attractive
 //! and keeps them from sending more.
 
 use std::time::Duration;
@@ -19,25 +19,25 @@
 /// What a call does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PrefillDecision {
-    /// It goes to its engine.
+    /// It is sent to its engine.
     Send,
-    /// It waits.
+    /// It waits for admission.
     Wait,
     /// It is refused.
     Refuse,
 }
 
-/// Part of its latency objective that a call waits at most: the rest is for reading its prompt.
+/// Share of its latency objective that a call waits at most; the rest is for its prefill.
 const MAX_WAIT_SHARE: f64 = 0.6;
-/// The same for calls of rank 0, which are not refused.
+/// The same share for calls of priority 0, which are then sent rather than refused.
 const MAX_URGENT_WAIT_SHARE: f64 = 0.35;
 /// Weight of the newest call in the expected wait.
 const WAIT_SMOOTHING: f64 = 0.3;
-/// Time in which the expected wait falls to a third if no call waits.
+/// Time in which the expected wait falls to 1/e (about a third) if no call waits.
 const DECAY_TIME: Duration = Duration::from_secs(1);
 
-/// Decides about a call that has waited for `waited`; `is_free` tells whether its engine would take
-/// a long prompt now.
+/// Decides about a call that has waited for `waited`; `can_admit` tells whether its engine would
+/// accept a long prompt now.
 ///
 /// ```
 /// use std::time::Duration;
@@ -49,24 +49,24 @@
 /// assert_eq!(decide(false, objective, objective, 1), PrefillDecision::Refuse);
 /// ```
 pub fn decide(
-    is_free: bool,
+    can_admit: bool,
     waited: Duration,
     objective: Duration,
     priority: u8,
 ) -> PrefillDecision {
     let share = if priority == 0 { MAX_URGENT_WAIT_SHARE } else { MAX_WAIT_SHARE };
     match waited < objective.mul_f64(share) {
-        _ if is_free => PrefillDecision::Send,
+        _ if can_admit => PrefillDecision::Send,
         true => PrefillDecision::Wait,
         false if priority == 0 => PrefillDecision::Send,
         false => PrefillDecision::Refuse,
     }
 }
 
-/// How long calls have waited for their turn lately.
+/// How long recent calls have waited for admission.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct QueueWaits {
-    /// Smoothed wait in seconds, when it was last counted.
+    /// Smoothed wait in seconds, as of `updated_at`.
     wait_s: f64,
     updated_at: Time,
 }
@@ -79,7 +79,7 @@
         self.updated_at = now;
     }
 
-    /// What the next call is expected to wait.
+    /// The wait that the next call has to expect.
     pub fn expected(&self, now: Time) -> Duration {
         let age = (now - self.updated_at).as_secs_f64() / DECAY_TIME.as_secs_f64();
         Duration::from_secs_f64(self.wait_s * (-age).exp())
--- a/crates/medlarlug-core/src/gateway/publication.rs
+++ b/crates/medlarlug-core/src/gateway/publication.rs
@@ -1,10 +1,10 @@
-//! The replicated state of a gateway: the newest table, as its operator sent it, and the
+//! The replicated state of a gateway: the newest route table, as its operator sent it, and the
 //! evacuated availability zones.
 //!
-//! Keepers replicate [`Command`]s. The table is an opaque document here: it was checked before it
-//! was proposed, and whoever reads it back gets the bytes that were sent. A document whose version
-//! is not above the present one changes nothing, which is not an error: it may be a repeat, or
-//! have been overtaken.
+//! Keepers replicate [`Command`]s. The table is an opaque document here: it was validated before it
+//! was proposed, and readers get the bytes that were sent. A document whose version is not above
+//! the current one changes nothing. That is not an error: the command may be a retry, or a newer
+//! table may have been published first.
 
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
@@ -14,18 +14,19 @@
 /// A change of the replicated state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Put a table in force, unless one with the same or a higher version is.
+    /// Publish a table, unless the current one has the same or a higher version.
     Publish {
-        /// The table's version.
+        /// Version of the table.
         version: TableVersion,
-        /// The table, as sent.
+        /// The table, byte for byte as it was sent.
         document: ByteBuf,
     },
     /// Evacuate a zone.
     Evacuate(ZoneId),
     /// Withdraw the evacuation of a zone.
     Restore(ZoneId),
-    /// The group was rebuilt from a survivor; what it lacks has to be sent again.
+    /// The group was rebuilt from a surviving member; commands that the survivor lacks have to be
+    /// sent again.
     Rebuilt,
 }
 
@@ -36,12 +37,12 @@
     document: ByteBuf,
     /// Evacuated zones, sorted.
     evacuated: Vec<ZoneId>,
-    /// Counts the changes of the evacuated zones.
+    /// Number of changes of the evacuated zones.
     round: u64,
 }
 
 impl Publication {
-    /// Applies a command.
+    /// Applies a command; commands without effect are ignored.
     pub fn apply(&mut self, command: Command) {
         match command {
             Command::Publish { version, document } => {
@@ -66,16 +67,16 @@
         }
     }
 
-    /// The state as a snapshot.
+    /// Encodes the state as a snapshot.
     pub fn encode_snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("the state consists of plain values")
     }
 
-    /// The state of a snapshot.
+    /// Decodes a snapshot.
     ///
     /// # Errors
     ///
-    /// The bytes are no snapshot of this state.
+    /// The bytes are not a snapshot of this state.
     pub fn decode_snapshot(bytes: &[u8]) -> Result<Publication, postcard::Error> {
         postcard::from_bytes(bytes)
     }
@@ -85,7 +86,7 @@
         self.version
     }
 
-    /// The newest table, as sent; empty before the first one.
+    /// The newest table as it was sent; empty before the first one.
     pub fn document(&self) -> &[u8] {
         &self.document
     }
--- a/crates/medlarlug-core/src/gateway/remote_region.rs
+++ b/crates/medlarlug-core/src/gateway/remote_region.rs
@@ -1,40 +1,43 @@
-//! What a call costs in another region.
+//! Predicted cost of a call in another region.
 //!
-//! Entry instances tell how long a prompt of usual size would wait in their region. A call is
-//! measured against that by its own prompt: what is longer is read in addition, and shared parts
-//! that the engines there may not hold are read again, which delays other calls as it does here. So
-//! calls stay where their shared parts are until their region is well behind, and regions don't
-//! read all sessions of each other.
+//! Entry instances report how long a prompt of [reference size](REFERENCE_PROMPT_TOKENS) would wait
+//! in their region. The cost of a call is estimated from that and its own prompt: tokens beyond the
+//! reference size need additional prefill, and shared parts that the engines there may not have
+//! cached are computed again, which delays other calls as it does locally. So calls stay where
+//! their shared parts are cached until their region is well behind, and regions don't prefill all
+//! sessions of each other.
 //!
-//! This answers peaks of one region while others have room.
+//! This handles load peaks of one region while others have capacity.
 
 use std::time::Duration;
 
 use crate::gateway::placement::{Demand, PREFILL_TOKENS_PER_MS};
 
-/// Prompt tokens of the call for which a region tells the wait.
+/// Prompt tokens of the call for which a region reports the wait.
 pub const REFERENCE_PROMPT_TOKENS: u32 = 2_000;
 
-/// Part of the shared tokens of a prompt that another region is taken to read again: sessions live
-/// in few regions, and parts that everyone shares are held in all.
+/// Share of a prompt's shared tokens that is assumed to be recomputed in another region: sessions
+/// live in few regions, and parts that all prompts share are cached in every region.
 const UNCACHED_SHARE: f64 = 0.5;
 
-/// Weight of reading a shared part again there: less than within a region, where other engines read
-/// it instead of the one that holds it, since here the own engines are behind.
+/// Weight of recomputing a shared part there. It is lower than within a region, where another
+/// engine recomputes what one already has cached, since here the local engines are behind.
 const RECOMPUTE_WEIGHT: f64 = 3.0;
 
 /// What is known of a service in another region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RemoteService {
-    /// Time to the first token of a usual call, as told by the instances there.
+    /// Time to the first token of a call of reference size, as the instances there report it.
     pub reported_wait: Duration,
-    /// Prompt tokens that this instance has handed over since and that are not answered yet.
+    /// Prompt tokens of calls that this instance has forwarded since that report and that are not
+    /// answered yet.
     pub pending_tokens: u64,
-    /// Upstreams there.
+    /// Number of upstreams there.
     pub upstreams: usize,
 }
 
-/// Predicted time to the first token there with the delay of other calls, without the way.
+/// Predicted time to the first token there, including the delay to other calls but not the network
+/// latency.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/medlarlug-core/src/gateway/retry_budget.rs
+++ b/crates/medlarlug-core/src/gateway/retry_budget.rs
@@ -1,26 +1,26 @@
-//! The retries of a service that one entry instance may make.
+//! The retries that one entry instance may make for a service.
 //!
-//! A service bears a number of repeated arrivals in each window, a ratio of its calls and a fixed
-//! allowance, summed over all entry instances. An instance earns the ratio from the calls that it
-//! takes in itself, so that this part of the sum holds whoever freezes, joins or is cut off.
+//! A service tolerates a number of retries in each window, summed over all entry instances: a ratio
+//! of its calls plus a fixed allowance. An instance earns the ratio from the calls that it receives
+//! itself, so this part of the sum holds whichever instances freeze, join or are cut off.
 //!
-//! The allowance is divided by the most entry instances that were ever known, and an instance has a
-//! share once its [`keeper_view`](super::keeper_view) of the others was complete. Half of the allowance is never
-//! handed out.
+//! The allowance is divided by the largest number of entry instances that were ever known, and an
+//! instance gets its share once its [`keeper_view`](super::keeper_view) has been complete. Half of
+//! the allowance is never granted.
 //!
-//! What an instance has spent is forgotten when it restarts. Its successor repeats no call until a
-//! window has passed, so that no window holds repeats of both.
+//! What an instance has spent is lost when it restarts. Its successor makes no retries until a
+//! window has passed, so that no window contains retries of both processes.
 
 use std::{collections::VecDeque, time::Duration};
 
 use crate::time::Time;
 
-/// Bounds on the repeated arrivals at a service, over all entry instances.
+/// Bounds on the retries that reach a service, over all entry instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBounds {
-    /// Repeats for each call.
+    /// Retries per call.
     pub ratio: f64,
-    /// Repeats beyond the ratio, in one window.
+    /// Retries beyond the ratio, in one window.
     pub allowance: f64,
     /// Length of a window.
     pub window: Duration,
@@ -32,34 +32,34 @@
     }
 }
 
-/// Longest time from the moment at which a repeat is paid for to its arrival at an upstream: a new
-/// connection to another region, and one to an upstream there.
+/// Longest time from the moment at which a retry is taken from the budget to its arrival at an
+/// upstream: a new connection to another region, and one to an upstream there.
 const MAX_DELIVERY_TIME: Duration = Duration::from_secs(1);
-/// Part of a window by which the way of a repeat is reckoned with at most.
+/// The assumed delivery time is at most the window divided by this.
 const DELIVERY_WINDOW_DIVISOR: u32 = 4;
-/// Part of the allowance that is handed out; the rest covers repeats that arrive later than
-/// [`MAX_DELIVERY_TIME`], and instances that others do not know yet.
+/// Share of the allowance that is granted. The rest covers retries that arrive later than
+/// [`MAX_DELIVERY_TIME`], and instances that the others do not know yet.
 const GRANTED_ALLOWANCE_SHARE: f64 = 0.5;
 
-/// What an instance may spend as one of many.
+/// The part of a budget that one instance may spend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InstanceShare {
-    /// The most entry instances that were ever known, this one included.
+    /// Largest number of entry instances that were ever known, this one included.
     pub instances: usize,
-    /// Time for which this process has run, or `None` if there was none before it that may have
-    /// repeated calls.
+    /// Time since this process started; `None` if no earlier process of the instance can have made
+    /// retries.
     pub process_age: Option<Duration>,
-    /// Whether its view of the other instances was complete since it started.
+    /// Whether its view of the other instances has been complete since it started.
     pub has_complete_view: bool,
 }
 
 impl InstanceShare {
-    /// Whether repeats of the process before this one may still count in the present window.
+    /// Whether retries of the previous process may still count in the present window.
     fn overlaps_predecessor(self, bounds: RetryBounds) -> bool {
         self.process_age.is_some_and(|age| age <= bounds.window + delivery_time(bounds))
     }
 
-    /// Repeats that the instance may make in a window beyond those that it has earned.
+    /// Retries that the instance may make in a window beyond those earned by calls.
     pub fn allowance(self, bounds: RetryBounds) -> f64 {
         match self.has_complete_view {
             true => GRANTED_ALLOWANCE_SHARE * bounds.allowance / self.instances.max(1) as f64,
@@ -68,21 +68,22 @@
     }
 }
 
-/// What a service has left at this entry instance.
+/// State of the budget of a service at this entry instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Balance {
-    /// Calls that count.
+    /// Calls within the window.
     pub calls: usize,
-    /// Repeats that count.
+    /// Retries within the window.
     pub retries: usize,
-    /// Repeats that are left.
+    /// Retries that may still be made; zero or less if none.
     pub remaining: f64,
 }
 
-/// Calls and repeats of one service at this entry instance.
+/// Calls and retries of one service at this entry instance.
 ///
-/// Repeats that are paid for in a window may arrive up to [`MAX_DELIVERY_TIME`] later, together with those
-/// of the next one. Calls count for a shorter time than a window, and repeats for a longer one.
+/// Retries taken from the budget in one window may arrive up to [`MAX_DELIVERY_TIME`] later,
+/// together with those of the next window. Calls therefore count for a shorter time than a window,
+/// and retries for a longer one.
 #[derive(Debug, Clone, Default)]
 pub struct RetryWindow {
     calls: VecDeque<Time>,
@@ -90,13 +91,13 @@
 }
 
 impl RetryWindow {
-    /// Counts a call for the service.
+    /// Counts a call to the service.
     pub fn record_call(&mut self, now: Time, bounds: RetryBounds) {
         self.trim(now, bounds);
         self.calls.push_back(now);
     }
 
-    /// Takes one repeat out of the budget.
+    /// Takes one retry from the budget; returns whether there was one.
     pub fn try_take_retry(&mut self, now: Time, bounds: RetryBounds, share: InstanceShare) -> bool {
         self.trim(now, bounds);
         if self.balance(bounds, share).remaining < 1.0 {
@@ -106,7 +107,7 @@
         true
     }
 
-    /// What is left at the time of the last change.
+    /// State of the budget as of the last change.
     pub fn balance(&self, bounds: RetryBounds, share: InstanceShare) -> Balance {
         let (calls, retries) = (self.calls.len(), self.retries.len());
         let left = match share.overlaps_predecessor(bounds) {
@@ -133,10 +134,10 @@
     }
 }
 
-/// What one call has spent of the budget, at one entry instance.
+/// What one call has spent of the budget at one entry instance.
 ///
-/// The first request that reaches an upstream is free, each further one is paid for before it goes
-/// out. What was paid for a request that reached nobody is kept for the next one.
+/// The first request that reaches an upstream is free; each further one is paid for before it is
+/// sent. A payment for a request that reached no upstream is kept for the next one.
 ///
 /// ```
 /// use medlarlug_core::gateway::retry_budget::Spending;
@@ -155,17 +156,17 @@
 }
 
 impl Spending {
-    /// Whether the next request is free or paid for.
+    /// Whether the next request is free or already paid for.
     pub fn is_covered(self) -> bool {
         self.arrivals <= self.paid
     }
 
-    /// One more request is paid for.
+    /// Pays for one more request.
     pub fn pay(&mut self) {
         self.paid += 1;
     }
 
-    /// A request has reached an upstream, or another instance that sent it to one.
+    /// Counts a request that has reached an upstream, or another instance that sent it to one.
     pub fn record_arrival(&mut self) {
         self.arrivals += 1;
     }
--- a/crates/medlarlug-core/src/gateway/stall.rs
+++ b/crates/medlarlug-core/src/gateway/stall.rs
@@ -1,16 +1,16 @@
-//! Whether a process has stalled, so that what it knows and reads may be old.
+//! Detects that a process has stalled, so that what it knows and reads may be out of date.
 //!
-//! While a process is frozen, or gets no processor time, messages queue in its sockets; it reads
-//! them at once when it resumes. They are as old as the stall was long, at most.
+//! While a process is frozen or gets no processor time, messages queue in its sockets, and it reads
+//! them when it resumes. They are at most as old as the stall was long.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Time in which a process that resumes reads what has queued.
+/// Time in which a process that resumes reads the queued messages.
 const BACKLOG_READ_TIME: Duration = Duration::from_millis(500);
 
-/// Notices stalls by the time between two turns of a loop.
+/// Detects stalls by the time between two ticks of a loop.
 ///
 /// ```
 /// use medlarlug_core::{gateway::stall::StallDetector, time::Time};
@@ -23,20 +23,20 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct StallDetector {
-    /// Longest time between two turns that is no stall.
+    /// Longest time between two ticks that does not count as a stall.
     limit: Duration,
     last_tick: Option<Time>,
-    /// When the newest stall began and ended.
+    /// Begin and end of the last stall.
     last_stall: Option<(Time, Time)>,
 }
 
 impl StallDetector {
-    /// Takes more than `limit` without a turn for a stall.
+    /// A detector that counts more than `limit` without a tick as a stall.
     pub fn new(limit: Duration) -> StallDetector {
         StallDetector { limit, last_tick: None, last_stall: None }
     }
 
-    /// The loop has a turn; returns the length of the stall that it ends, if there was one.
+    /// Records a tick of the loop; returns the length of the stall that it ends, if there was one.
     pub fn tick(&mut self, now: Time) -> Option<Duration> {
         let began = self.stall_began(now);
         if let Some(began) = began {
@@ -46,17 +46,17 @@
         began.map(|began| now - began)
     }
 
-    /// When the process last resumed: now, if the loop has not had its turn since.
+    /// When the process last resumed; `now` if the loop has not ticked since a stall.
     pub fn last_resumed(&self, now: Time) -> Option<Time> {
         self.stall_began(now).map(|_| now).or(self.last_stall.map(|it| it.1))
     }
 
-    /// Whether the process has just resumed, and the loop has not had its turn since.
+    /// Whether the process has just resumed and the loop has not ticked since.
     pub fn is_overdue(&self, now: Time) -> bool {
         self.stall_began(now).is_some()
     }
 
-    /// How old what is read now may be.
+    /// How old a message that is read now may be.
     pub fn max_message_age(&self, now: Time) -> Duration {
         if let Some(began) = self.stall_began(now) {
             return now - began;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// When the stall began that no turn has ended yet.
+    /// When the stall began that no tick has ended yet.
     fn stall_began(&self, now: Time) -> Option<Time> {
         self.last_tick.filter(|last_tick| now - *last_tick > self.limit)
     }
--- a/crates/medlarlug-core/src/gateway/stream_timeout.rs
+++ b/crates/medlarlug-core/src/gateway/stream_timeout.rs
@@ -1,21 +1,21 @@
-//! How long a stream may be silent before it goes on at another upstream.
+//! Idle timeout after which a stream continues at another upstream.
 //!
-//! Engines pause streams while they read long prompts or preempt a request, so silence is weak
-//! evidence. It ends an attempt only where another one may follow: a stream that nobody can go on
-//! with is left to its upstream until the call's time is up.
+//! Engines pause streams while they prefill long prompts or preempt a request, so a pause is weak
+//! evidence of a failure. It ends an attempt only if another attempt may follow: a stream that
+//! can't be continued elsewhere is left to its upstream until the call's time is up.
 //!
 //! A stream that another region serves passes through two instances. The one that holds the
-//! connection to the engine goes on elsewhere first; the other one waits long enough for that.
+//! connection to the engine continues elsewhere first; the other one waits long enough for that.
 
 use std::time::Duration;
 
-/// Silence after which an upstream is taken for dead, as a multiple of the longest pause of a
-/// stream that is on time. Engines that preempt a request pause it as well.
+/// Idle time after which an upstream is assumed dead, as a multiple of the longest pause of a
+/// stream that is on time. Engines that preempt a request also pause its stream.
 const PAUSE_FACTOR: u32 = 3;
-/// Pause that is taken for on time if the route has a shorter one: a few steps of a busy engine.
+/// Pause that counts as on time if the route has a shorter one: a few steps of a busy engine.
 const MIN_PAUSE: Duration = Duration::from_millis(300);
-/// Time in which the instance of another region goes on at a second upstream, after it has waited
-/// as long as a stream of its own may be silent: the prompt is read again, and the events travel.
+/// Time in which the instance of another region continues at a second upstream after its own idle
+/// timeout: the prompt is prefilled again, and the events travel between regions.
 const FORWARDED_EXTRA_TIME: Duration = Duration::from_millis(1_500);
 
 /// Where a stream comes from.
@@ -27,8 +27,9 @@
     Instance,
 }
 
-/// Silence after which the stream goes on elsewhere; `None` if it is left to its source. `pause` is
-/// the longest pause of a stream that is on time, `may_retry` tells whether another attempt is left.
+/// Idle time after which the stream continues elsewhere; `None` if it is left to its source.
+/// `pause` is the longest pause of a stream that is on time, `may_retry` tells whether an attempt
+/// is left.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/medlarlug-core/src/gateway/table.rs
+++ b/crates/medlarlug-core/src/gateway/table.rs
@@ -1,7 +1,7 @@
-//! Routes by host and path prefix, and the services that they lead to.
+//! Routes by host and path prefix, and the services that they target.
 //!
-//! A table is checked once, when it is built, so whoever holds one can rely on it: every route
-//! leads to a service of the table, no two routes share a place, and no route times out at once.
+//! A table is validated once, when it is built. Every route targets a service of the table, no two
+//! routes have the same host and prefix, and no route has a timeout of zero.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -11,7 +11,7 @@
 
 use crate::ids::RegionId;
 
-/// Number that operators give to a whole table; the highest is in force.
+/// Number that operators give to a whole table; the highest is active.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -51,24 +51,24 @@
     }
 }
 
-/// What may be done with the calls of a route.
+/// How the calls of a route may be run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// A call may run more than once.
     Idempotent,
-    /// Runs at most once.
+    /// A call runs at most once.
     AtMostOnce,
-    /// Answered by a stream of events.
+    /// A call is answered by a stream of events.
     Stream {
-        /// Whether another upstream may go on after the last event delivered. A stream that may
-        /// not be resumed runs at most once.
+        /// Whether another upstream may continue after the last event delivered. The call of a
+        /// stream that may not be resumed runs at most once.
         resumable: bool,
     },
 }
 
 impl RouteKind {
     /// Whether a call may run more than once.
-    pub fn is_repeatable(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         match self {
             RouteKind::Idempotent => true,
             RouteKind::AtMostOnce => false,
@@ -82,39 +82,39 @@
     }
 }
 
-/// A service that a route leads to, and its share of the route's calls.
+/// A service that a route targets, and its share of the route's calls.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The service.
+    /// Name of the service in the same table.
     pub service: ServiceName,
     /// Share of the calls, relative to the other targets.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route, for logs and metrics.
     pub name: SmolStr,
     /// Host that it serves, in lower case.
     pub host: SmolStr,
-    /// Beginning of the paths that it serves; begins and ends with a slash.
+    /// Prefix of the paths that it serves; starts and ends with a slash.
     pub prefix: SmolStr,
-    /// What may be done with its calls.
+    /// How its calls may be run.
     pub kind: RouteKind,
     /// Longest time that a caller is kept waiting.
     pub timeout: Duration,
-    /// Latency objective: to the whole answer, or to the first event of a stream.
+    /// Latency objective: to the complete answer, or to the first event of a stream.
     pub objective: Duration,
     /// Longest pause between two events of a stream that is on time.
     pub pause: Duration,
-    /// Rank; 0 is served first.
+    /// Priority of its calls; 0 is served first.
     pub priority: u8,
-    /// Services, at least one of them with a weight above zero.
+    /// Target services, at least one of them with a weight above zero.
     pub targets: Vec<Target>,
-    /// Upstreams that one call may be sent to.
+    /// Number of upstreams that may run one call.
     pub attempts: u32,
-    /// Regions that may serve the route, sorted; all when empty.
+    /// Regions that may serve the route, sorted; all if empty.
     pub homes: Vec<RegionId>,
 }
 
@@ -124,7 +124,7 @@
         self.homes.is_empty() || self.homes.binary_search(region).is_ok()
     }
 
-    /// The target at `point`, which lies between 0 and 1, of the route's weights.
+    /// The target at `point` of the route's weights, where `point` lies between 0 and 1.
     pub fn target_at(&self, point: f64) -> &Target {
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
         let mut left = point * f64::from(total);
@@ -139,38 +139,38 @@
     }
 }
 
-/// What the table tells of the model engines of a service.
+/// What the table specifies about the model engines of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests that an engine works on at once.
+    /// Requests that an engine works on concurrently.
     pub slots: u32,
     /// Tokens that fit into an engine's memory.
     pub memory: u64,
 }
 
-/// One service.
+/// A service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name by which routes refer to it.
     pub name: ServiceName,
     /// Path of the health check of its upstreams.
     pub health: SmolStr,
     /// Connections that one upstream accepts from all callers together.
     pub connections: u32,
-    /// Requests a second that a cold upstream bears; zero if its upstreams are never cold.
+    /// Requests per second that a cold upstream tolerates; zero if its upstreams are never cold.
     pub cold_rate: f64,
-    /// Model engines; `None` for a plain service.
+    /// Specification of its model engines; `None` for a plain service.
     pub engine: Option<EngineSpec>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on what a caller may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Longest head of a request, in bytes.
+    /// Longest request head, in bytes.
     pub header_bytes: usize,
-    /// Longest body, in bytes.
+    /// Longest request body, in bytes.
     pub body_bytes: usize,
-    /// Time in which the head has to arrive.
+    /// Time in which the request head has to arrive.
     pub header_time: Duration,
     /// Time for which an idle connection stays open.
     pub idle_time: Duration,
@@ -187,23 +187,23 @@
     }
 }
 
-/// Why a table is refused.
+/// Why a table is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TableError {
-    /// A route leads to a service that the table does not have.
-    #[error("route `{route}` leads to the unknown service `{service}`")]
+    /// A route targets a service that the table does not contain.
+    #[error("route `{route}` targets the unknown service `{service}`")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: SmolStr,
-        /// The service.
+        /// Name of the missing service.
         service: ServiceName,
     },
     /// Two routes have the same host and prefix.
-    #[error("routes `{first}` and `{second}` share `{host}{prefix}`")]
+    #[error("routes `{first}` and `{second}` have the same host and prefix `{host}{prefix}`")]
     DuplicateRoute {
-        /// A route.
+        /// Name of one route.
         first: SmolStr,
-        /// Another one.
+        /// Name of the other route.
         second: SmolStr,
         /// Their host.
         host: SmolStr,
@@ -213,21 +213,21 @@
     /// The weights of a route add up to zero.
     #[error("the weights of route `{route}` add up to zero")]
     ZeroWeight {
-        /// The route.
+        /// Name of the route.
         route: SmolStr,
     },
     /// A route has a timeout of zero.
     #[error("the timeout of route `{route}` is zero")]
     ZeroTimeout {
-        /// The route.
+        /// Name of the route.
         route: SmolStr,
     },
-    /// A prefix does not begin and end with a slash.
-    #[error("prefix `{prefix}` of route `{route}` has to begin and end with a slash")]
+    /// A prefix does not start and end with a slash.
+    #[error("prefix `{prefix}` of route `{route}` must start and end with a slash")]
     InvalidPrefix {
-        /// The route.
+        /// Name of the route.
         route: SmolStr,
-        /// The prefix.
+        /// The invalid prefix.
         prefix: SmolStr,
     },
 }
@@ -244,11 +244,11 @@
 }
 
 impl RouteTable {
-    /// A table out of its parts, in any order.
+    /// Builds a table from its parts, in any order.
     ///
     /// # Errors
     ///
-    /// The parts don't fit together; see [`TableError`].
+    /// The parts are inconsistent, see [`TableError`].
     ///
     /// ```
     /// use medlarlug_core::gateway::table::{CallerLimits, RouteTable, TableVersion};
@@ -282,7 +282,7 @@
         Ok(RouteTable { version, routes, services, limits })
     }
 
-    /// The operators' number of the table.
+    /// Number that operators gave to the table.
     pub fn version(&self) -> TableVersion {
         self.version
     }
@@ -297,7 +297,7 @@
         &self.services
     }
 
-    /// Bounds on what callers may send.
+    /// Limits on what callers may send.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
@@ -308,7 +308,7 @@
         Some(&self.services[at])
     }
 
-    /// The route with the longest prefix that begins `path`.
+    /// The route of `host` with the longest prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.to_ascii_lowercase();
         let slashes = path.char_indices().rev().filter(|(_, c)| *c == '/');
@@ -324,7 +324,7 @@
         None
     }
 
-    /// Regions that may serve any route of `host`, sorted; all when empty.
+    /// Regions that may serve any route of `host`, sorted; all if empty.
     pub fn homes_of(&self, host: &str) -> Vec<RegionId> {
         let homes = self.routes.iter().filter(|route| route.host == host).flat_map(|it| &it.homes);
         let mut homes: Vec<RegionId> = homes.cloned().collect();
--- a/crates/medlarlug-core/src/gateway/upstream_limits.rs
+++ b/crates/medlarlug-core/src/gateway/upstream_limits.rs
@@ -1,11 +1,13 @@
-//! Limits that upstreams name: the requests a second that one takes from all entry instances together.
+//! Limits that upstreams name in their answers: the requests per second that an upstream accepts
+//! from all entry instances together.
 //!
-//! An upstream in need names its limit in each answer, for as long as it holds. The limit belongs to the
-//! incarnation that named it. Answers cross: one without a limit ends it only if its request went out after
-//! the limit was last named, and one to an older request can lower a limit, but not raise it.
+//! An overloaded upstream names its limit in each answer, for as long as the limit holds. The limit
+//! belongs to the incarnation that named it. Answers may arrive out of order: an answer without a
+//! limit ends the limit only if its request was sent after the limit was last named, and an answer
+//! to an older request can lower a limit but not raise it.
 //!
-//! Instances of a region tell each other of changes. How they divide a limit is up to
-//! [`permits`](super::permits).
+//! Instances of a region notify each other of changes. [`permits`](super::permits) divides a limit
+//! among them.
 
 use std::{fmt, str::FromStr};
 
@@ -14,15 +16,15 @@
 
 use crate::{gateway::upstreams::Birth, ids::UpstreamId, time::Time};
 
-/// Lowest rate that is kept, in requests a second: an upstream that takes none is asked this often, since
-/// only its answers tell that the limit has ended.
+/// Lowest rate that is kept, in requests per second. An upstream that accepts none still gets this
+/// many, since only its answers show that the limit has ended.
 const MIN_RATE: f64 = 0.1;
-/// Highest rate, in requests a second, above which a limit is none.
+/// Highest rate that is kept, in requests per second; it has no effect in practice.
 const MAX_RATE: f64 = 1e6;
-/// Part by which a limit has to change before other instances are told.
+/// Relative change of a limit from which on other instances are notified.
 const PUBLISH_THRESHOLD: f64 = 0.1;
 
-/// Requests a second that an upstream takes from all entry instances together.
+/// Requests per second that an upstream accepts from all entry instances together.
 ///
 /// ```
 /// use medlarlug_core::gateway::upstream_limits::UpstreamLimit;
@@ -35,16 +37,16 @@
 #[serde(try_from = "f64", into = "f64")]
 pub struct UpstreamLimit(f64);
 
-/// A text that holds no limit.
+/// Returned for a rate that is not a non-negative number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("not a number of requests a second from zero on")]
+#[error("expected a non-negative number of requests per second")]
 pub struct LimitError;
 
 impl UpstreamLimit {
-    /// The lowest limit, which also holds for an upstream that names one that can't be read.
+    /// The lowest limit, which is also used for an upstream that names an unreadable limit.
     pub const MIN: UpstreamLimit = UpstreamLimit(MIN_RATE);
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
@@ -82,14 +84,14 @@
     }
 }
 
-/// What an answer says about a limit.
+/// What an answer says about the upstream's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitHeader {
     /// The upstream names this limit.
     Limit(UpstreamLimit),
-    /// The upstream names a limit that can't be read.
+    /// The upstream names a limit that can't be parsed.
     Invalid,
-    /// The upstream names none.
+    /// The upstream names no limit.
     Absent,
 }
 
@@ -98,9 +100,9 @@
     id: UpstreamId,
     birth: Birth,
     limit: UpstreamLimit,
-    /// When an answer named it last.
+    /// When an answer last named the limit.
     named_at: Time,
-    /// The limit as other instances were told.
+    /// The limit that other instances were last notified of.
     published: UpstreamLimit,
 }
 
@@ -123,8 +125,8 @@
 }
 
 impl UpstreamLimits {
-    /// Takes in what an answer to a request says that went out at `sent`. Returns whether other instances
-    /// have to know.
+    /// Applies the limit named in the answer to a request that was sent at `sent`. Returns whether
+    /// other instances have to be notified.
     pub fn record_answer(
         &mut self,
         now: Time,
@@ -163,7 +165,7 @@
         has_changed
     }
 
-    /// Takes in what another instance tells of an upstream; `None` if its limit has ended.
+    /// Applies an update from another instance; `None` means that the limit has ended.
     pub fn apply_update(
         &mut self,
         now: Time,
--- a/crates/medlarlug-core/src/gateway/upstreams.rs
+++ b/crates/medlarlug-core/src/gateway/upstreams.rs
@@ -1,9 +1,9 @@
-//! Upstreams as they announce themselves, ordered by incarnation and sequence.
+//! Upstreams as they announce themselves, ordered by incarnation and sequence number.
 //!
-//! An announcement may arrive late, twice, or through several keepers. What counts is the pair of
-//! birth and sequence: a younger incarnation replaces an older one, and within an incarnation a
-//! higher sequence number wins. Leaving is final for an incarnation: an announcement that arrives
-//! after it, and was sent before, does not bring the upstream back.
+//! An announcement may arrive late, twice, or through several keepers. The pair of birth and
+//! sequence number decides: a younger incarnation replaces an older one, and within an incarnation
+//! a higher sequence number wins. Leaving is final for an incarnation: an announcement that was
+//! sent before it and arrives after it does not bring the upstream back.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,50 +15,51 @@
     time::Time,
 };
 
-/// Start of an upstream's incarnation, in Unix milliseconds of its own clock. Only compared with
-/// other births of the same upstream or address.
+/// Start of an upstream's incarnation, in Unix milliseconds of its own clock. It is only compared
+/// with other births of the same upstream or address.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Birth(pub u64);
 
-/// Whether an upstream takes new requests.
+/// Whether an upstream accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum UpstreamState {
-    /// Takes requests.
+    /// It accepts requests.
     Ready,
-    /// Finishes what it has and leaves.
+    /// It finishes the requests that it has, and then leaves.
     Draining,
-    /// Has left.
+    /// It has left.
     Gone,
 }
 
-/// What an upstream tells of itself.
+/// An announcement: what an upstream says about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// Its id.
+    /// Id of the upstream, which it keeps over restarts.
     pub id: UpstreamId,
-    /// The service that it serves.
+    /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The availability zone that it runs in.
     pub zone: ZoneId,
     /// Its incarnation.
     pub birth: Birth,
-    /// Counts its announcements.
+    /// Number of the announcement within the incarnation.
     pub sequence: u64,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: UpstreamState,
-    /// Requests that it works on at once.
+    /// Requests that it works on concurrently.
     pub slots: u32,
-    /// For how long it stays cold from the announcement on.
+    /// Time from the announcement on for which it stays cold; zero if it is warm.
     pub cold: Duration,
 }
 
 impl Upstream {
-    /// What it tells, read up to `age` late: its cold time ends no earlier than if it were new.
+    /// The announcement as a process has to treat it that reads it up to `age` late: its cold time
+    /// ends no earlier than if the announcement were new.
     pub fn extend_cold(self, age: Duration) -> Upstream {
         let cold = match self.cold {
             Duration::ZERO => Duration::ZERO,
@@ -73,7 +74,7 @@
 pub struct KnownUpstream {
     /// Its newest announcement.
     pub upstream: Upstream,
-    /// When that was made, as far as known.
+    /// When that announcement was made, as far as known.
     pub announced_at: Time,
     /// Number of the last change, see [`Upstreams::changed_since`].
     change: u64,
@@ -81,15 +82,15 @@
     renewal: u64,
     /// Whether the upstream announced itself to this process.
     pub is_local: bool,
-    /// Keepers that have told this process of this incarnation.
+    /// Keepers that have sent this incarnation to this process.
     keepers: Vec<SocketAddr>,
 }
 
 impl KnownUpstream {
-    /// It was heard again at `announced_at`, and has told nothing new.
+    /// Applies an announcement made at `announced_at` that changes nothing else.
     fn renew(&mut self, announced_at: Time) {
-        // The time that is left to be cold counts from the announcement that told it.
-        // It is not over before an announcement says so, which is told as a change.
+        // The remaining cold time counts from the announcement that contained it. It is not over
+        // before an announcement says so, which arrives as a change.
         if !self.upstream.cold.is_zero() {
             let left = self.upstream.cold.saturating_sub(announced_at - self.announced_at);
             self.upstream.cold = left.max(Duration::from_millis(1));
@@ -97,46 +98,46 @@
         self.announced_at = self.announced_at.max(announced_at);
     }
 
-    /// How long the upstream still is cold.
+    /// Time for which the upstream stays cold.
     pub fn cold_left(&self, now: Time) -> Duration {
         self.upstream.cold.saturating_sub(now - self.announced_at)
     }
 
-    /// Whether the upstream may still be cold, by what it has announced: a longer time is passed on
-    /// only if it differs by more than the jitter.
+    /// Whether the upstream may still be cold, judging by its announcements. A longer cold time is
+    /// forwarded as a change only if it differs by more than the jitter, so the jitter is added.
     pub fn may_be_cold(&self, now: Time) -> bool {
         let cold = self.upstream.cold;
         !cold.is_zero() && now - self.announced_at < cold + COLD_JITTER
     }
 
-    /// Whether an announcement that was heard at `announced_at` says that it stays cold for longer than
-    /// the last one said.
+    /// Whether an announcement made at `announced_at` says that the upstream stays cold for longer
+    /// than the last announcement did.
     fn is_cold_longer(&self, upstream: &Upstream, announced_at: Time) -> bool {
         announced_at + upstream.cold > self.announced_at + self.upstream.cold + COLD_JITTER
     }
 }
 
-/// What an announcement changed.
+/// Effect of an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// It was old news.
+    /// It was out of date.
     Ignored,
-    /// The upstream lives on as it was.
+    /// The upstream is alive and unchanged.
     Renewed,
     /// The upstream is new or has changed.
     Changed,
 }
 
-/// Time after which an upstream is forgotten that announces nothing: long enough to bridge a
+/// Time without announcements after which an upstream is forgotten: long enough to bridge a
 /// partition between upstreams and keepers.
 pub const FORGET_AFTER: Duration = Duration::from_secs(40);
 
 /// Time by which the end of a cold time may seem to move from one announcement to the next: the
-/// way of one with a lost packet.
+/// delay of an announcement with a lost packet.
 const COLD_JITTER: Duration = Duration::from_millis(300);
 
-/// Sequence numbers with which an incarnation whose predecessor left without a known birth may
-/// begin.
+/// Highest sequence number with which a new incarnation is accepted if its predecessor left without
+/// a known birth.
 const MAX_FIRST_SEQUENCE: u64 = 3;
 
 /// The upstreams that a process knows, sorted by id.
@@ -147,37 +148,38 @@
     renewal: u64,
 }
 
-/// The renewal of an upstream that is known already.
+/// The renewal of a known upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewal {
-    /// The upstream.
+    /// Id of the upstream.
     pub id: UpstreamId,
     /// Its incarnation.
     pub birth: Birth,
-    /// Counts its announcements.
+    /// Number of the announcement within the incarnation.
     pub sequence: u64,
     /// Age of the announcement, in milliseconds.
     pub age_ms: u32,
 }
 
-/// Age up to which an upstream is part of a [`Heartbeat`] without being named: it announces itself each
-/// 1.2 s, and keepers tell each other within half a second.
+/// Age of an announcement up to which its upstream is not named in a [`Heartbeat`]. Upstreams
+/// announce themselves every 1.2 s, and keepers forward that to each other within half a second.
 const HEARTBEAT_MAX_AGE: Duration = Duration::from_millis(1_800);
-/// Silence after which a pulse does not renew an upstream: the keeper may have forgotten it.
+/// Time without an announcement after which a heartbeat does not renew an upstream: the keeper may
+/// have forgotten it.
 const HEARTBEAT_RENEWAL_LIMIT: Duration = Duration::from_secs(20);
 
-/// What a keeper tells of all upstreams that it has told of on a link: that each was heard lately, but
-/// for some. Its size does not grow with the upstreams.
+/// What a keeper reports about all upstreams that it has sent on a link: all of them were heard
+/// recently, except those that are named. Its size does not grow with the number of upstreams.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Age of what was heard of those that are not named, at most, in milliseconds.
+    /// Maximum age of the announcements of upstreams that are not named, in milliseconds.
     pub age_ms: u32,
-    /// Those that are silent for longer.
+    /// Upstreams whose announcements are older.
     pub late: Vec<Renewal>,
 }
 
 impl Upstreams {
-    /// The pulse of all known upstreams.
+    /// The heartbeat about all known upstreams.
     pub fn heartbeat(&self, now: Time) -> Heartbeat {
         let late = self.known.iter().filter(|it| now - it.announced_at > HEARTBEAT_MAX_AGE);
         let late = late.filter(|it| it.upstream.state != UpstreamState::Gone);
@@ -190,7 +192,7 @@
         Heartbeat { age_ms: HEARTBEAT_MAX_AGE.as_millis() as u32, late: late.collect() }
     }
 
-    /// Takes in that `keeper` has told of an incarnation of an upstream, new or not.
+    /// Records that `keeper` has sent an incarnation of an upstream, new or not.
     pub fn record_keeper(&mut self, keeper: SocketAddr, id: &UpstreamId, birth: Birth) {
         let Ok(at) = self.index_of(id) else { return };
         let known = &mut self.known[at];
@@ -199,13 +201,15 @@
         }
     }
 
-    /// The link to `keeper` is a new one: what it told before says nothing of what it knows now.
+    /// Handles a new link to `keeper`: what the keeper sent on an earlier link says nothing about
+    /// what it knows now.
     pub fn forget_keeper(&mut self, keeper: SocketAddr) {
         self.known.iter_mut().for_each(|known| known.keepers.retain(|it| *it != keeper));
     }
 
-    /// Takes in the pulse of `keeper`. It renews what that keeper has told of: another one may have
-    /// heard of an upstream that is silent since, which this keeper does not know.
+    /// Applies the heartbeat of `keeper`. It renews only upstreams that this keeper has sent:
+    /// another keeper may have heard an upstream that has been unresponsive since, of which this
+    /// keeper does not know.
     pub fn apply_heartbeat(&mut self, now: Time, keeper: SocketAddr, heartbeat: &Heartbeat) {
         let announced_at = now.saturating_sub(Duration::from_millis(heartbeat.age_ms.into()));
         let mut late: Vec<&Renewal> = heartbeat.late.iter().collect();
@@ -227,12 +231,13 @@
         }
     }
 
-    /// Takes in what another process heard an upstream announce `age` before `now`.
+    /// Applies an announcement that another process received `age` before `now`.
     pub fn announce(&mut self, now: Time, upstream: Upstream, age: Duration) -> Effect {
         self.apply(now, upstream, age, false)
     }
 
-    /// Takes in what an upstream announced to this process, which reads it up to `age` late.
+    /// Applies an announcement that an upstream made to this process, which reads it up to `age`
+    /// late.
     pub fn announce_local(&mut self, now: Time, upstream: Upstream, age: Duration) -> Effect {
         self.apply(now, upstream.extend_cold(age), age, true)
     }
@@ -282,8 +287,8 @@
         Effect::Changed
     }
 
-    /// Takes in that an upstream has renewed itself. Ignored for an incarnation that is not known
-    /// yet: its whole announcement is on its way.
+    /// Applies a renewal. It is ignored for an incarnation that is not known yet: its full
+    /// announcement is still to arrive.
     pub fn renew(&mut self, now: Time, renewal: &Renewal) -> Effect {
         let Ok(at) = self.index_of(&renewal.id) else { return Effect::Ignored };
         let known = &mut self.known[at];
@@ -300,8 +305,8 @@
         Effect::Renewed
     }
 
-    /// Incarnations that an announcement shows to have crashed: an older one with the same id or
-    /// address that took requests until then.
+    /// Incarnations that crashed according to an announcement: older ones with the same id or
+    /// address that accepted requests until then.
     pub fn crashed_predecessors(&self, upstream: &Upstream) -> Vec<(UpstreamId, Birth)> {
         let is_replaced = |known: &&KnownUpstream| {
             let old = &known.upstream;
@@ -313,8 +318,8 @@
         replaced.map(|it| (it.upstream.id.clone(), it.upstream.birth)).collect()
     }
 
-    /// Takes in that an incarnation has said in an answer that it is leaving. Later announcements of the
-    /// same incarnation do not take it back.
+    /// Records that an incarnation has said in an answer that it is leaving. Later announcements of
+    /// the same incarnation do not take it back.
     pub fn mark_draining(&mut self, id: &UpstreamId, birth: Birth) -> Effect {
         let Ok(at) = self.index_of(id) else { return Effect::Ignored };
         let known = &mut self.known[at];
@@ -328,7 +333,7 @@
         Effect::Changed
     }
 
-    /// Takes in that the present incarnation of `id` has left.
+    /// Records that the present incarnation of `id` has left.
     pub fn mark_gone(&mut self, id: &UpstreamId) -> Effect {
         let Ok(at) = self.index_of(id) else { return Effect::Ignored };
         let known = &mut self.known[at];
@@ -342,7 +347,7 @@
         Effect::Changed
     }
 
-    /// Takes in that an upstream has left of which nothing else is known.
+    /// Records that an upstream has left. If the upstream is not known, its birth isn't either.
     pub fn mark_unknown_gone(&mut self, now: Time, upstream: Upstream) -> Effect {
         if self.index_of(&upstream.id).is_ok() {
             return self.mark_gone(&upstream.id);
@@ -351,7 +356,7 @@
         self.apply(now, gone, Duration::ZERO, true)
     }
 
-    /// Forgets upstreams that have announced nothing for [`FORGET_AFTER`], and returns their ids.
+    /// Forgets upstreams without an announcement for [`FORGET_AFTER`], and returns their ids.
     pub fn forget(&mut self, now: Time) -> Vec<UpstreamId> {
         let is_old = |known: &KnownUpstream| now - known.announced_at > FORGET_AFTER;
         let ids = self.known.iter().filter(|it| is_old(it)).map(|it| it.upstream.id.clone());
@@ -360,7 +365,7 @@
         ids
     }
 
-    /// The upstream with `id`.
+    /// The upstream with `id`, in any state.
     pub fn get(&self, id: &UpstreamId) -> Option<&KnownUpstream> {
         self.index_of(id).ok().map(|at| &self.known[at])
     }
@@ -390,7 +395,7 @@
         self.renewal
     }
 
-    /// The upstreams that renewed themselves after the renewal with number `renewal`.
+    /// The upstreams that were renewed after the renewal with number `renewal`.
     pub fn renewed_since(&self, renewal: u64) -> impl Iterator<Item = &KnownUpstream> {
         self.known.iter().filter(move |known| known.renewal > renewal)
     }
@@ -424,7 +429,7 @@
         (UpstreamState::Gone, _) => false,
         (_, UpstreamState::Gone) => true,
         (UpstreamState::Draining, UpstreamState::Ready) => false,
-        // An answer may have told it between two announcements.
+        // An answer may have said so between two announcements.
         (UpstreamState::Ready, UpstreamState::Draining) => true,
         _ => new.sequence > old.sequence,
     }
--- a/crates/medlarlug-core/tests/testsuite/gateway/contacts.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/contacts.rs
@@ -12,12 +12,12 @@
 const NOW: Duration = Duration::ZERO;
 
 fn ready() -> Option<Status> {
-    Some(Status { ready: true, spare: Vec::new() })
+    Some(Status { ready: true, service_waits: Vec::new() })
 }
 
 fn waiting(wait_ms: u32) -> Option<Status> {
     let spare = vec![ServiceWait { service: service("scribe"), wait_ms: Some(wait_ms) }];
-    Some(Status { ready: true, spare })
+    Some(Status { ready: true, service_waits: spare })
 }
 
 fn two_regions() -> Contacts {
--- a/crates/medlarlug-core/tests/testsuite/gateway/fixture.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/fixture.rs
@@ -71,11 +71,11 @@
     let last = id.rsplit('-').next().unwrap();
     InstanceInfo {
         id: id.parse().unwrap(),
-        part: InstanceKind::Entry,
+        kind: InstanceKind::Entry,
         zone: format!("{region}-a").parse().unwrap(),
         region: region.parse().unwrap(),
         internal: format!("10.1.0.{last}:7600").parse().unwrap(),
-        front: Some(format!("10.1.0.{last}:8100").parse().unwrap()),
+        public: Some(format!("10.1.0.{last}:8100").parse().unwrap()),
     }
 }
 
--- a/crates/medlarlug-core/tests/testsuite/gateway/load_exchange.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/load_exchange.rs
@@ -22,7 +22,7 @@
 
 fn load(upstream: &str, running: u32, unread: u32) -> LoadReport {
     let upstream = UpstreamKey::of(&upstream.parse().unwrap());
-    LoadReport { upstream, running, unread, urgent: 0, waiting: 0 }
+    LoadReport { upstream, running, prefill_tokens: unread, urgent_tokens: 0, queued_tokens: 0 }
 }
 
 fn peer(at: usize) -> ReportSource {
@@ -198,8 +198,9 @@
 
             let loads = naive.iter().flat_map(|it| &it.2);
             let same = loads.filter(|it| it.upstream == change.upstream);
-            let expected = same.fold((0, 0), |sum, it| (sum.0 + it.running, sum.1 + it.unread));
-            assert_eq!((at.running, at.unread), expected, "seed {seed}, step {step}");
+            let expected =
+                same.fold((0, 0), |sum, it| (sum.0 + it.running, sum.1 + it.prefill_tokens));
+            assert_eq!((at.running, at.prefill_tokens), expected, "seed {seed}, step {step}");
             assert_eq!(instances, naive.len(), "seed {seed}, step {step}");
         }
     }
--- a/crates/medlarlug-core/tests/testsuite/gateway/placement.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/placement.rs
@@ -46,7 +46,13 @@
 
 /// A report of 0 urgent tokens.
 fn load(upstream: &UpstreamId, running: u32, unread: u32) -> LoadReport {
-    LoadReport { upstream: UpstreamKey::of(upstream), running, unread, urgent: 0, waiting: 0 }
+    LoadReport {
+        upstream: UpstreamKey::of(upstream),
+        running,
+        prefill_tokens: unread,
+        urgent_tokens: 0,
+        queued_tokens: 0,
+    }
 }
 
 fn from_peer(id: &str) -> ReportSource {
@@ -135,7 +141,7 @@
     let ids = ids(5);
     let mut loads = Loads::default();
     let home = loads.choose(Time::ZERO, &session(7, 0), &engines(&ids), 2).unwrap();
-    let queue = LoadReport { waiting: 60_000, ..load(&home.id, 1, 3_000) };
+    let queue = LoadReport { queued_tokens: 60_000, ..load(&home.id, 1, 3_000) };
 
     loads.apply_report(Time::ZERO, from_peer("entry-2"), 1, vec![queue]);
     let moved = loads.choose(Time::ZERO, &session(7, 1), &engines(&ids), 2).unwrap();
--- a/crates/medlarlug-gateway/src/entry/attempt.rs
+++ b/crates/medlarlug-gateway/src/entry/attempt.rs
@@ -301,7 +301,7 @@
     // An upstream may send a late answer on a reused connection, or close it while the request is
     // sent, so a call that must run at most once gets a new connection. Other instances do neither,
     // and opening a connection to another region takes as long as the call itself.
-    let reuse = match (hop, context.kind.is_repeatable()) {
+    let reuse = match (hop, context.kind.is_retryable()) {
         (Hop::Upstream { .. }, false) => Reuse::Never,
         _ => Reuse::Allowed,
     };
--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -403,7 +403,7 @@
         let mut contacts = self.contacts.borrow_mut();
         for (card, ready, age) in changed {
             let age = Duration::from_millis(age.into());
-            let status = Status { ready, spare: Vec::new() };
+            let status = Status { ready, service_waits: Vec::new() };
             contacts.update(now, card, Some(status), age);
         }
         for (id, age) in pulses {
@@ -542,7 +542,7 @@
     }
 
     fn status(&self) -> Status {
-        Status { ready: self.is_ready(), spare: self.spare() }
+        Status { ready: self.is_ready(), service_waits: self.spare() }
     }
 
     fn is_primary(&self, address: SocketAddr) -> bool {
@@ -551,7 +551,7 @@
 
     fn keepers(&self) -> Vec<SocketAddr> {
         let contacts = self.contacts.borrow();
-        let known = contacts.all().iter().filter(|it| it.info.part == InstanceKind::Keeper);
+        let known = contacts.all().iter().filter(|it| it.info.kind == InstanceKind::Keeper);
         let mut all = self.settings.borrow().contacts.clone();
         all.extend(known.map(|it| it.info.internal));
         all.sort();
--- a/crates/medlarlug-gateway/src/entry/plan.rs
+++ b/crates/medlarlug-gateway/src/entry/plan.rs
@@ -184,7 +184,7 @@
         stream_timeout::idle_timeout(
             source,
             self.route.pause,
-            self.route.kind.is_repeatable() && is_left,
+            self.route.kind.is_retryable() && is_left,
         )
     }
 
@@ -230,7 +230,7 @@
             predicted_wait: hop.wait(),
             objective: self.route.objective,
             time_left: left,
-            is_last: !self.route.kind.is_repeatable() || self.attempts.runs_left() <= 1,
+            is_last: !self.route.kind.is_retryable() || self.attempts.runs_left() <= 1,
         });
         let forwarded = match hop {
             Hop::Peer { .. } => forwarded::encode(&Handover {
--- a/crates/medlarlug-gateway/src/entry/relay.rs
+++ b/crates/medlarlug-gateway/src/entry/relay.rs
@@ -126,7 +126,7 @@
     plan: &mut Plan,
     sender: &Sender<Part>,
 ) -> Option<Box<EventStream>> {
-    while plan.route.kind.is_repeatable() && plan.last_event.is_some() {
+    while plan.route.kind.is_retryable() && plan.last_event.is_some() {
         let hop = tokio::select! {
             hop = permitted_hop(entry, call, plan) => hop?,
             () = sender.closed() => return None,
--- a/crates/medlarlug-gateway/src/entry/serve.rs
+++ b/crates/medlarlug-gateway/src/entry/serve.rs
@@ -384,7 +384,7 @@
         match plan.attempt(entry, call, &hop).await {
             Outcome::Answer(found) => {
                 let is_failure = found.status().is_server_error();
-                if !is_failure || !plan.route.kind.is_repeatable() {
+                if !is_failure || !plan.route.kind.is_retryable() {
                     return Resolution::Answer(found);
                 }
                 tracing::debug!(request = %call.id, status = found.status().as_u16(), "upstream failed");
@@ -395,7 +395,7 @@
             Outcome::NotRun(NotRun::Misdirected | NotRun::Unreachable | NotRun::Withdrawn) => {}
             Outcome::Unknown(why) => {
                 unknown = Some(why);
-                if !plan.route.kind.is_repeatable() {
+                if !plan.route.kind.is_retryable() {
                     let status = match why {
                         Unknown::TimedOut => StatusCode::GATEWAY_TIMEOUT,
                         Unknown::ConnectionLost | Unknown::ForeignAnswer => StatusCode::BAD_GATEWAY,
--- a/crates/medlarlug-gateway/src/keeper/loops.rs
+++ b/crates/medlarlug-gateway/src/keeper/loops.rs
@@ -50,8 +50,8 @@
         };
     let now = keeper.now();
     let is_new = keeper.contacts.borrow_mut().update(now, card.clone(), None, Duration::ZERO);
-    tracing::info!(instance = %card.id, part = ?card.part, is_new, "link accepted");
-    let link = keeper.subscribers.borrow_mut().add(card.id.clone(), card.part, sender);
+    tracing::info!(instance = %card.id, part = ?card.kind, is_new, "link accepted");
+    let link = keeper.subscribers.borrow_mut().add(card.id.clone(), card.kind, sender);
     keeper.links.connect_new(&keeper);
     keeper.push();
     let error = loop {
--- a/crates/medlarlug-gateway/src/keeper/mod.rs
+++ b/crates/medlarlug-gateway/src/keeper/mod.rs
@@ -378,7 +378,7 @@
             }
             let mut contacts = self.contacts.borrow_mut();
             let keepers =
-                update.contacts.into_iter().filter(|it| it.0.part == InstanceKind::Keeper);
+                update.contacts.into_iter().filter(|it| it.0.kind == InstanceKind::Keeper);
             for (card, _, age) in keepers {
                 let age = Duration::from_millis(age.into());
                 contacts.update(now, card, None, age);
@@ -500,7 +500,7 @@
         let members = group.replica().membership().map(|it| it.members()).unwrap_or_default();
         let members = members.iter().filter_map(|member| address_of(&member.key.id, port));
         let contacts = self.contacts.borrow();
-        let known = contacts.all().iter().filter(|it| it.info.part == InstanceKind::Keeper);
+        let known = contacts.all().iter().filter(|it| it.info.kind == InstanceKind::Keeper);
         let mut all: Vec<SocketAddr> = settings.contacts.clone();
         all.extend(members);
         all.extend(known.map(|it| it.info.internal));
--- a/crates/medlarlug-gateway/src/loads.rs
+++ b/crates/medlarlug-gateway/src/loads.rs
@@ -286,7 +286,7 @@
 fn truncate(mut loads: Vec<LoadReport>) -> Vec<LoadReport> {
     if loads.len() > MAX_DATAGRAM_LOADS {
         tracing::debug!(loads = loads.len(), "load report truncated to the heaviest loads");
-        loads.sort_by_key(|it| std::cmp::Reverse((it.unread, it.running)));
+        loads.sort_by_key(|it| std::cmp::Reverse((it.prefill_tokens, it.running)));
         loads.truncate(MAX_DATAGRAM_LOADS);
         loads.sort_by_key(|it| it.upstream);
     }
--- a/crates/medlarlug-gateway/src/settings.rs
+++ b/crates/medlarlug-gateway/src/settings.rs
@@ -67,7 +67,7 @@
 
     /// Whether the process runs as a keeper rather than as an entry instance.
     pub fn is_keeper(&self) -> bool {
-        self.card.part == InstanceKind::Keeper
+        self.card.kind == InstanceKind::Keeper
     }
 }
 
