--- a/crates/medlarlug-core/src/routing/affinity.rs
+++ b/crates/medlarlug-core/src/routing/affinity.rs
@@ -1,4 +1,5 @@
-//! Where prefixes were sent lately: fills the gaps of late cache events.
+//! Upstreams that prompt prefixes were recently sent to. A prefix is assumed to be cached where it
+//! was sent, since cache events of upstreams arrive late and with gaps.
 
 use std::time::Duration;
 
@@ -6,12 +7,12 @@
     fingerprint::Fingerprint, ids::UpstreamId, routing::request::Prefix, time::Time, units::Tokens,
 };
 
-/// Time for which a prefix counts as warm where it was sent.
-const LIFETIME: Duration = Duration::from_secs(30);
-/// Prefixes that are remembered.
-const CAPACITY: usize = 4_096;
+/// Time for which a prefix is assumed to be cached at the upstream that it was sent to.
+const AFFINITY_LIFETIME: Duration = Duration::from_secs(30);
+/// Most pairs of a prefix and an upstream that are kept.
+const MAX_SENT_PREFIXES: usize = 4_096;
 
-/// Upstreams that prefixes were sent to lately, sorted by prefix.
+/// Upstreams that prefixes were recently sent to, sorted by prefix.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Affinity {
     sent: Vec<SentPrefix>,
@@ -22,51 +23,54 @@
     fingerprint: Fingerprint,
     upstream: UpstreamId,
     tokens: Tokens,
-    at: Time,
+    sent_at: Time,
 }
 
 impl Affinity {
-    /// Notes that a prompt with these prefixes was sent.
-    pub(super) fn note(&mut self, now: Time, prefixes: &[Prefix], upstream: &UpstreamId) {
-        if self.sent.len() + prefixes.len() > CAPACITY {
-            self.shrink(now);
+    /// Records that a prompt with these prefixes was sent to `upstream`.
+    pub(super) fn record(&mut self, now: Time, prefixes: &[Prefix], upstream: &UpstreamId) {
+        if self.sent.len() + prefixes.len() > MAX_SENT_PREFIXES {
+            self.evict(now);
         }
         for prefix in prefixes {
             let Prefix { fingerprint, tokens } = *prefix;
             let key = |it: &SentPrefix| (it.fingerprint, it.upstream.clone());
             match self.sent.binary_search_by(|it| key(it).cmp(&(fingerprint, upstream.clone()))) {
-                Ok(place) => self.sent[place].at = now,
-                Err(place) => {
+                Ok(index) => self.sent[index].sent_at = now,
+                Err(index) => {
                     let upstream = upstream.clone();
-                    self.sent.insert(place, SentPrefix { fingerprint, upstream, tokens, at: now });
+                    self.sent
+                        .insert(index, SentPrefix { fingerprint, upstream, tokens, sent_at: now });
                 }
             }
         }
     }
 
-    /// Forgets an upstream whose cache is gone.
-    pub(super) fn forget(&mut self, upstream: &UpstreamId) {
+    /// Removes an upstream whose cache is empty, because it restarted.
+    pub(super) fn remove(&mut self, upstream: &UpstreamId) {
         self.sent.retain(|it| it.upstream != *upstream);
     }
 
-    fn shrink(&mut self, now: Time) {
-        self.sent.retain(|it| now - it.at < LIFETIME);
-        while self.sent.len() > CAPACITY / 2 {
-            let mut times: Vec<Time> = self.sent.iter().map(|it| it.at).collect();
+    /// Evicts expired entries, then the older half until at most half of the capacity is used.
+    fn evict(&mut self, now: Time) {
+        self.sent.retain(|it| now - it.sent_at < AFFINITY_LIFETIME);
+        while self.sent.len() > MAX_SENT_PREFIXES / 2 {
+            let mut times: Vec<Time> = self.sent.iter().map(|it| it.sent_at).collect();
             times.sort_unstable();
-            let middle = times[times.len() / 2];
-            self.sent.retain(|it| it.at > middle);
+            let median = times[times.len() / 2];
+            self.sent.retain(|it| it.sent_at > median);
         }
     }
 
-    /// Upstreams where one of the prefixes was sent lately, with the longest one's length.
+    /// Upstreams that any of `prefixes` was recently sent to, each with the length of the first
+    /// such prefix; callers pass the longest prefix first.
     pub(super) fn upstreams(&self, now: Time, prefixes: &[Prefix]) -> Vec<(&UpstreamId, Tokens)> {
         let mut found: Vec<(&UpstreamId, Tokens)> = Vec::new();
         for prefix in prefixes {
             let start = self.sent.partition_point(|it| it.fingerprint < prefix.fingerprint);
             let same =
                 self.sent[start..].iter().take_while(|it| it.fingerprint == prefix.fingerprint);
-            for it in same.filter(|it| now - it.at < LIFETIME) {
+            for it in same.filter(|it| now - it.sent_at < AFFINITY_LIFETIME) {
                 if found.iter().all(|(id, _)| *id != &it.upstream) {
                     found.push((&it.upstream, it.tokens));
                 }
--- a/crates/medlarlug-core/src/routing/dump.rs
+++ b/crates/medlarlug-core/src/routing/dump.rs
@@ -1,4 +1,4 @@
-//! What the router has learned as plain data, for the state dump that operators ask for.
+//! The router's statistics as plain data, for the state dump that operators request.
 
 use serde::Serialize;
 
@@ -8,7 +8,7 @@
     time::Time,
 };
 
-/// What the router has learned at one moment.
+/// The router's statistics at one moment.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RouterDump {
     /// Upstreams of the own zone.
@@ -17,30 +17,31 @@
     pub zones: Vec<DestinationDump<ZoneId>>,
 }
 
-/// What was learned of one place.
+/// Statistics of one destination: an upstream of the own zone, or another zone.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct DestinationDump<Id> {
-    /// The place.
+    /// The upstream or zone.
     pub id: Id,
-    /// Own requests that haven't ended.
+    /// Requests that this instance sent to it and that haven't ended.
     #[serde(rename = "flights")]
     pub in_flight: usize,
-    /// Ratio of observed to predicted times to the first token.
+    /// Ratio of the observed to the predicted time to the first token; 1.0 without observations.
     pub ratio: f64,
-    /// Whether failures keep it from being used.
+    /// Whether it is in a cool-down after failures, so that routing avoids it.
     pub paused: bool,
 }
 
 impl Router {
-    /// What was learned, as plain data.
+    /// Statistics of every upstream and zone that the router knows.
     pub fn dump(&self, now: Time) -> RouterDump {
-        let upstreams = self.upstreams.iter().map(|it| dump_place(now, it.id.clone(), &it.learned));
-        let zones = self.zones.iter().map(|it| dump_place(now, it.id.clone(), &it.learned));
+        let upstreams =
+            self.upstreams.iter().map(|it| dump_destination(now, it.id.clone(), &it.stats));
+        let zones = self.zones.iter().map(|it| dump_destination(now, it.id.clone(), &it.stats));
         RouterDump { upstreams: upstreams.collect(), zones: zones.collect() }
     }
 }
 
-fn dump_place<Id>(now: Time, id: Id, learned: &DestinationStats) -> DestinationDump<Id> {
-    let (in_flight, ratio) = (learned.in_flight(), learned.bias(now));
-    DestinationDump { id, in_flight, ratio, paused: learned.is_paused(now) }
+fn dump_destination<Id>(now: Time, id: Id, stats: &DestinationStats) -> DestinationDump<Id> {
+    let (in_flight, ratio) = (stats.in_flight(), stats.latency_ratio(now));
+    DestinationDump { id, in_flight, ratio, paused: stats.is_cooling_down(now) }
 }
--- a/crates/medlarlug-core/src/routing/local.rs
+++ b/crates/medlarlug-core/src/routing/local.rs
@@ -1,4 +1,4 @@
-//! The best upstream of the own zone.
+//! Chooses the best upstream of the own zone.
 
 use std::time::Duration;
 
@@ -23,31 +23,33 @@
     units::Tokens,
 };
 
-/// Upstreams that are compared at most; beyond that a sample is drawn.
-const SAMPLE: usize = 32;
-/// Time over which a returned upstream or zone takes up its full share.
-const RAMP: Duration = Duration::from_secs(15);
-/// Time after the own start from which newly seen places count as returned ones.
-const WARM_UP: Duration = Duration::from_secs(5);
-/// Requests that a returned place is given at once at the start of its ramp.
-const RAMP_START: f64 = 2.0;
-/// Requests in flight at which a ramp ends.
-const RAMP_END: f64 = 32.0;
-/// Shortest time to come back after a refusal.
-pub(super) const SHORTEST_RETRY: Duration = Duration::from_secs(1);
-/// Longest time to come back after a refusal.
-const LONGEST_RETRY: Duration = Duration::from_secs(30);
-/// Share of its deadline in which a request's first token has to be predicted: a prediction that
-/// comes true late would still meet the deadline.
-const ADMITTED_SHARE: f64 = 0.8;
-/// Seconds that are added for a place that failed lately.
-const PAUSED_PENALTY: f64 = 10.0;
-/// Seconds that are added for a returning place that has its share already.
-const RAMP_PENALTY: f64 = 2.0;
-/// Share of the own sends that each other entry instance of the zone is taken to have sent alike.
-const SENDER_SHARE: f64 = 1.0;
-/// Seconds that the upstream which the prefix hashes to is ahead of others.
-const RENDEZVOUS_GAIN: f64 = 0.6;
+/// Candidates up to which all are compared; among more, a random sample of this size is compared.
+const SAMPLE_SIZE: usize = 32;
+/// Time over which the traffic of a returned upstream or zone ramps up.
+const RAMP_DURATION: Duration = Duration::from_secs(15);
+/// Time after the start of this instance from which a newly seen upstream or zone counts as
+/// returned.
+const STARTUP_GRACE: Duration = Duration::from_secs(5);
+/// Requests in flight that a returned upstream or zone may have at the start of its ramp.
+const RAMP_START_REQUESTS: f64 = 2.0;
+/// Requests in flight that a returned upstream or zone may have at the end of its ramp.
+const RAMP_END_REQUESTS: f64 = 32.0;
+/// Shortest time that a refused caller is asked to wait before a retry.
+pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Longest time that a refused caller is asked to wait before a retry.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Share of its deadline within which the first token of a request has to be predicted, so that a
+/// late one may still meet the deadline.
+const ADMITTED_DEADLINE_SHARE: f64 = 0.8;
+/// Seconds added to the prediction of an upstream or zone in its cool-down after a failure.
+const COOLDOWN_PENALTY_SECONDS: f64 = 10.0;
+/// Seconds added to the prediction of an upstream or zone that has reached the limit of its ramp.
+const RAMP_PENALTY_SECONDS: f64 = 2.0;
+/// Requests that each other entry instance of the zone is assumed to have sent for each request
+/// that this instance sent.
+const PEER_SEND_RATIO: f64 = 1.0;
+/// Most seconds taken off the prediction of an upstream because the prefix hashes to it.
+const RENDEZVOUS_BONUS_SECONDS: f64 = 0.6;
 
 #[derive(Debug, Clone, Copy)]
 struct Scored {
@@ -57,7 +59,7 @@
 }
 
 impl Router {
-    pub(super) fn best_local(
+    pub(super) fn best_local_upstream(
         &mut self,
         now: Time,
         view: View<'_>,
@@ -67,63 +69,64 @@
         Permit::check(view.configuration, view.lease, facts, own, own)?;
         self.refresh_index(now, view);
         let weights = Weights::of(view.configuration);
-        let senders =
-            1.0 + SENDER_SHARE * f64::from(view.membership.accepting_entries().saturating_sub(1));
+        let senders = 1.0
+            + PEER_SEND_RATIO * f64::from(view.membership.accepting_entries().saturating_sub(1));
         let mut best: Option<Scored> = None;
         for (candidate, recent) in self.candidates(now, view, facts) {
             let upstream = &view.membership.all_upstreams()[candidate.upstream];
             if !is_eligible(now, upstream, facts) {
                 continue;
             }
-            let learned = &self.upstreams[candidate.learned].learned;
-            let prediction = predict(now, facts, upstream, learned, recent, senders);
-            let penalty = self.penalty(now, learned);
-            let work = prediction.tokens.0 as f64;
-            let hash = self.upstreams[candidate.learned].hash;
-            let draw = if prediction.is_warm { 1.0 } else { rendezvous(facts, hash) };
-            let seconds =
-                prediction.first_token + prediction.crowding + penalty - RENDEZVOUS_GAIN * draw;
-            let score = weights.score(seconds, work, 0.0);
+            let stats = &self.upstreams[candidate.stats].stats;
+            let prediction = predict(now, facts, upstream, stats, recent, senders);
+            let penalty = self.penalty(now, stats);
+            let tokens = prediction.tokens.0 as f64;
+            let hash = self.upstreams[candidate.stats].hash;
+            let weight = if prediction.is_warm { 1.0 } else { rendezvous(facts, hash) };
+            let seconds = prediction.first_token + prediction.crowding + penalty
+                - RENDEZVOUS_BONUS_SECONDS * weight;
+            let score = weights.score(seconds, tokens, 0.0);
             if best.is_none_or(|it| score < it.score) {
                 best = Some(Scored { candidate, prediction, score });
             }
         }
         let target = facts.target.key();
-        let best = best.ok_or(Refusal::NoUpstream { target, retry_after: SHORTEST_RETRY })?;
+        let best = best.ok_or(Refusal::NoUpstream { target, retry_after: MIN_RETRY_AFTER })?;
         let first_token = Duration::from_secs_f64(best.prediction.first_token);
         within_deadline(first_token, facts.deadline)?;
         let upstream = &view.membership.all_upstreams()[best.candidate.upstream];
         Ok(self.route(view, facts, upstream, best))
     }
 
-    /// Candidates, and the length of a prefix that was sent to each lately.
+    /// Candidates for the request, each with the length of the longest prefix that was recently
+    /// sent to it.
     fn candidates(
         &mut self,
         now: Time,
         view: View<'_>,
         facts: &RequestFacts,
     ) -> Vec<(Candidate, Option<Tokens>)> {
-        let Ok(place) = self.index.binary_search_by(|it| it.target.cmp(&facts.target)) else {
+        let Ok(index) = self.targets.binary_search_by(|it| it.target.cmp(&facts.target)) else {
             return Vec::new();
         };
-        let all = &self.index[place].candidates;
+        let all = &self.targets[index].candidates;
         let recent = self.affinity.upstreams(now, &facts.prefixes);
         let upstreams = view.membership.all_upstreams();
         let id = |it: &Candidate| &upstreams[it.upstream].announcement.id;
         let recent_of = |it: &Candidate| {
             recent.iter().find(|(upstream, _)| *upstream == id(it)).map(|(_, tokens)| *tokens)
         };
-        if all.len() <= SAMPLE {
+        if all.len() <= SAMPLE_SIZE {
             return all.iter().map(|it| (*it, recent_of(it))).collect();
         }
-        let mut sample = Vec::with_capacity(SAMPLE + recent.len());
+        let mut sample = Vec::with_capacity(SAMPLE_SIZE + recent.len());
         for (upstream, tokens) in &recent {
             if let Ok(found) = all.binary_search_by(|it| id(it).cmp(upstream)) {
                 sample.push((all[found], Some(*tokens)));
             }
         }
         let usable = |it: &Candidate| is_eligible(now, &upstreams[it.upstream], facts);
-        for _ in 0..SAMPLE {
+        for _ in 0..SAMPLE_SIZE {
             let drawn = all[self.random.random_range(0..all.len())];
             sample.push((drawn, None));
         }
@@ -133,7 +136,7 @@
         sample
     }
 
-    /// Whether a live upstream of the own zone serves the request, also one that is excluded.
+    /// Whether a live upstream of the own zone serves the request, even if the request excludes it.
     pub(super) fn is_served_here(
         &mut self,
         now: Time,
@@ -141,27 +144,27 @@
         facts: &RequestFacts,
     ) -> bool {
         self.refresh_index(now, view);
-        let Ok(place) = self.index.binary_search_by(|it| it.target.cmp(&facts.target)) else {
+        let Ok(index) = self.targets.binary_search_by(|it| it.target.cmp(&facts.target)) else {
             return false;
         };
         let upstreams = view.membership.all_upstreams();
-        self.index[place].candidates.iter().any(|it| serves(now, &upstreams[it.upstream], facts))
+        self.targets[index].candidates.iter().any(|it| serves(now, &upstreams[it.upstream], facts))
     }
 
-    /// Seconds that are added to the prediction of a paused or returning place.
-    pub(super) fn penalty(&self, now: Time, learned: &DestinationStats) -> f64 {
-        let pause = if learned.is_paused(now) { PAUSED_PENALTY } else { 0.0 };
-        pause + self.ramp_penalty(now, learned)
+    /// Seconds added to the prediction of an upstream or zone that is in a cool-down or ramps up.
+    pub(super) fn penalty(&self, now: Time, stats: &DestinationStats) -> f64 {
+        let cooldown = if stats.is_cooling_down(now) { COOLDOWN_PENALTY_SECONDS } else { 0.0 };
+        cooldown + self.ramp_penalty(now, stats)
     }
 
-    fn ramp_penalty(&self, now: Time, learned: &DestinationStats) -> f64 {
-        let is_return = learned.since > self.started + WARM_UP;
-        let progress = (now - learned.since).as_secs_f64() / RAMP.as_secs_f64();
-        if !is_return || progress >= 1.0 {
+    fn ramp_penalty(&self, now: Time, stats: &DestinationStats) -> f64 {
+        let has_returned = stats.available_since > self.started_at + STARTUP_GRACE;
+        let progress = (now - stats.available_since).as_secs_f64() / RAMP_DURATION.as_secs_f64();
+        if !has_returned || progress >= 1.0 {
             return 0.0;
         }
-        let limit = RAMP_START + (RAMP_END - RAMP_START) * progress;
-        if (learned.in_flight() as f64) < limit { 0.0 } else { RAMP_PENALTY }
+        let limit = RAMP_START_REQUESTS + (RAMP_END_REQUESTS - RAMP_START_REQUESTS) * progress;
+        if (stats.in_flight() as f64) < limit { 0.0 } else { RAMP_PENALTY_SECONDS }
     }
 
     fn route(
@@ -172,7 +175,7 @@
         best: Scored,
     ) -> Route {
         Route {
-            attempt_id: self.attempt_id(),
+            attempt_id: self.next_attempt_id(),
             upstream: upstream.announcement.id.clone(),
             address: upstream.announcement.address,
             version: version(view.configuration, upstream, &facts.target),
@@ -184,76 +187,79 @@
         }
     }
 
-    pub(super) fn attempt_id(&mut self) -> AttemptId {
-        self.next += 1;
-        AttemptId(self.next)
+    pub(super) fn next_attempt_id(&mut self) -> AttemptId {
+        self.last_attempt_id += 1;
+        AttemptId(self.last_attempt_id)
     }
 
     fn refresh_index(&mut self, now: Time, view: View<'_>) {
         let key = (view.membership.generation(), view.configuration.revision);
-        if self.indexed == Some(key) {
+        if self.indexed_version == Some(key) {
             return;
         }
         let upstreams = view.membership.all_upstreams();
-        let is_known =
+        let is_listed =
             |id: &UpstreamId| upstreams.binary_search_by(|it| it.announcement.id.cmp(id)).is_ok();
-        self.upstreams.retain(|it| it.learned.in_flight() > 0 || is_known(&it.id));
+        self.upstreams.retain(|it| it.stats.in_flight() > 0 || is_listed(&it.id));
         for upstream in upstreams {
-            let place = self.upstream_place(now, &upstream.announcement.id);
-            self.meet(now, place, upstream.announcement.incarnation);
+            let index = self.upstream_index(now, &upstream.announcement.id);
+            self.reset_on_restart(now, index, upstream.announcement.incarnation);
         }
-        self.index.clear();
-        for (place, upstream) in upstreams.iter().enumerate() {
-            let learned = self.upstream_place(now, &upstream.announcement.id);
+        self.targets.clear();
+        for (index, upstream) in upstreams.iter().enumerate() {
+            let stats = self.upstream_index(now, &upstream.announcement.id);
             for target in upstream.targets() {
                 if is_served(view.configuration, upstream, &target) {
-                    self.add_candidate(target, Candidate { upstream: place, learned });
+                    self.add_candidate(target, Candidate { upstream: index, stats });
                 }
             }
         }
-        self.indexed = Some(key);
+        self.indexed_version = Some(key);
     }
 
-    /// Forgets what was learned of an earlier incarnation: its cache and its speed are gone.
-    fn meet(&mut self, now: Time, place: usize, incarnation: Incarnation) {
-        let known = &mut self.upstreams[place];
+    /// Resets the statistics of an upstream that has restarted, since its cache is empty and its
+    /// speed may differ.
+    fn reset_on_restart(&mut self, now: Time, index: usize, incarnation: Incarnation) {
+        let known = &mut self.upstreams[index];
         let is_restart = known.incarnation != incarnation && known.incarnation != Incarnation(0);
         known.incarnation = incarnation;
         if is_restart {
-            known.learned = DestinationStats::new(now);
-            self.affinity.forget(&known.id);
+            known.stats = DestinationStats::new(now);
+            self.affinity.remove(&known.id);
         }
     }
 
     fn add_candidate(&mut self, target: Target, candidate: Candidate) {
-        match self.index.binary_search_by(|it| it.target.cmp(&target)) {
-            Ok(place) => self.index[place].candidates.push(candidate),
-            Err(place) => {
+        match self.targets.binary_search_by(|it| it.target.cmp(&target)) {
+            Ok(index) => self.targets[index].candidates.push(candidate),
+            Err(index) => {
                 let candidates = vec![candidate];
-                self.index.insert(place, TargetIndex { target, candidates });
+                self.targets.insert(index, TargetIndex { target, candidates });
             }
         }
     }
 
-    pub(super) fn upstream_place(&mut self, now: Time, id: &UpstreamId) -> usize {
+    pub(super) fn upstream_index(&mut self, now: Time, id: &UpstreamId) -> usize {
         match self.upstreams.binary_search_by(|it| it.id.cmp(id)) {
-            Ok(place) => place,
-            Err(place) => {
-                let learned = DestinationStats::new(now);
+            Ok(index) => index,
+            Err(index) => {
+                let stats = DestinationStats::new(now);
                 let hash = Fingerprint::of(id.as_str().as_bytes()).0 as u64;
                 self.upstreams.insert(
-                    place,
-                    UpstreamStats { id: id.clone(), incarnation: Incarnation(0), hash, learned },
+                    index,
+                    UpstreamStats { id: id.clone(), incarnation: Incarnation(0), hash, stats },
                 );
-                self.indexed = self.indexed.filter(|_| place + 1 == self.upstreams.len());
-                place
+                self.indexed_version =
+                    self.indexed_version.filter(|_| index + 1 == self.upstreams.len());
+                index
             }
         }
     }
 }
 
-/// A draw between zero and one that every instance makes alike for a prefix and an upstream, so
-/// that their requests with one prefix meet in one cache. It favours few upstreams strongly.
+/// Rendezvous weight between zero and one. All instances compute the same weight for a prefix and
+/// an upstream, so that their requests with this prefix reach the same cache. The distribution
+/// strongly favours few upstreams.
 fn rendezvous(facts: &RequestFacts, upstream: u64) -> f64 {
     let Some(prefix) = facts.prefixes.last() else {
         return 0.0;
@@ -267,7 +273,7 @@
     serves(now, upstream, facts) && facts.excluded.binary_search(&upstream.announcement.id).is_err()
 }
 
-/// Whether a live upstream has the adapter that the request asks for.
+/// Whether the upstream is usable and has the adapter that the request names.
 fn serves(now: Time, upstream: &Upstream, facts: &RequestFacts) -> bool {
     upstream.is_usable(now)
         && facts.adapter.as_ref().is_none_or(|it| upstream.has_adapter(&facts.target, it))
@@ -280,7 +286,8 @@
     }
 }
 
-/// The version that an upstream would serve a model with: the most preferred one it has loaded.
+/// The first version in the preference order of the configuration that the upstream has loaded;
+/// `None` for a plain service.
 fn version(
     configuration: &Configuration,
     upstream: &Upstream,
@@ -297,12 +304,12 @@
     configuration.model(id)?.versions.iter().find(has).cloned()
 }
 
-/// Whether the first token is predicted early enough for the deadline.
+/// Checks that the first token is predicted early enough to meet the deadline.
 pub(super) fn within_deadline(predicted: Duration, deadline: Duration) -> Result<(), Refusal> {
-    let latest = deadline.mul_f64(ADMITTED_SHARE);
+    let latest = deadline.mul_f64(ADMITTED_DEADLINE_SHARE);
     if predicted <= latest {
         return Ok(());
     }
-    let retry_after = (predicted - latest).clamp(SHORTEST_RETRY, LONGEST_RETRY);
+    let retry_after = (predicted - latest).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
     Err(Refusal::Deadline { predicted, deadline, retry_after })
 }
--- a/crates/medlarlug-core/src/routing/mod.rs
+++ b/crates/medlarlug-core/src/routing/mod.rs
@@ -1,15 +1,15 @@
-//! Where a request is served.
+//! Decides where a request is served.
 //!
-//! A decision weighs every permitted place by its predicted time to the first token and by the
-//! price of the link and of the work. The prediction starts from lagging reports; it adds what
-//! this instance has sent since, takes off what the prefix cache saves, and is corrected by the
-//! ratio of observed to predicted times, so that an upstream which reports itself idle but is
-//! slow loses its traffic.
+//! A decision scores every permitted destination, an upstream or another zone, by its predicted
+//! time to the first token and by the price of the link and of the prompt tokens to process. The
+//! prediction starts from load reports, which lag. It adds what this instance has sent since the
+//! report, subtracts what the prefix cache saves, and is multiplied by the ratio of the observed to
+//! the predicted times. An upstream that reports itself idle but is slow thus loses its traffic.
 //!
 //! * [`residency`]: the hard filter on regions; a [`Permit`] proves that it was applied.
-//! * [`request`]: the facts of a request and its one crossing between zones, as types.
-//! * [`route`]: a decision, and its life cycle up to the moment of leaving.
-//! * [`router`]: the core that decides and learns.
+//! * [`request`]: the properties of a request, and the types that let it be forwarded only once.
+//! * [`route`]: a decision, and its residency check right before the request is sent.
+//! * [`router`]: the core that decides and keeps statistics.
 
 mod affinity;
 pub mod dump;
--- a/crates/medlarlug-core/src/routing/refusal.rs
+++ b/crates/medlarlug-core/src/routing/refusal.rs
@@ -1,9 +1,11 @@
-//! Why no place takes a request: served nowhere, served only where it isn't permitted, or late.
+//! Chooses the refusal of a request that neither the own zone nor another one can serve: the target
+//! is served nowhere, it is served only where the request is not permitted, or the first token is
+//! predicted too late.
 
 use crate::{
     ids::RegionId,
     routing::{
-        local::SHORTEST_RETRY,
+        local::MIN_RETRY_AFTER,
         request::RequestFacts,
         residency::{Permit, ResidencyError},
         route::Refusal,
@@ -12,75 +14,81 @@
     time::Time,
 };
 
-/// What a region could do for a request that no place takes.
+/// Whether a region serves a request, and whether it may.
 #[derive(Debug, Clone, PartialEq)]
-struct Place {
+struct RegionStatus {
     region: RegionId,
     is_permitted: bool,
     is_served: bool,
 }
 
 impl Router {
-    /// The refusal of a request from the outcomes at home and in the best other zone.
+    /// Combines the refusal by the own zone and that by the best other zone.
     pub(super) fn refusal(
         &mut self,
         now: Time,
         view: View<'_>,
         facts: &RequestFacts,
-        home: Refusal,
-        away: Option<Refusal>,
+        local: Refusal,
+        remote: Option<Refusal>,
     ) -> Refusal {
         if matches!(
-            home,
+            local,
             Refusal::Deadline { .. } | Refusal::Residency(ResidencyError::UnknownTeam { .. })
         ) {
-            return home;
+            return local;
         }
-        if let Some(late) = away {
+        if let Some(late) = remote {
             return late;
         }
-        let places = self.places(now, view, facts);
-        let is_somewhere_permitted = places.iter().any(|it| it.is_permitted);
-        if !is_somewhere_permitted && matches!(home, Refusal::Residency(_)) {
-            return home;
+        let statuses = self.region_statuses(now, view, facts);
+        let is_somewhere_permitted = statuses.iter().any(|it| it.is_permitted);
+        if !is_somewhere_permitted && matches!(local, Refusal::Residency(_)) {
+            return local;
         }
-        let (target, retry_after) = (facts.target.key(), SHORTEST_RETRY);
-        let is_served = places.iter().any(|it| it.is_permitted && it.is_served);
-        let regions = forbidden_regions(places);
+        let (target, retry_after) = (facts.target.key(), MIN_RETRY_AFTER);
+        let is_served = statuses.iter().any(|it| it.is_permitted && it.is_served);
+        let regions = forbidden_regions(statuses);
         if is_served || regions.is_empty() {
             return Refusal::NoUpstream { target, retry_after };
         }
         Refusal::ServedElsewhere { team: facts.team.clone(), target, regions, retry_after }
     }
 
-    /// The own region, and that of each other zone.
-    fn places(&mut self, now: Time, view: View<'_>, facts: &RequestFacts) -> Vec<Place> {
+    /// Status of the own region, and of the region of each other zone.
+    fn region_statuses(
+        &mut self,
+        now: Time,
+        view: View<'_>,
+        facts: &RequestFacts,
+    ) -> Vec<RegionStatus> {
         let own = view.membership.own().region.clone();
         let is_permitted = |region: &RegionId| is_permitted(view, facts, region);
         let is_served = self.is_served_here(now, view, facts);
-        let mut places = vec![Place { is_permitted: is_permitted(&own), is_served, region: own }];
+        let mut statuses =
+            vec![RegionStatus { is_permitted: is_permitted(&own), is_served, region: own }];
         for zone in view.membership.zones() {
             let row = zone.row(now, &facts.target);
-            places.push(Place {
+            statuses.push(RegionStatus {
                 region: zone.region.clone(),
                 is_permitted: is_permitted(&zone.region),
                 is_served: row.is_some_and(|it| it.summary.upstreams > 0),
             });
         }
-        places
+        statuses
     }
 }
 
-/// Whether the rules permit a region; a lapsed lease of the configuration doesn't count.
+/// Whether the residency rules permit a region. A lapsed configuration lease is ignored.
 fn is_permitted(view: View<'_>, facts: &RequestFacts, region: &RegionId) -> bool {
     let own = &view.membership.own().region;
     let permit = Permit::check(view.configuration, view.lease, facts, own, region);
     matches!(permit, Ok(_) | Err(ResidencyError::Unconfirmed { .. }))
 }
 
-/// Regions that serve the request and are forbidden to it, sorted.
-fn forbidden_regions(places: Vec<Place>) -> Vec<RegionId> {
-    let forbidden = places.into_iter().filter(|it| it.is_served && !it.is_permitted);
+/// Regions that serve the request but are forbidden to it, sorted and without duplicates.
+fn forbidden_regions(statuses: Vec<RegionStatus>) -> Vec<RegionId> {
+    let forbidden = statuses.into_iter().filter(|it| it.is_served && !it.is_permitted);
     let mut regions: Vec<RegionId> = forbidden.map(|it| it.region).collect();
     regions.sort();
     regions.dedup();
--- a/crates/medlarlug-core/src/routing/remote.rs
+++ b/crates/medlarlug-core/src/routing/remote.rs
@@ -1,4 +1,4 @@
-//! The best other zone, and whether a request leaves its own.
+//! Chooses the best other zone, and decides whether a request is forwarded to it.
 
 use std::time::Duration;
 
@@ -20,26 +20,28 @@
     units::Tokens,
 };
 
-/// Share of the policy's deadline by which another zone has to be faster before a request leaves.
-const AWAY_GAIN: f64 = 0.12;
-/// The share once requests leave, smaller so that the choice doesn't flap.
-const AWAY_STAY: f64 = 0.09;
-/// What is added to the share for a request whose prefix is warm at home. Such a request costs
-/// less there than in another zone, so the cold ones leave first.
-const WARM_STAY: f64 = 0.17;
-/// Time for which the choice counts as leaving after the last request that left.
-const AWAY_MEMORY: Duration = Duration::from_secs(2);
-/// Time without being a candidate after which a zone counts as returned.
-const ZONE_GAP: Duration = Duration::from_secs(10);
-/// Seconds by which each request beyond a zone's free slots delays the next, per upstream.
-const SLOT_SECONDS: f64 = 0.25;
-/// Share of a prefix in a zone's sketch that is counted on.
-const SKETCH_TRUST: f64 = 0.5;
+/// Share of the policy's deadline by which another zone has to be faster than the own one before
+/// requests are forwarded.
+const REMOTE_MARGIN: f64 = 0.12;
+/// That share while requests are already forwarded; it is smaller, so that the decision doesn't
+/// oscillate.
+const REMOTE_MARGIN_WHILE_FORWARDING: f64 = 0.09;
+/// Added to the share for a request whose prefix is cached in the own zone. Such a request costs
+/// less there than elsewhere, so requests without a cached prefix are forwarded first.
+const WARM_PREFIX_MARGIN: f64 = 0.17;
+/// Time after a forwarded request for which requests count as being forwarded already.
+const FORWARDING_MEMORY: Duration = Duration::from_secs(2);
+/// Absence from the candidates after which a zone counts as returned, so that its traffic ramps up.
+const ZONE_ABSENCE: Duration = Duration::from_secs(10);
+/// Seconds by which each request beyond the free slots of a zone delays the next one, per upstream.
+const SECONDS_PER_EXCESS_REQUEST: f64 = 0.25;
+/// Share of the tokens of a prefix in the sketch of a zone that are assumed to be cached.
+const SKETCH_CREDIT: f64 = 0.5;
 
 impl Router {
-    /// The best permitted zone that can meet the deadline; without one, the refusal of the zone
-    /// that comes closest to it.
-    pub(super) fn best_zone(
+    /// The best permitted zone that is predicted to meet the deadline. Fails with the refusal of
+    /// the earliest zone if all are too late, and with `None` if no zone serves the request.
+    pub(super) fn best_remote_zone(
         &mut self,
         now: Time,
         view: View<'_>,
@@ -62,14 +64,14 @@
             if Permit::check(view.configuration, view.lease, facts, &own.region, region).is_err() {
                 continue;
             }
-            let place = self.zone_place(now, &zone.zone);
-            self.see_zone(now, place);
-            let learned = &self.zones[place].learned;
+            let index = self.zone_index(now, &zone.zone);
+            self.mark_usable(now, index);
+            let stats = &self.zones[index].stats;
             let link = weights.link(view.configuration, &own.region, region);
-            let forecast = zone_forecast(facts, row, learned);
+            let forecast = zone_forecast(facts, row, stats);
             let base = forecast.base + 2.0 * link.delay;
-            let first_token = base * learned.bias(now) + learned.overdue(now);
-            let penalty = self.penalty(now, learned);
+            let first_token = base * stats.latency_ratio(now) + stats.overdue(now);
+            let penalty = self.penalty(now, stats);
             let score = weights.score(first_token + penalty, forecast.tokens.0 as f64, link.price);
             let predicted = Duration::from_secs_f64(first_token);
             if within_deadline(predicted, facts.deadline).is_err() {
@@ -94,51 +96,53 @@
         }
         let late = late.and_then(|it| within_deadline(it, facts.deadline).err());
         let (_, mut route) = best.ok_or(late)?;
-        route.attempt_id = self.attempt_id();
+        route.attempt_id = self.next_attempt_id();
         Ok(route)
     }
 
-    /// Keeps a request at home unless another zone is faster by a margin, which is smaller while
-    /// requests leave already.
-    pub(super) fn home_or_away(
+    /// Serves a request in the own zone unless another one is better by a margin, which is smaller
+    /// while requests are already forwarded.
+    pub(super) fn local_or_remote(
         &self,
         now: Time,
         view: View<'_>,
-        home: Route,
-        away: ZoneRoute,
+        local: Route,
+        remote: ZoneRoute,
     ) -> Choice {
         let weights = Weights::of(view.configuration);
         let own = view.membership.own();
-        let is_leaving = self.left > Time::ZERO && now - self.left < AWAY_MEMORY;
-        let share = if is_leaving { AWAY_STAY } else { AWAY_GAIN };
-        let stay = if home.is_warm { WARM_STAY } else { 0.0 };
-        let margin = (share + stay) * weights.deadline;
-        let link = weights.link(view.configuration, &own.region, &away.region);
-        let stay = weights.score(home.predicted.as_secs_f64(), home.tokens.0 as f64, 0.0);
-        let leave = weights.score(away.predicted.as_secs_f64(), away.tokens.0 as f64, 0.0);
+        let is_forwarding =
+            self.last_forward > Time::ZERO && now - self.last_forward < FORWARDING_MEMORY;
+        let share = if is_forwarding { REMOTE_MARGIN_WHILE_FORWARDING } else { REMOTE_MARGIN };
+        let warm_share = if local.is_warm { WARM_PREFIX_MARGIN } else { 0.0 };
+        let margin = (share + warm_share) * weights.deadline;
+        let link = weights.link(view.configuration, &own.region, &remote.region);
+        let local_score = weights.score(local.predicted.as_secs_f64(), local.tokens.0 as f64, 0.0);
+        let remote_score =
+            weights.score(remote.predicted.as_secs_f64(), remote.tokens.0 as f64, 0.0);
         let margin = weights.score(margin, 0.0, 0.0).max(weights.score(0.0, 0.0, link.price));
-        let leave = leave + margin;
-        if leave < stay { Choice::Forward(away) } else { Choice::Serve(home) }
+        let remote_score = remote_score + margin;
+        if remote_score < local_score { Choice::Forward(remote) } else { Choice::Serve(local) }
     }
 
-    pub(super) fn zone_place(&mut self, now: Time, id: &ZoneId) -> usize {
+    pub(super) fn zone_index(&mut self, now: Time, id: &ZoneId) -> usize {
         match self.zones.binary_search_by(|it| it.id.cmp(id)) {
-            Ok(place) => place,
-            Err(place) => {
-                let learned = DestinationStats::new(now);
-                self.zones.insert(place, ZoneStats { id: id.clone(), learned, seen: now });
-                place
+            Ok(index) => index,
+            Err(index) => {
+                let stats = DestinationStats::new(now);
+                self.zones.insert(index, ZoneStats { id: id.clone(), stats, last_usable: now });
+                index
             }
         }
     }
 
-    /// Starts a ramp when the zone was not usable for a while.
-    fn see_zone(&mut self, now: Time, place: usize) {
-        let zone = &mut self.zones[place];
-        if now - zone.seen > ZONE_GAP {
-            zone.learned.since = now;
+    /// Records that the zone is usable; after a longer absence its traffic ramps up again.
+    fn mark_usable(&mut self, now: Time, index: usize) {
+        let zone = &mut self.zones[index];
+        if now - zone.last_usable > ZONE_ABSENCE {
+            zone.stats.available_since = now;
         }
-        zone.seen = now;
+        zone.last_usable = now;
     }
 }
 
@@ -147,16 +151,16 @@
     tokens: Tokens,
 }
 
-fn zone_forecast(facts: &RequestFacts, row: &Row, learned: &DestinationStats) -> ZoneForecast {
+fn zone_forecast(facts: &RequestFacts, row: &Row, stats: &DestinationStats) -> ZoneForecast {
     let summary = &row.summary;
-    let since = learned.sent_since(row.created_at);
+    let since = stats.sent_since(row.created_at);
     let upstreams = f64::from(summary.upstreams.max(1));
     let excess = f64::from(since.requests) - f64::from(summary.free);
     let waiting = summary.queueing.duration().as_secs_f64()
-        + excess.max(0.0) * SLOT_SECONDS / upstreams
+        + excess.max(0.0) * SECONDS_PER_EXCESS_REQUEST / upstreams
         + since.tokens as f64 / upstreams / PREFILL_TOKENS_PER_SECOND;
     let warm = facts.prefixes.iter().find(|it| summary.warm.contains(it.fingerprint.into()));
-    let saved = warm.map_or(0.0, |it| it.tokens.0 as f64 * SKETCH_TRUST);
+    let saved = warm.map_or(0.0, |it| it.tokens.0 as f64 * SKETCH_CREDIT);
     let tokens = Tokens(facts.prompt.0.saturating_sub(saved as u64));
     ZoneForecast { base: waiting + tokens.0 as f64 / PREFILL_TOKENS_PER_SECOND, tokens }
 }
--- a/crates/medlarlug-core/src/routing/request.rs
+++ b/crates/medlarlug-core/src/routing/request.rs
@@ -1,8 +1,9 @@
-//! The facts of a request that decide its route, and its crossing between zones as types.
+//! The properties of a request that decide its route, and the types of requests that are forwarded
+//! between zones.
 //!
-//! A request that a caller sent is an [`CallerRequest`]; it may be handed to one other zone, which
-//! consumes it and yields a [`ForwardHeader`]. The receiver turns the header into a [`ForwardedRequest`],
-//! which has no way to be handed on: a loop between zones can't be written.
+//! A request from a caller is a [`CallerRequest`]. It may be forwarded to one other zone, under a
+//! [`ForwardHeader`]. The receiver turns the header into a [`ForwardedRequest`], which has no
+//! method to forward it again, so the types rule out a forwarding loop.
 
 use std::time::Duration;
 
@@ -17,79 +18,79 @@
     units::Tokens,
 };
 
-/// The facts of a request that decide its route.
+/// The properties of a request that decide its route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RequestFacts {
-    /// The request.
+    /// Id of the request, under which its attempts are recorded.
     pub id: RequestId,
-    /// Whose it is.
+    /// The team that sent it.
     pub team: TeamId,
-    /// What it asks for.
+    /// The model or service that it names.
     pub target: Target,
-    /// The adapter that it asks for.
+    /// The adapter that it names, if any.
     pub adapter: Option<AdapterId>,
     /// Estimated length of the prompt.
     pub prompt: Tokens,
-    /// Fingerprints of the prompt's prefixes, the longest first.
+    /// Prefixes of the prompt, the longest first.
     pub prefixes: Vec<Prefix>,
-    /// Priority; a higher one goes first.
+    /// Priority; requests with a higher one are served first.
     pub priority: u8,
-    /// Time that is left until the first token is of no use.
+    /// Time that is left for the first token to arrive.
     pub deadline: Duration,
-    /// Upstreams that are not to be used, sorted.
+    /// Upstreams that must not be used, sorted.
     pub excluded: Vec<UpstreamId>,
 }
 
 impl RequestFacts {
-    /// Keeps the request from being sent to an upstream.
+    /// Adds an upstream to those that must not be used.
     pub fn exclude(&mut self, upstream: &UpstreamId) {
-        if let Err(place) = self.excluded.binary_search(upstream) {
-            self.excluded.insert(place, upstream.clone());
+        if let Err(index) = self.excluded.binary_search(upstream) {
+            self.excluded.insert(index, upstream.clone());
         }
     }
 }
 
-/// A prefix of a prompt.
+/// A prefix of a prompt, by which cached work is recognized.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prefix {
-    /// Fingerprint of the prefix.
+    /// Fingerprint of the bytes of the prefix.
     #[serde(rename = "print")]
     pub fingerprint: Fingerprint,
-    /// Its length.
+    /// Length of the prefix, estimated from its bytes.
     pub tokens: Tokens,
 }
 
-/// A request that came from a caller, at the instance that took it in.
+/// A request from a caller, at the instance that received it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallerRequest {
-    /// The facts.
+    /// The properties that decide its route.
     pub facts: RequestFacts,
-    /// Zones that refused it as not run or can't be reached, sorted.
+    /// Zones that refused it without running it or can't be reached, sorted.
     pub excluded_zones: Vec<ZoneId>,
 }
 
 impl CallerRequest {
-    /// A request as a caller sent it.
+    /// A request that no zone has refused yet.
     pub fn new(facts: RequestFacts) -> CallerRequest {
         CallerRequest { facts, excluded_zones: Vec::new() }
     }
 
-    /// The header under which the request crosses to another zone.
+    /// The header under which the request is forwarded to another zone.
     ///
-    /// The permit shows that residency was checked for the receiving region just before.
+    /// The permit proves that residency was checked for the region of the receiver.
     pub fn header(&self, permit: &Permit) -> ForwardHeader {
         ForwardHeader { facts: self.facts.clone(), region: permit.region().clone() }
     }
 
-    /// Marks a zone that refused the request as not run.
+    /// Adds a zone to those that refused the request without running it or can't be reached.
     pub fn exclude_zone(&mut self, zone: ZoneId) {
-        if let Err(place) = self.excluded_zones.binary_search(&zone) {
-            self.excluded_zones.insert(place, zone);
+        if let Err(index) = self.excluded_zones.binary_search(&zone) {
+            self.excluded_zones.insert(index, zone);
         }
     }
 }
 
-/// A request on its way between two zones.
+/// A request that is forwarded from one zone to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ForwardHeader {
     facts: RequestFacts,
@@ -97,24 +98,25 @@
 }
 
 impl ForwardHeader {
-    /// The request.
+    /// Id of the request.
     pub fn request(&self) -> &RequestId {
         &self.facts.id
     }
 }
 
-/// A request that another zone handed over; it is served in this zone or refused as not run.
+/// A request that another zone forwarded. It is served in this zone or refused as not run, never
+/// forwarded again.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ForwardedRequest {
     facts: RequestFacts,
 }
 
 impl ForwardedRequest {
-    /// Takes a request over, if it may be served in this region by the revision in force here.
+    /// Accepts a forwarded request if the configuration in force here permits it in this region.
     ///
     /// # Errors
     ///
-    /// Fails when residency forbids `own` region, or when the request was meant for another one.
+    /// Fails when residency forbids the region `own`, or when the sender meant another region.
     pub fn receive(
         header: ForwardHeader,
         configuration: &Configuration,
@@ -128,22 +130,22 @@
         Ok(ForwardedRequest { facts: header.facts })
     }
 
-    /// Keeps the request from being sent to an upstream.
+    /// Adds an upstream to those that must not be used.
     pub fn exclude(&mut self, upstream: &UpstreamId) {
         self.facts.exclude(upstream);
     }
 
-    /// Lets the request be sent to every upstream again.
+    /// Clears the excluded upstreams, so that the request may be sent to all of them again.
     pub fn clear_excluded(&mut self) {
         self.facts.excluded.clear();
     }
 
-    /// Takes time off that the request has waited.
+    /// Deducts the time that the request has waited here from its deadline.
     pub fn deduct_wait(&mut self, waited: Duration) {
         self.facts.deadline = self.facts.deadline.saturating_sub(waited);
     }
 
-    /// The facts.
+    /// The properties that decide its route.
     pub fn facts(&self) -> &RequestFacts {
         &self.facts
     }
--- a/crates/medlarlug-core/src/routing/residency.rs
+++ b/crates/medlarlug-core/src/routing/residency.rs
@@ -1,8 +1,8 @@
 //! Residency: the hard filter on where a request may be served.
 //!
-//! A [`Permit`] is made by [`Permit::check`] only. Whatever sends a request out of the process
-//! takes a permit by value, so that no request leaves without the check having been made against
-//! the configuration in force at that moment.
+//! A [`Permit`] is only created by [`Permit::check`]. Whatever sends a request out of the process
+//! takes a permit by value, so that no request leaves without a check against the configuration in
+//! force at that moment.
 
 use thiserror::Error;
 
@@ -12,12 +12,12 @@
     routing::request::RequestFacts,
 };
 
-/// Whether an instance could confirm its configuration revision recently.
+/// Whether the instance has confirmed its configuration revision within the lease time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigurationLease {
     /// The revision was confirmed within the lease.
     Valid,
-    /// It was not: requests stay in the instance's own region.
+    /// The revision was not confirmed in time, so requests stay in the region of the instance.
     Lapsed,
 }
 
@@ -32,25 +32,25 @@
 /// Why a request may not be served in a region.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ResidencyError {
-    /// The configuration doesn't know the team.
+    /// The configuration has no such team.
     #[error("team {team} is unknown at revision {revision}")]
     UnknownTeam {
-        /// The team.
+        /// Id that the request names.
         team: TeamId,
         /// Revision in force.
         revision: Revision,
     },
-    /// The rules of the team or the target forbid the region.
+    /// The residency rules of the team or of the target forbid the region.
     #[error("a request of team {team} for {target} may not be served in region {region}")]
     Forbidden {
-        /// The team.
+        /// Team of the request.
         team: TeamId,
-        /// What the request asks for.
+        /// Model or service that the request names.
         target: ItemKey,
         /// The forbidden region.
         region: RegionId,
     },
-    /// The revision was not confirmed recently, so no request leaves the region.
+    /// The configuration lease has lapsed, so no request leaves the region.
     #[error("revision {revision} is not confirmed; no request leaves region {region}")]
     Unconfirmed {
         /// Revision in force.
@@ -58,10 +58,10 @@
         /// The instance's own region.
         region: RegionId,
     },
-    /// A request reached a region that it was not meant for.
+    /// A forwarded request reached another region than the one it was checked for.
     #[error("the request was meant for region {meant}, this is {region}")]
     Misdirected {
-        /// Region for which the sender checked.
+        /// Region for which the sender checked residency.
         meant: RegionId,
         /// Region of the receiver.
         region: RegionId,
@@ -69,12 +69,12 @@
 }
 
 impl Permit {
-    /// Checks that a request may be served in `region` when it is sent from `own`.
+    /// Checks that a request may be served in `region` when it is sent from the region `own`.
     ///
     /// # Errors
     ///
-    /// Fails when the configuration in force doesn't permit the region, and when the request
-    /// would leave its region under a configuration that could not be confirmed.
+    /// Fails when the configuration in force doesn't permit the region, and when the request would
+    /// leave its region while the lease of the configuration has lapsed.
     pub fn check(
         configuration: &Configuration,
         lease: ConfigurationLease,
@@ -96,7 +96,7 @@
         Ok(Permit { request: facts.id.clone(), region: region.clone(), revision })
     }
 
-    /// The request that it stands for.
+    /// The request that was checked.
     pub fn request(&self) -> &RequestId {
         &self.request
     }
@@ -106,7 +106,7 @@
         &self.region
     }
 
-    /// The revision that it was checked against.
+    /// The configuration revision that the request was checked against.
     pub fn revision(&self) -> Revision {
         self.revision
     }
--- a/crates/medlarlug-core/src/routing/route.rs
+++ b/crates/medlarlug-core/src/routing/route.rs
@@ -1,5 +1,5 @@
-//! Decisions and their life cycle: a route that was chosen, and one whose residency was checked
-//! at the moment of leaving.
+//! Routing decisions: the chosen route, the same route after its residency check right before
+//! sending, and the reasons for a refusal.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,61 +17,61 @@
     units::Tokens,
 };
 
-/// Where a request that a caller sent goes.
+/// The destination chosen for a request from a caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Choice {
-    /// To an upstream of the own zone.
+    /// The request is sent to an upstream of the own zone.
     Serve(Route),
-    /// To another zone.
+    /// The request is forwarded to another zone.
     Forward(ZoneRoute),
 }
 
-/// An upstream of the own zone that was chosen.
+/// A route to an upstream of the own zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Names the attempt in the router's events.
+    /// Identifies the attempt in the router's events.
     pub attempt_id: AttemptId,
-    /// The upstream.
+    /// The chosen upstream.
     pub upstream: UpstreamId,
-    /// Its address.
+    /// Address that the upstream announced.
     pub address: SocketAddr,
-    /// Version of the model; `None` for a plain service.
+    /// Version of the model that the upstream serves; `None` for a plain service.
     pub version: Option<VersionId>,
     /// Predicted time to the first token.
     pub predicted: Duration,
-    /// Whether a prefix of the prompt is expected in the cache.
+    /// Whether a prefix of the prompt is expected to be cached at the upstream.
     pub is_warm: bool,
     pub(super) region: RegionId,
     pub(super) tokens: Tokens,
     pub(super) base: f64,
 }
 
-/// Another zone that was chosen.
+/// A route to another zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneRoute {
-    /// Names the attempt in the router's events.
+    /// Identifies the attempt in the router's events.
     pub attempt_id: AttemptId,
-    /// The zone.
+    /// The chosen zone.
     pub zone: ZoneId,
-    /// Its region.
+    /// Region of the zone, for the residency check.
     pub region: RegionId,
-    /// The entry instance that takes the request over.
+    /// Entry instance of the zone that receives the request.
     pub entry: InstanceId,
-    /// Predicted time to the first token, links included.
+    /// Predicted time to the first token, including the delay of the link.
     pub predicted: Duration,
     pub(super) own: RegionId,
     pub(super) tokens: Tokens,
     pub(super) base: f64,
 }
 
-/// A request that may leave for an upstream now; sending takes it by value.
+/// A route to an upstream whose residency was checked; sending the request takes it by value.
 #[derive(Debug, PartialEq)]
 pub struct AuthorizedRoute {
     route: Route,
     permit: Permit,
 }
 
-/// A request that may cross to another zone now; sending takes it by value.
+/// A route to another zone whose residency was checked; forwarding the request takes it by value.
 #[derive(Debug, PartialEq)]
 pub struct AuthorizedForward {
     route: ZoneRoute,
@@ -79,46 +79,46 @@
     permit: Permit,
 }
 
-/// Why a request is refused before any upstream can have begun it.
+/// Why a request is refused before any upstream can have started it.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// Residency forbids it.
+    /// Residency forbids the request.
     #[error(transparent)]
     Residency(#[from] ResidencyError),
-    /// No live upstream serves the target anywhere known, or those that do have failed it.
+    /// No known live upstream serves the target, or those that do have failed the request.
     #[error("no live upstream serves {target}")]
     NoUpstream {
-        /// What the request asks for.
+        /// Model or service that the request names.
         target: ItemKey,
-        /// Time after which to come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
     /// The target is served only in regions where residency forbids the request.
     #[error("{target} is served only where requests of team {team} are not permitted: {regions:?}")]
     ServedElsewhere {
-        /// The team.
+        /// Team of the request.
         team: TeamId,
-        /// What the request asks for.
+        /// Model or service that the request names.
         target: ItemKey,
-        /// Regions that serve it, sorted.
+        /// Regions that serve the target, sorted.
         regions: Vec<RegionId>,
-        /// Time after which to come back: an upstream may return to a permitted region.
+        /// Time after which the caller may retry: an upstream may return to a permitted region.
         retry_after: Duration,
     },
-    /// The first token is predicted too late to be sure of the deadline.
+    /// The first token is predicted too late to meet the deadline safely.
     #[error("the first token is predicted after {predicted:?}, too late for {deadline:?}")]
     Deadline {
         /// Predicted time to the first token.
         predicted: Duration,
-        /// Time that was left.
+        /// Time that was left until the deadline.
         deadline: Duration,
-        /// Time after which to come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
 }
 
 impl Refusal {
-    /// The reason that callers are told.
+    /// The reason that is reported to the caller.
     pub fn reason(&self) -> Reason {
         match self {
             Refusal::Residency(_) => Reason::NotPermitted,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Time after which to come back; `None` when coming back doesn't help.
+    /// Time after which the caller may retry; `None` when a retry can't succeed.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Refusal::Residency(_) => None,
@@ -140,7 +140,7 @@
 }
 
 impl Route {
-    /// Checks residency at the moment of leaving.
+    /// Checks residency against the configuration in force, right before the request is sent.
     ///
     /// # Errors
     ///
@@ -155,7 +155,7 @@
         Ok(AuthorizedRoute { route: self, permit })
     }
 
-    /// Checks residency of a forwarded request at the moment of leaving.
+    /// Checks residency of a forwarded request, right before it is sent to the upstream.
     ///
     /// # Errors
     ///
@@ -170,12 +170,12 @@
 }
 
 impl ZoneRoute {
-    /// Checks residency at the moment of leaving.
+    /// Checks residency against the configuration in force, right before the request is forwarded.
     ///
     /// # Errors
     ///
-    /// Fails when the configuration in force doesn't permit the zone's region, or when it could
-    /// not be confirmed and the zone is in another region.
+    /// Fails when the configuration in force doesn't permit the zone's region, or when its lease
+    /// has lapsed and the zone is in another region.
     pub fn authorize(
         self,
         configuration: &Configuration,
@@ -190,29 +190,29 @@
 }
 
 impl AuthorizedRoute {
-    /// The upstream and what was predicted.
+    /// The chosen upstream and the prediction for it.
     pub fn route(&self) -> &Route {
         &self.route
     }
 
-    /// The permit.
+    /// Proof that the upstream's region is permitted.
     pub fn permit(&self) -> &Permit {
         &self.permit
     }
 }
 
 impl AuthorizedForward {
-    /// The zone and what was predicted.
+    /// The chosen zone and the prediction for it.
     pub fn route(&self) -> &ZoneRoute {
         &self.route
     }
 
-    /// The header that goes with the request.
+    /// The header that is sent with the request.
     pub fn header(&self) -> &ForwardHeader {
         &self.header
     }
 
-    /// The permit.
+    /// Proof that the zone's region is permitted.
     pub fn permit(&self) -> &Permit {
         &self.permit
     }
--- a/crates/medlarlug-core/src/routing/router.rs
+++ b/crates/medlarlug-core/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The routing core: decisions, and what it learns from their outcome.
+//! The routing core: decides on requests and updates its statistics with the outcomes.
 
 use std::time::Duration;
 
@@ -19,45 +19,46 @@
     time::Time,
 };
 
-/// Time without a first token after which an attempt whose end nobody told is forgotten.
-const WAITING_LIFETIME: Duration = Duration::from_secs(60);
-/// Time after its start at which any attempt whose end nobody told is forgotten.
-const ATTEMPT_LIFETIME: Duration = Duration::from_secs(900);
-/// Time between two searches for forgotten attempts.
-const SWEEP_PERIOD: Duration = Duration::from_secs(1);
+/// Time after sending after which an attempt without a first token is dropped, if its end was never
+/// reported.
+const FIRST_TOKEN_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time after sending after which any attempt is dropped, if its end was never reported.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(900);
+/// Time between two searches for attempts to drop.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Names one attempt to serve a request.
+/// Identifies one attempt to serve a request; unique within one router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// What became of an attempt.
+/// Progress of an attempt, which the embedding program reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// The first token, or the first byte of a plain service's answer, arrived.
+    /// The first token arrived, or the first byte of the response of a plain service.
     FirstToken(AttemptId),
-    /// The answer is complete, or the caller went away.
+    /// The response is complete, or the caller disconnected.
     Ended(AttemptId),
-    /// The attempt failed.
+    /// The attempt failed, which starts a cool-down of its destination.
     Failed(AttemptId),
 }
 
-/// Decides where requests are served.
+/// Decides where requests are served, and keeps statistics of every destination.
 #[derive(Debug, Clone)]
 pub struct Router {
-    pub(super) started: Time,
+    pub(super) started_at: Time,
     pub(super) random: ChaCha8Rng,
-    pub(super) next: u64,
-    pub(super) index: Vec<TargetIndex>,
-    pub(super) indexed: Option<(u64, Revision)>,
+    pub(super) last_attempt_id: u64,
+    pub(super) targets: Vec<TargetIndex>,
+    pub(super) indexed_version: Option<(u64, Revision)>,
     pub(super) upstreams: Vec<UpstreamStats>,
     pub(super) zones: Vec<ZoneStats>,
     pub(super) affinity: Affinity,
     attempts: Vec<Attempt>,
-    pub(super) left: Time,
-    swept: Time,
+    pub(super) last_forward: Time,
+    last_sweep: Time,
 }
 
-/// Places of the upstreams that serve one target.
+/// Upstreams that serve one target.
 #[derive(Debug, Clone)]
 pub(super) struct TargetIndex {
     pub(super) target: Target,
@@ -66,8 +67,9 @@
 
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate {
+    // Index into the upstreams of the membership.
     pub(super) upstream: usize,
-    pub(super) learned: usize,
+    pub(super) stats: usize,
 }
 
 #[derive(Debug, Clone)]
@@ -75,72 +77,72 @@
     pub(super) id: UpstreamId,
     pub(super) incarnation: Incarnation,
     pub(super) hash: u64,
-    pub(super) learned: DestinationStats,
+    pub(super) stats: DestinationStats,
 }
 
 #[derive(Debug, Clone)]
 pub(super) struct ZoneStats {
     pub(super) id: ZoneId,
-    pub(super) learned: DestinationStats,
-    pub(super) seen: Time,
+    pub(super) stats: DestinationStats,
+    pub(super) last_usable: Time,
 }
 
 #[derive(Debug, Clone)]
 struct Attempt {
     attempt_id: AttemptId,
-    place: Place,
-    sent: Time,
-    is_waiting: bool,
+    destination: Destination,
+    sent_at: Time,
+    awaits_first_token: bool,
 }
 
 impl Attempt {
-    fn is_forgotten(&self, now: Time) -> bool {
-        let lifetime = if self.is_waiting { WAITING_LIFETIME } else { ATTEMPT_LIFETIME };
-        now - self.sent >= lifetime
+    fn is_expired(&self, now: Time) -> bool {
+        let lifetime = if self.awaits_first_token { FIRST_TOKEN_TIMEOUT } else { ATTEMPT_TIMEOUT };
+        now - self.sent_at >= lifetime
     }
 }
 
 #[derive(Debug, Clone)]
-enum Place {
+enum Destination {
     Upstream(UpstreamId),
     Zone(ZoneId),
 }
 
-/// What a decision is made on, besides the request.
+/// The state that a decision is based on, besides the request.
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
-    /// Upstreams and zones.
+    /// Known upstreams of the own zone, and other zones.
     pub membership: &'a Membership,
     /// The configuration in force.
     pub configuration: &'a Configuration,
-    /// Whether that configuration was confirmed lately.
+    /// Whether that configuration was confirmed within its lease.
     pub lease: ConfigurationLease,
 }
 
 impl Router {
-    /// A router that has learned nothing; `seed` feeds its random draws.
+    /// Creates a router without statistics; `seed` initializes its random number generator.
     pub fn new(now: Time, seed: u64) -> Router {
         Router {
-            started: now,
+            started_at: now,
             random: ChaCha8Rng::seed_from_u64(seed),
-            next: 0,
-            index: Vec::new(),
-            indexed: None,
+            last_attempt_id: 0,
+            targets: Vec::new(),
+            indexed_version: None,
             upstreams: Vec::new(),
             zones: Vec::new(),
             affinity: Affinity::default(),
             attempts: Vec::new(),
-            left: Time::ZERO,
-            swept: now,
+            last_forward: Time::ZERO,
+            last_sweep: now,
         }
     }
 
-    /// Decides on a request that a caller sent.
+    /// Decides on a request from a caller.
     ///
     /// # Errors
     ///
-    /// Fails when residency forbids every place or every place that serves the target, when none
-    /// serves it, and when the first token is predicted too late for the deadline everywhere.
+    /// Fails when residency forbids every destination or every one that serves the target, when
+    /// none serves it, and when the first token is predicted too late for the deadline everywhere.
     pub fn decide(
         &mut self,
         now: Time,
@@ -148,17 +150,19 @@
         request: &CallerRequest,
     ) -> Result<Choice, Refusal> {
         self.sweep(now);
-        let local = self.best_local(now, view, &request.facts);
-        let away = self.best_zone(now, view, request);
-        match (local, away) {
-            (Ok(route), Ok(zone)) => Ok(self.home_or_away(now, view, route, zone)),
+        let local = self.best_local_upstream(now, view, &request.facts);
+        let remote = self.best_remote_zone(now, view, request);
+        match (local, remote) {
+            (Ok(route), Ok(zone)) => Ok(self.local_or_remote(now, view, route, zone)),
             (Ok(route), Err(_)) => Ok(Choice::Serve(route)),
             (Err(_), Ok(zone)) => Ok(Choice::Forward(zone)),
-            (Err(home), Err(away)) => Err(self.refusal(now, view, &request.facts, home, away)),
+            (Err(local), Err(remote)) => {
+                Err(self.refusal(now, view, &request.facts, local, remote))
+            }
         }
     }
 
-    /// Decides on a request that another zone handed over: it is served here or refused.
+    /// Decides on a request that another zone forwarded: it is served in the own zone or refused.
     ///
     /// # Errors
     ///
@@ -170,82 +174,85 @@
         request: &ForwardedRequest,
     ) -> Result<Route, Refusal> {
         self.sweep(now);
-        self.best_local(now, view, request.facts())
+        self.best_local_upstream(now, view, request.facts())
     }
 
-    /// Notes that a request is sent to an upstream.
+    /// Records that a request is sent to an upstream.
     pub fn record_sent(&mut self, now: Time, authorized: &AuthorizedRoute, facts: &RequestFacts) {
         let route = authorized.route();
-        let place = self.upstream_place(now, &route.upstream);
+        let index = self.upstream_index(now, &route.upstream);
         let predicted = route.predicted.as_secs_f64();
-        let learned = &mut self.upstreams[place].learned;
-        learned.send(now, route.attempt_id, route.tokens, route.base, predicted);
-        self.affinity.note(now, &facts.prefixes, &route.upstream);
-        let place = Place::Upstream(route.upstream.clone());
-        self.note_attempt(now, route.attempt_id, place);
+        let stats = &mut self.upstreams[index].stats;
+        stats.record_sent(now, route.attempt_id, route.tokens, route.base, predicted);
+        self.affinity.record(now, &facts.prefixes, &route.upstream);
+        let destination = Destination::Upstream(route.upstream.clone());
+        self.add_attempt(now, route.attempt_id, destination);
     }
 
-    /// Notes that a request is sent to another zone.
+    /// Records that a request is forwarded to another zone.
     pub fn record_forwarded(&mut self, now: Time, authorized: &AuthorizedForward) {
         let route = authorized.route();
         let predicted = route.predicted.as_secs_f64();
-        let place = self.zone_place(now, &route.zone);
-        let learned = &mut self.zones[place].learned;
-        learned.send(now, route.attempt_id, route.tokens, route.base, predicted);
-        self.left = now;
-        let place = Place::Zone(route.zone.clone());
-        self.note_attempt(now, route.attempt_id, place);
+        let index = self.zone_index(now, &route.zone);
+        let stats = &mut self.zones[index].stats;
+        stats.record_sent(now, route.attempt_id, route.tokens, route.base, predicted);
+        self.last_forward = now;
+        let destination = Destination::Zone(route.zone.clone());
+        self.add_attempt(now, route.attempt_id, destination);
     }
 
-    /// Learns what became of an attempt.
+    /// Updates the statistics with the outcome of an attempt; unknown attempts are ignored.
     pub fn handle(&mut self, now: Time, event: Event) {
         let (Event::FirstToken(attempt_id) | Event::Ended(attempt_id) | Event::Failed(attempt_id)) =
             event;
         let Ok(at) = self.attempts.binary_search_by_key(&attempt_id, |it| it.attempt_id) else {
             return;
         };
-        let learned = match self.attempts[at].place.clone() {
-            Place::Upstream(id) => {
-                let place = self.upstream_place(now, &id);
-                &mut self.upstreams[place].learned
+        let stats = match self.attempts[at].destination.clone() {
+            Destination::Upstream(id) => {
+                let index = self.upstream_index(now, &id);
+                &mut self.upstreams[index].stats
             }
-            Place::Zone(id) => {
-                let place = self.zone_place(now, &id);
-                &mut self.zones[place].learned
+            Destination::Zone(id) => {
+                let index = self.zone_index(now, &id);
+                &mut self.zones[index].stats
             }
         };
         match event {
-            Event::FirstToken(_) => learned.first_token(now, attempt_id),
-            Event::Ended(_) => learned.end(now, attempt_id),
-            Event::Failed(_) => learned.fail(now, attempt_id),
+            Event::FirstToken(_) => stats.record_first_token(now, attempt_id),
+            Event::Ended(_) => stats.record_end(now, attempt_id),
+            Event::Failed(_) => stats.record_failure(now, attempt_id),
         }
         match event {
-            Event::FirstToken(_) => self.attempts[at].is_waiting = false,
+            Event::FirstToken(_) => self.attempts[at].awaits_first_token = false,
             Event::Ended(_) | Event::Failed(_) => {
                 self.attempts.remove(at);
             }
         }
     }
 
-    fn note_attempt(&mut self, now: Time, attempt_id: AttemptId, place: Place) {
+    fn add_attempt(&mut self, now: Time, attempt_id: AttemptId, destination: Destination) {
         let at = self.attempts.partition_point(|it| it.attempt_id < attempt_id);
-        self.attempts.insert(at, Attempt { attempt_id, place, sent: now, is_waiting: true });
+        self.attempts.insert(
+            at,
+            Attempt { attempt_id, destination, sent_at: now, awaits_first_token: true },
+        );
     }
 
-    /// Takes out attempts whose end was never told, so that they don't count as overdue for good.
+    /// Drops attempts whose end was never reported, so that they don't count as overdue forever.
     fn sweep(&mut self, now: Time) {
-        if now - self.swept < SWEEP_PERIOD {
+        if now - self.last_sweep < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
-        let forgotten = self.attempts.iter().filter(|it| it.is_forgotten(now));
-        let forgotten: Vec<AttemptId> = forgotten.map(|it| it.attempt_id).collect();
-        for attempt_id in forgotten {
+        self.last_sweep = now;
+        let expired = self.attempts.iter().filter(|it| it.is_expired(now));
+        let expired: Vec<AttemptId> = expired.map(|it| it.attempt_id).collect();
+        for attempt_id in expired {
             self.handle(now, Event::Ended(attempt_id));
         }
     }
 
-    /// Attempts that haven't ended.
+    /// Number of attempts that haven't ended.
     pub fn in_flight(&self) -> usize {
         self.attempts.len()
     }
--- a/crates/medlarlug-core/src/routing/stats.rs
+++ b/crates/medlarlug-core/src/routing/stats.rs
@@ -1,80 +1,81 @@
-//! What the router learns of an upstream or a zone from its own requests.
+//! Statistics of an upstream or a zone, from the requests that this instance sent to it.
 
 use std::time::Duration;
 
 use crate::{routing::router::AttemptId, time::Time, units::Tokens};
 
-/// Share of a new observation in an average.
-const GAIN: f64 = 0.2;
-/// Bounds of the ratio of observed to predicted time.
-const BIAS_RANGE: (f64, f64) = (0.5, 50.0);
-/// Shortest prediction that a ratio is taken of, in seconds.
-const SHORTEST: f64 = 0.02;
-/// Time in which the excess of a ratio halves, so that a slow upstream is tried again.
-const BIAS_HALF_LIFE: Duration = Duration::from_secs(20);
-/// Time in which what an ended request showed of the time that slots are held loses half its weight.
-const HOLD_HALF_LIFE: Duration = Duration::from_secs(30);
-/// Ended requests that the time from the report stands for.
-const REPORTED_WEIGHT: f64 = 2.0;
-/// Pause after the first failure; each further one doubles it.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// Number of doublings of the pause.
-const MAX_DOUBLINGS: u32 = 6;
+/// Weight of a new observation in the moving average of the latency ratio.
+const OBSERVATION_WEIGHT: f64 = 0.2;
+/// Bounds of the ratio of the observed to the predicted time to the first token.
+const RATIO_RANGE: (f64, f64) = (0.5, 50.0);
+/// Times below this many seconds count as this long in a ratio.
+const MIN_SECONDS: f64 = 0.02;
+/// Time in which the deviation of a ratio from 1.0 halves, so that a slow upstream is tried again.
+const RATIO_HALF_LIFE: Duration = Duration::from_secs(20);
+/// Half-life of the weight of an observed slot time.
+const SLOT_TIME_HALF_LIFE: Duration = Duration::from_secs(30);
+/// Weight of the slot time in the load report, as a number of ended requests.
+const REPORTED_SLOT_TIME_WEIGHT: f64 = 2.0;
+/// Cool-down after the first failure; each further failure in a row doubles it.
+const FIRST_COOLDOWN: Duration = Duration::from_millis(500);
+/// Doublings after which the cool-down grows no further.
+const MAX_COOLDOWN_DOUBLINGS: u32 = 6;
 
 /// A request that was sent and hasn't ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Flight {
+pub(super) struct InFlightRequest {
     attempt_id: AttemptId,
-    sent: Time,
+    sent_at: Time,
     tokens: Tokens,
     base: f64,
     predicted: f64,
-    first: Option<Time>,
+    first_token_at: Option<Time>,
 }
 
-impl Flight {
-    fn is_waiting(&self) -> bool {
-        self.first.is_none()
+impl InFlightRequest {
+    fn awaits_first_token(&self) -> bool {
+        self.first_token_at.is_none()
     }
 }
 
-/// How long requests of a place hold their slots after the first token, older ones counting less.
+/// How long requests hold their slots after the first token; older observations weigh less.
 #[derive(Debug, Clone, Copy, Default)]
-struct Holds {
-    ended: f64,
+struct SlotTimes {
+    count: f64,
     seconds: f64,
-    at: Time,
+    updated_at: Time,
 }
 
-impl Holds {
-    fn aged(self, now: Time) -> Holds {
-        let halvings = (now - self.at).as_secs_f64() / HOLD_HALF_LIFE.as_secs_f64();
-        let share = (-halvings).exp2();
-        Holds { ended: self.ended * share, seconds: self.seconds * share, at: now }
+impl SlotTimes {
+    fn aged(self, now: Time) -> SlotTimes {
+        let halvings = (now - self.updated_at).as_secs_f64() / SLOT_TIME_HALF_LIFE.as_secs_f64();
+        let weight = (-halvings).exp2();
+        SlotTimes { count: self.count * weight, seconds: self.seconds * weight, updated_at: now }
     }
 
-    fn note(&mut self, now: Time, seconds: f64) {
+    fn record(&mut self, now: Time, seconds: f64) {
         let aged = self.aged(now);
-        *self = Holds { ended: aged.ended + 1.0, seconds: aged.seconds + seconds, at: now };
+        *self =
+            SlotTimes { count: aged.count + 1.0, seconds: aged.seconds + seconds, updated_at: now };
     }
 }
 
-/// What own requests have shown of one place that serves them.
+/// Statistics of one destination: an upstream of the own zone, or another zone.
 #[derive(Debug, Clone)]
 pub(super) struct DestinationStats {
-    flights: Vec<Flight>,
-    holds: Holds,
-    bias: f64,
-    observed: Time,
+    requests: Vec<InFlightRequest>,
+    slot_times: SlotTimes,
+    latency_ratio: f64,
+    observed_at: Time,
     failures: u32,
-    paused: Time,
-    /// When the place was first seen, or came back.
-    pub(super) since: Time,
-    /// When the last request was sent.
-    pub(super) last: Time,
+    cooldown_until: Time,
+    /// When the destination was first seen, or became usable again after an absence.
+    pub(super) available_since: Time,
+    /// When the last request was sent to the destination.
+    pub(super) last_sent: Time,
 }
 
-/// Own requests that a report doesn't include.
+/// Requests that this instance sent after a load report was made, which the report doesn't include.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(super) struct SentSince {
     pub(super) requests: u32,
@@ -84,19 +85,20 @@
 impl DestinationStats {
     pub(super) fn new(since: Time) -> DestinationStats {
         DestinationStats {
-            flights: Vec::new(),
-            holds: Holds::default(),
-            bias: 1.0,
-            observed: since,
+            requests: Vec::new(),
+            slot_times: SlotTimes::default(),
+            latency_ratio: 1.0,
+            observed_at: since,
             failures: 0,
-            paused: Time::ZERO,
-            since,
-            last: Time::ZERO,
+            cooldown_until: Time::ZERO,
+            available_since: since,
+            last_sent: Time::ZERO,
         }
     }
 
-    /// Notes a request that is sent; `base` is the predicted time without the learned ratio.
-    pub(super) fn send(
+    /// Records that a request is sent; `base` is the predicted time in seconds before it is
+    /// multiplied by the latency ratio.
+    pub(super) fn record_sent(
         &mut self,
         now: Time,
         attempt_id: AttemptId,
@@ -104,118 +106,133 @@
         base: f64,
         predicted: f64,
     ) {
-        self.last = now;
-        let flight = Flight { attempt_id, sent: now, tokens, base, predicted, first: None };
-        self.flights.push(flight);
+        self.last_sent = now;
+        let request = InFlightRequest {
+            attempt_id,
+            sent_at: now,
+            tokens,
+            base,
+            predicted,
+            first_token_at: None,
+        };
+        self.requests.push(request);
     }
 
-    /// Notes the first token of a request, and learns from its time.
-    pub(super) fn first_token(&mut self, now: Time, attempt_id: AttemptId) {
-        let Some(flight) = self.flights.iter_mut().find(|it| it.attempt_id == attempt_id) else {
+    /// Records the first token of a request and updates the latency ratio.
+    pub(super) fn record_first_token(&mut self, now: Time, attempt_id: AttemptId) {
+        let Some(request) = self.requests.iter_mut().find(|it| it.attempt_id == attempt_id) else {
             return;
         };
-        flight.first = Some(now);
-        let took = (now - flight.sent).as_secs_f64();
-        let ratio = took.max(SHORTEST) / flight.base.max(SHORTEST);
+        request.first_token_at = Some(now);
+        let took = (now - request.sent_at).as_secs_f64();
+        let ratio = took.max(MIN_SECONDS) / request.base.max(MIN_SECONDS);
         self.failures = 0;
         self.observe(now, ratio);
     }
 
     fn observe(&mut self, now: Time, ratio: f64) {
-        let (low, high) = BIAS_RANGE;
-        let bias = self.bias(now);
-        self.bias = (bias + GAIN * (ratio.clamp(low, high) - bias)).clamp(low, high);
-        self.observed = now;
-    }
-
-    /// Takes an ended request out. One that ended without a first token has shown that the place
-    /// needs at least the time that it waited.
-    pub(super) fn end(&mut self, now: Time, attempt_id: AttemptId) {
-        let Some(flight) = self.take(attempt_id) else {
+        let (low, high) = RATIO_RANGE;
+        let latency_ratio = self.latency_ratio(now);
+        self.latency_ratio = (latency_ratio
+            + OBSERVATION_WEIGHT * (ratio.clamp(low, high) - latency_ratio))
+            .clamp(low, high);
+        self.observed_at = now;
+    }
+
+    /// Removes an ended request. One that ended without a first token shows that the destination
+    /// needs at least the time that the request waited.
+    pub(super) fn record_end(&mut self, now: Time, attempt_id: AttemptId) {
+        let Some(request) = self.remove(attempt_id) else {
             return;
         };
-        if let Some(first) = flight.first {
-            return self.holds.note(now, (now - first).as_secs_f64());
+        if let Some(first_token_at) = request.first_token_at {
+            return self.slot_times.record(now, (now - first_token_at).as_secs_f64());
         }
-        let ratio = (now - flight.sent).as_secs_f64() / flight.base.max(SHORTEST);
-        if ratio > self.bias(now) {
+        let ratio = (now - request.sent_at).as_secs_f64() / request.base.max(MIN_SECONDS);
+        if ratio > self.latency_ratio(now) {
             self.observe(now, ratio);
         }
     }
 
-    fn take(&mut self, attempt_id: AttemptId) -> Option<Flight> {
-        let place = self.flights.iter().position(|it| it.attempt_id == attempt_id)?;
-        Some(self.flights.remove(place))
+    fn remove(&mut self, attempt_id: AttemptId) -> Option<InFlightRequest> {
+        let index = self.requests.iter().position(|it| it.attempt_id == attempt_id)?;
+        Some(self.requests.remove(index))
     }
 
-    /// Takes a failed request out and pauses the place, longer with each failure in a row.
-    pub(super) fn fail(&mut self, now: Time, attempt_id: AttemptId) {
-        self.take(attempt_id);
-        self.paused = now + FIRST_PAUSE * (1 << self.failures.min(MAX_DOUBLINGS));
+    /// Removes a failed request and starts a cool-down of the destination, which is longer after
+    /// each failure in a row.
+    pub(super) fn record_failure(&mut self, now: Time, attempt_id: AttemptId) {
+        self.remove(attempt_id);
+        self.cooldown_until =
+            now + FIRST_COOLDOWN * (1 << self.failures.min(MAX_COOLDOWN_DOUBLINGS));
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Whether failures keep the place from being used.
-    pub(super) fn is_paused(&self, now: Time) -> bool {
-        now < self.paused
+    /// Whether the destination is to be avoided because of its latest failures.
+    pub(super) fn is_cooling_down(&self, now: Time) -> bool {
+        now < self.cooldown_until
     }
 
-    /// Ratio of observed to predicted times.
-    pub(super) fn bias(&self, now: Time) -> f64 {
-        let halvings = (now - self.observed).as_secs_f64() / BIAS_HALF_LIFE.as_secs_f64();
-        1.0 + (self.bias - 1.0) * (-halvings).exp2()
+    /// Ratio of the observed to the predicted time to the first token; it decays towards 1.0 while
+    /// nothing is observed.
+    pub(super) fn latency_ratio(&self, now: Time) -> f64 {
+        let halvings = (now - self.observed_at).as_secs_f64() / RATIO_HALF_LIFE.as_secs_f64();
+        1.0 + (self.latency_ratio - 1.0) * (-halvings).exp2()
     }
 
-    /// Seconds that a request holds its slot after its first token: the time that ended and
-    /// running requests have held theirs, for each ended one. `reported` counts as a few of them.
-    pub(super) fn hold(&self, now: Time, reported: f64) -> f64 {
-        let holds = self.holds.aged(now);
-        let running = self.flights.iter().filter_map(|it| it.first);
+    /// Seconds that a request holds its slot after its first token: the time for which ended and
+    /// running requests have held their slots, divided by the number of ended ones. `reported`, the
+    /// time from the load report, counts as several ended requests.
+    pub(super) fn slot_seconds(&self, now: Time, reported: f64) -> f64 {
+        let slot_times = self.slot_times.aged(now);
+        let running = self.requests.iter().filter_map(|it| it.first_token_at);
         let running: f64 = running.map(|it| (now - it).as_secs_f64()).sum();
-        let seconds = reported * REPORTED_WEIGHT + holds.seconds + running;
-        seconds / (REPORTED_WEIGHT + holds.ended)
+        let seconds = reported * REPORTED_SLOT_TIME_WEIGHT + slot_times.seconds + running;
+        seconds / (REPORTED_SLOT_TIME_WEIGHT + slot_times.count)
     }
 
-    /// Own requests sent after `reading`.
-    pub(super) fn sent_since(&self, reading: Time) -> SentSince {
+    /// Requests that this instance sent after `reported_at`.
+    pub(super) fn sent_since(&self, reported_at: Time) -> SentSince {
         let mut since = SentSince::default();
-        for flight in self.flights.iter().rev().take_while(|it| it.sent > reading) {
+        for request in self.requests.iter().rev().take_while(|it| it.sent_at > reported_at) {
             since.requests += 1;
-            since.tokens += flight.tokens.0;
+            since.tokens += request.tokens.0;
         }
         since
     }
 
-    /// Tokens that wait now: `reported` at `reading`, plus own sends since, each taken `senders`
-    /// times, less what is processed at `speed` tokens a second in between.
+    /// Prompt tokens that wait at `now`: the `reported` ones plus those that this instance has sent
+    /// since `reported_at`, times the number of `senders`, less those processed in between at
+    /// `speed` tokens per second.
     pub(super) fn backlog(
         &self,
         now: Time,
-        reading: Time,
+        reported_at: Time,
         reported: f64,
         senders: f64,
         speed: f64,
     ) -> f64 {
-        let start = self.flights.partition_point(|it| it.sent <= reading);
+        let start = self.requests.partition_point(|it| it.sent_at <= reported_at);
         let mut backlog = reported;
-        let mut last = reading;
-        for flight in &self.flights[start..] {
-            let processed = (flight.sent - last).as_secs_f64() * speed;
-            backlog = (backlog - processed).max(0.0) + flight.tokens.0 as f64 * senders;
-            last = flight.sent;
+        let mut last = reported_at;
+        for request in &self.requests[start..] {
+            let processed = (request.sent_at - last).as_secs_f64() * speed;
+            backlog = (backlog - processed).max(0.0) + request.tokens.0 as f64 * senders;
+            last = request.sent_at;
         }
         (backlog - (now - last).as_secs_f64() * speed).max(0.0)
     }
 
-    /// Seconds by which the first token of some request is later than predicted.
+    /// Largest delay in seconds, beyond the prediction, of a first token that is still outstanding;
+    /// zero if none is late.
     pub(super) fn overdue(&self, now: Time) -> f64 {
-        let late = |it: &Flight| (now - it.sent).as_secs_f64() - it.predicted;
-        let waiting = self.flights.iter().filter(|it| it.is_waiting());
-        waiting.map(late).fold(0.0, f64::max)
+        let lateness = |it: &InFlightRequest| (now - it.sent_at).as_secs_f64() - it.predicted;
+        let waiting = self.requests.iter().filter(|it| it.awaits_first_token());
+        waiting.map(lateness).fold(0.0, f64::max)
     }
 
-    /// Requests that haven't ended.
+    /// Number of requests that were sent and haven't ended.
     pub(super) fn in_flight(&self) -> usize {
-        self.flights.len()
+        self.requests.len()
     }
 }
--- a/crates/medlarlug-core/src/routing/weights.rs
+++ b/crates/medlarlug-core/src/routing/weights.rs
@@ -1,56 +1,59 @@
-//! Weights of the decision, from the policy and the links of the configuration.
+//! Weights of latency and cost in routing decisions, from the policy and the links of the
+//! configuration.
 
 use crate::{ids::RegionId, release::Configuration};
 
-/// Price of a second until the first token when there is no policy.
-const LATENCY_PRICE: f64 = 1.0;
-/// Seconds until the first token that requests are taken in for when there is no policy.
-const DEADLINE: f64 = 10.0;
-/// Price of processing a thousand prompt tokens.
-const PROMPT_PRICE: f64 = 0.1;
-/// Seconds one way between zones of one region.
-const NEAR_DELAY: f64 = 0.004;
-/// Seconds one way between regions whose link is not configured.
-const FAR_DELAY: f64 = 0.1;
+/// Weight of a second until the first token if the configuration has no policy.
+const DEFAULT_LATENCY_WEIGHT: f64 = 1.0;
+/// Deadline of the first token if the configuration has no policy.
+const DEFAULT_DEADLINE_SECONDS: f64 = 10.0;
+/// Price of processing a thousand prompt tokens, in the unit of link prices.
+const PRICE_PER_THOUSAND_TOKENS: f64 = 0.1;
+/// One-way delay between zones of one region.
+const REGION_DELAY_SECONDS: f64 = 0.004;
+/// One-way delay between regions whose link is not configured.
+const CROSS_REGION_DELAY_SECONDS: f64 = 0.1;
 /// Price of a request over a link that is not configured.
-const FAR_PRICE: f64 = 1.0;
+const CROSS_REGION_PRICE: f64 = 1.0;
 
-/// Weights of latency and cost.
+/// Weights of latency and cost, and the deadline of the policy.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Weights {
     latency: f64,
     cost: f64,
-    /// Seconds until the first token that requests are taken in for.
+    /// Seconds within which the policy wants the first token.
     pub(super) deadline: f64,
 }
 
-/// What it takes to use another zone.
+/// Cost of sending a request to another zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct LinkTerms {
-    /// Seconds one way.
+    /// One-way delay in seconds.
     pub(super) delay: f64,
-    /// Price of a request.
+    /// Price of each request over the link.
     pub(super) price: f64,
 }
 
 impl Weights {
-    /// The weights of the policy in force.
+    /// The weights of the policy in force, or defaults.
     pub(super) fn of(configuration: &Configuration) -> Weights {
         let policy = configuration.policy();
         Weights {
-            latency: policy.map_or(LATENCY_PRICE, |it| it.latency_weight.get()),
+            latency: policy.map_or(DEFAULT_LATENCY_WEIGHT, |it| it.latency_weight.get()),
             cost: policy.map_or(1.0, |it| it.cost_weight.get()),
-            deadline: policy.map_or(DEADLINE, |it| f64::from(it.deadline_ms) / 1_000.0),
+            deadline: policy
+                .map_or(DEFAULT_DEADLINE_SECONDS, |it| f64::from(it.deadline_ms) / 1_000.0),
         }
     }
 
-    /// The weighed price of serving a request: seconds to the first token, prompt tokens to
-    /// process, and the price of the link.
+    /// The weighted cost of serving a request, where lower is better: `seconds` until the first
+    /// token, prompt `tokens` to process, and the price of the `link`.
     pub(super) fn score(self, seconds: f64, tokens: f64, link: f64) -> f64 {
-        self.latency * seconds + self.cost * (link + tokens / 1_000.0 * PROMPT_PRICE)
+        self.latency * seconds + self.cost * (link + tokens / 1_000.0 * PRICE_PER_THOUSAND_TOKENS)
     }
 
-    /// The terms of sending from one region to another.
+    /// Delay and price of sending from one region to another; both are defaults if the link is not
+    /// configured.
     pub(super) fn link(
         self,
         configuration: &Configuration,
@@ -58,11 +61,11 @@
         to: &RegionId,
     ) -> LinkTerms {
         if from == to {
-            return LinkTerms { delay: NEAR_DELAY, price: 0.0 };
+            return LinkTerms { delay: REGION_DELAY_SECONDS, price: 0.0 };
         }
         match configuration.link(from, to) {
             Some(link) => LinkTerms { delay: link.delay().as_secs_f64(), price: link.price.get() },
-            None => LinkTerms { delay: FAR_DELAY, price: FAR_PRICE },
+            None => LinkTerms { delay: CROSS_REGION_DELAY_SECONDS, price: CROSS_REGION_PRICE },
         }
     }
 }
