--- a/crates/medlarlug-core/src/replication/transfer.rs
+++ b/crates/medlarlug-core/src/replication/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! Transfer of snapshots in parts.
+//! Transfer of snapshots in chunks.
 
 use crate::{ids::LogIndex, time::Time};
 
@@ -10,9 +10,9 @@
     replica::{Replica, State},
 };
 
-/// A part of a snapshot.
+/// Content of [`Body::Chunk`].
 #[derive(Debug)]
-pub(super) struct Part {
+pub(super) struct SnapshotChunk {
     pub(super) at: Position,
     pub(super) members: Membership,
     pub(super) offset: u64,
@@ -20,9 +20,9 @@
     pub(super) data: Vec<u8>,
 }
 
-/// A snapshot that is arriving.
+/// Partly received snapshot.
 #[derive(Debug)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     from: MemberKey,
     at: Position,
     data: Vec<u8>,
@@ -31,10 +31,11 @@
 impl Replica {
     pub(super) fn begin_snapshot(&self, progress: &mut Progress, _now: Time) {
         progress.inflight.clear();
-        progress.mode = Mode::Snapshot { index: self.log.base().index, offset: 0 };
+        progress.mode = Mode::Snapshot { index: self.log.snapshot_position().index, offset: 0 };
     }
 
-    /// Whether a live member is receiving the newest snapshot, which a newer one would interrupt.
+    /// Whether a responsive member is receiving the newest snapshot. A newer one would restart that
+    /// transfer from its beginning.
     pub(super) fn is_sending_snapshot(&self, now: Time) -> bool {
         let State::Leader(leader) = &self.state else {
             return false;
@@ -42,11 +43,11 @@
         let limit = self.config.election_timeout_max;
         leader.progress.iter().any(|progress| {
             let is_sending = matches!(progress.mode, Mode::Snapshot { .. });
-            is_sending && now - progress.heard < limit
+            is_sending && now - progress.last_contact < limit
         })
     }
 
-    /// Sends the next part of the newest snapshot.
+    /// Sends the next chunk of the newest snapshot; starts over if the snapshot was replaced.
     pub(super) fn send_chunk(&self, progress: &mut Progress, round: u64, out: &mut Vec<Effect>) {
         let Mode::Snapshot { index, offset } = &mut progress.mode else {
             return;
@@ -74,40 +75,44 @@
 
     pub(super) fn on_chunk(
         &mut self,
-        asker: (MemberKey, FormationId),
-        part: Part,
+        requester: (MemberKey, FormationId),
+        chunk: SnapshotChunk,
         round: u64,
         out: &mut Vec<Effect>,
     ) {
-        if part.at.index <= self.commit {
-            return self.acknowledge(asker, self.commit, round, out);
+        if chunk.at.index <= self.commit {
+            return self.acknowledge(requester, self.commit, round, out);
         }
         let is_same =
-            self.incoming.as_ref().is_some_and(|own| own.from == asker.0 && own.at == part.at);
+            self.incoming.as_ref().is_some_and(|own| own.from == requester.0 && own.at == chunk.at);
         if !is_same {
-            self.incoming = Some(Incoming { from: asker.0.clone(), at: part.at, data: Vec::new() });
+            self.incoming = Some(IncomingSnapshot {
+                from: requester.0.clone(),
+                at: chunk.at,
+                data: Vec::new(),
+            });
         }
         let Some(incoming) = &mut self.incoming else {
             return;
         };
-        if part.offset == incoming.data.len() as u64 {
-            incoming.data.extend_from_slice(&part.data);
+        if chunk.offset == incoming.data.len() as u64 {
+            incoming.data.extend_from_slice(&chunk.data);
         }
         let received = incoming.data.len() as u64;
-        if received < part.total {
-            let body = Body::Received { index: part.at.index, offset: received, round };
-            let answer = self.envelope(asker.0, asker.1, body);
+        if received < chunk.total {
+            let body = Body::Received { index: chunk.at.index, offset: received, round };
+            let answer = self.envelope(requester.0, requester.1, body);
             return self.send(answer, out);
         }
         let data = std::mem::take(&mut incoming.data);
         self.incoming = None;
-        self.install(part, data, out);
-        self.acknowledge(asker, self.commit, round, out);
+        self.install(chunk, data, out);
+        self.acknowledge(requester, self.commit, round, out);
     }
 
-    fn install(&mut self, part: Part, data: Vec<u8>, out: &mut Vec<Effect>) {
-        let Position { term, index } = part.at;
-        let snapshot = Snapshot { index, term, members: part.members, data: data.clone() };
+    fn install(&mut self, chunk: SnapshotChunk, data: Vec<u8>, out: &mut Vec<Effect>) {
+        let Position { term, index } = chunk.at;
+        let snapshot = Snapshot { index, term, members: chunk.members, data: data.clone() };
         if self.log.install(snapshot.clone()) {
             self.dirty.cut = Some(index.next());
             self.limit_synced(index);
@@ -131,7 +136,7 @@
             let Some(progress) = leader.progress_mut(from) else {
                 return;
             };
-            progress.hear(round, now);
+            progress.record_contact(round, now);
             if let Mode::Snapshot { index: sent, offset } = &mut progress.mode
                 && *sent == index
                 && *offset != received
@@ -142,7 +147,8 @@
         });
     }
 
-    /// Lends the leader's state beside the replica, if the replica leads.
+    /// Calls `act` with the replica and the leader's state, if the replica leads. The state is moved out
+    /// meanwhile, so that both can be borrowed mutably.
     pub(super) fn with_leader<R>(
         &mut self,
         act: impl FnOnce(&mut Replica, &mut super::leader::Leader) -> R,
