--- a/crates/medlarlug-core/src/routing/dump.rs
+++ b/crates/medlarlug-core/src/routing/dump.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     ids::{UpstreamId, ZoneId},
-    routing::{router::Router, stats::DestinationStats},
+    routing::{learned::DestinationStats, router::Router},
     time::Time,
 };
 
--- a/crates/medlarlug-core/src/routing/local.rs
+++ b/crates/medlarlug-core/src/routing/local.rs
@@ -11,12 +11,12 @@
     membership::{Target, Upstream},
     release::Configuration,
     routing::{
+        learned::DestinationStats,
         predict::{Prediction, predict},
         request::RequestFacts,
         residency::Permit,
         route::{Refusal, Route},
         router::{AttemptId, Candidate, Router, TargetIndex, UpstreamStats, View},
-        stats::DestinationStats,
         weights::Weights,
     },
     time::Time,
--- a/crates/medlarlug-core/src/routing/mod.rs
+++ b/crates/medlarlug-core/src/routing/mod.rs
@@ -13,6 +13,7 @@
 
 mod affinity;
 pub mod dump;
+mod learned;
 mod local;
 mod predict;
 mod refusal;
@@ -21,7 +22,6 @@
 pub mod residency;
 pub mod route;
 pub mod router;
-mod stats;
 mod weights;
 
 pub use dump::RouterDump;
--- a/crates/medlarlug-core/src/routing/predict.rs
+++ b/crates/medlarlug-core/src/routing/predict.rs
@@ -5,7 +5,7 @@
         Upstream,
         load::{PREFILL_TOKENS_PER_SECOND, slot_time},
     },
-    routing::{request::RequestFacts, stats::DestinationStats},
+    routing::{learned::DestinationStats, request::RequestFacts},
     time::Time,
     units::Tokens,
 };
--- a/crates/medlarlug-core/src/routing/remote.rs
+++ b/crates/medlarlug-core/src/routing/remote.rs
@@ -8,12 +8,12 @@
     ids::ZoneId,
     membership::{Row, load::PREFILL_TOKENS_PER_SECOND},
     routing::{
+        learned::DestinationStats,
         local::within_deadline,
         request::{CallerRequest, RequestFacts},
         residency::Permit,
         route::{Choice, Refusal, Route, ZoneRoute},
         router::{AttemptId, Router, View, ZoneStats},
-        stats::DestinationStats,
         weights::Weights,
     },
     time::Time,
--- a/crates/medlarlug-core/src/routing/router.rs
+++ b/crates/medlarlug-core/src/routing/router.rs
@@ -11,10 +11,10 @@
     release::Configuration,
     routing::{
         affinity::Affinity,
+        learned::DestinationStats,
         request::{CallerRequest, ForwardedRequest, RequestFacts},
         residency::ConfigurationLease,
         route::{AuthorizedForward, AuthorizedRoute, Choice, Refusal, Route},
-        stats::DestinationStats,
     },
     time::Time,
 };
