--- a/crates/medlarlug-core/src/configuration_group/command.rs
+++ b/crates/medlarlug-core/src/configuration_group/command.rs
@@ -14,89 +14,94 @@
 pub enum Command {
     /// An operator applies a release note.
     Apply(ReleaseNote),
-    /// The leader found that nothing uses these draining items any more.
+    /// The leader found that no request uses these draining items any more.
     RemoveDrained {
-        /// The configuration that the finding is about; a later one refuses the command.
+        /// Revision of the configuration that the leader examined; the command has no effect on a later
+        /// one.
         revision: Revision,
-        /// Draining items to remove.
+        /// Keys of the draining items to remove.
         items: Vec<ItemKey>,
     },
     /// The new home of a team has adopted its booking keys.
     HomeAdopted {
-        /// The team.
+        /// Team whose home was changed.
         team: TeamId,
-        /// Revision at which its home was changed.
+        /// Revision that changed the home; it distinguishes this move from other ones of the team.
         epoch: Revision,
     },
-    /// A home group without state asks whether it is the region's first.
+    /// A home group without state asks whether it is the first of its region.
     FoundHome {
         /// Region of the home group.
         region: RegionId,
-        /// Names this founding; a repeated command with the same token gets the same answer.
+        /// Identifies this founding; a retry with the same token gets the same reply.
         token: FoundToken,
     },
-    /// The group was rebuilt from the state of one survivor, which may lack the newest changes.
+    /// The group was rebuilt from the state of one surviving keeper, which may lack the newest changes.
     Rebuilt,
 }
 
-/// What an accepted note led to.
+/// Record of an accepted note.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
     /// Number of the note.
     pub number: ReleaseNumber,
-    /// Operator who applied it.
+    /// Operator who applied the note.
     pub operator: OperatorId,
-    /// Revision that it produced.
+    /// Revision that the note produced.
     pub revision: Revision,
 }
 
 /// The reply to a [`Command`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The note is accepted, now or when it was first applied.
+    /// The note is accepted, by this command or by an earlier one with the same note.
     Accepted(Accepted),
-    /// The note is refused; the configuration is as before.
+    /// The note is refused; the configuration is unchanged.
     Refused(Refusal),
-    /// The drained items are removed, at this revision.
+    /// The drained items are removed as of this revision.
     Removed(Revision),
-    /// The configuration has moved on, or an item does not drain; nothing was removed.
+    /// Nothing was removed: the configuration is at this other revision, the command names no item, or
+    /// an item is not draining.
     NotRemoved(Revision),
-    /// The move of the team's home is complete.
+    /// The move of the team's home is complete; also the reply to a retry.
     HomeAdopted,
     /// The home group is founded.
     Founded {
         /// Revision at which the founding was recorded.
         revision: Revision,
-        /// Whether the region has never had a home group before.
+        /// Whether the region had no home group before.
         first: bool,
     },
     /// The region is not in the configuration.
     UnknownRegion(RegionId),
-    /// The group is rebuilt and goes on at this revision.
+    /// The group is rebuilt and continues from this revision.
     Rebuilt(Revision),
 }
 
-/// Why a note is refused by the group.
+/// Reason for which the group refuses a note.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The note does not fit the configuration.
+    /// The note cannot be applied to the configuration.
     #[error(transparent)]
     Note(#[from] NoteError),
-    /// The number is taken by another note.
+    /// Another note has used the number.
     #[error(
-        "number {} is taken: the note of {} became revision {}; the one of {operator} is refused",
+        "number {} is already used: the note of {} was accepted as revision {}; \
+         the note of {operator} is refused",
         winner.number, winner.operator, winner.revision
     )]
     Conflict {
-        /// The note that holds the number.
+        /// Accepted note with the number.
         winner: Accepted,
         /// Operator of the refused note.
         operator: OperatorId,
     },
-    /// The team's bookings are still on their way to the home region of an earlier note.
-    #[error("team {team} still moves from {from} to {to}; change its home again afterwards")]
+    /// The team's bookings are still being moved to the home region that an earlier note set.
+    #[error(
+        "team {team} is still being moved from {from} to {to}; retry when the move is complete"
+    )]
     Moving {
-        /// The team.
+        /// Team that is being moved.
         team: TeamId,
         /// Former home region.
         from: RegionId,
@@ -105,23 +110,23 @@
     },
 }
 
-/// What turned one revision into the next.
+/// Change from one revision to the next.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Change {
     /// A release note.
     Note(ReleaseNote),
     /// Drained items were removed.
     Removed(Vec<ItemKey>),
-    /// A region's home group was founded; the items are unchanged.
+    /// A home group was founded in the region; the items are unchanged.
     Founded(RegionId),
 }
 
 impl Change {
-    /// The configuration that follows `current`.
+    /// Returns the configuration that follows `current`.
     ///
     /// # Errors
     ///
-    /// Fails when the change does not fit `current`.
+    /// Fails if the change cannot be applied to `current`.
     pub fn apply(&self, current: &Configuration) -> Result<Configuration, NoteError> {
         match self {
             Change::Note(note) => note.apply(current),
--- a/crates/medlarlug-core/src/configuration_group/draining.rs
+++ b/crates/medlarlug-core/src/configuration_group/draining.rs
@@ -1,12 +1,12 @@
-//! When withdrawn items are removed.
+//! Removal of withdrawn items.
 //!
-//! The leader of the configuration group removes the draining items when no request can use them
-//! any more. No count of running requests is collected for this; time has to pass instead: from
-//! the moment when every live instance uses the newest note, or when the configuration leases of
-//! the others have run out, the longest request time.
+//! The leader of the configuration group removes draining items once no request can use them any more.
+//! It does not count running requests. Instead it waits until every live instance uses the newest note,
+//! or the configuration leases of those that do not have expired, and then for
+//! [`MAX_REQUEST_DURATION`].
 //!
-//! The time counts from the newest note, whatever it withdrew. A note that comes in between delays the
-//! removal of all draining items.
+//! The wait restarts with every note, whatever the note withdrew: a further note delays the removal of
+//! all draining items.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
     time::Time,
 };
 
-/// Longest time that a request is taken to run; what runs longer than this after the withdrawal
-/// of its item can't be resumed.
+/// Longest assumed duration of a request. A request that runs longer than this after its item was
+/// withdrawn cannot be resumed.
 pub const MAX_REQUEST_DURATION: Duration = Duration::from_secs(10 * 60);
 
-/// Waits until the draining items of a configuration are unused.
+/// Tracks when the draining items of a configuration can be removed.
 ///
 /// ```
 /// use medlarlug_core::{
@@ -33,27 +33,27 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct DrainTracker {
-    // The note that is in force everywhere, and since when.
-    settled: Option<(Revision, Time)>,
+    // Revision of the last note whose rollout completed, and when this leader first saw it complete.
+    in_effect: Option<(Revision, Time)>,
 }
 
 impl DrainTracker {
-    /// The draining items that no request uses any more.
+    /// Keys of the draining items that no request uses any more.
     ///
-    /// `is_everywhere` tells whether the newest revision is in force at every instance that may
+    /// `is_rollout_complete` says whether the newest note is in effect at every instance that may
     /// send a request to another region; see
     /// [`Rollout::is_complete`](crate::configuration_group::Rollout::is_complete).
     pub fn removable_items(
         &mut self,
         now: Time,
         configuration: &Configuration,
-        is_everywhere: bool,
+        is_rollout_complete: bool,
     ) -> Vec<ItemKey> {
         let edited = configuration.edited;
-        let since = match self.settled {
-            Some((settled, since)) if settled == edited => since,
-            _ if is_everywhere => {
-                self.settled = Some((edited, now));
+        let since = match self.in_effect {
+            Some((in_effect, since)) if in_effect == edited => since,
+            _ if is_rollout_complete => {
+                self.in_effect = Some((edited, now));
                 now
             }
             _ => return Vec::new(),
@@ -64,8 +64,8 @@
         configuration.draining().iter().map(|it| it.key()).collect()
     }
 
-    /// Forgets what was seen, as this process does not lead any more.
+    /// Discards the state, for use when this process stops being the leader.
     pub fn reset(&mut self) {
-        self.settled = None;
+        self.in_effect = None;
     }
 }
--- a/crates/medlarlug-core/src/configuration_group/mod.rs
+++ b/crates/medlarlug-core/src/configuration_group/mod.rs
@@ -1,18 +1,19 @@
 //! The replicated state machine that accepts release notes.
 //!
-//! One group of keepers orders all [`Command`]s; each keeper applies them in that order to its
-//! [`ConfigurationGroup`]. Applying reads no clock and no random source, so all copies are equal.
+//! One replication group of keepers orders all [`Command`]s, and each keeper applies them in that order
+//! to its [`ConfigurationGroup`]. Applying a command reads no clock and no random source, so all
+//! copies are equal.
 //!
-//! An accepted note raises the revision by one. A note's number is used once: the same note sent
-//! again gets the first answer again, another note under a used number is a conflict that names
-//! both operators. Beside notes, the group decides three things that have to be decided once for
-//! the whole deployment: when a withdrawn item has drained, when a team's bookings have moved to
-//! its new home region, and whether a home group is the region's first.
+//! An accepted note raises the revision by one. A note's number is used once: a retry of the same note
+//! gets the first reply, and another note with a used number is refused as a conflict that names both
+//! operators. Besides notes, the group records three decisions that have to be unique in the whole
+//! deployment: that a withdrawn item has drained, that a team's bookings have moved to its new home
+//! region, and whether a home group is the first of its region.
 //!
 //! * [`command`]: commands and replies.
 //! * [`state`]: the state machine.
-//! * [`draining`]: when withdrawn items are removed; kept by the leader only.
-//! * [`tracker`]: where a revision is in force; kept by the leader only, not replicated.
+//! * [`draining`]: when withdrawn items are removed; state of the leader, not replicated.
+//! * [`tracker`]: at which instances a revision is in effect; state of the leader, not replicated.
 
 pub mod command;
 pub mod draining;
--- a/crates/medlarlug-core/src/configuration_group/state.rs
+++ b/crates/medlarlug-core/src/configuration_group/state.rs
@@ -13,35 +13,36 @@
     release::{Configuration, ItemKey, ReleaseNote},
 };
 
-/// Accepted notes that are remembered by number.
+/// Number of accepted notes that the group remembers by their number.
 ///
-/// A note that is older than these is refused as [`Stale`](crate::release::NoteError::Stale) when
-/// it is sent again, so it is never accepted twice.
+/// A retry of an older note is refused as [`Stale`](crate::release::NoteError::Stale), so a note is never
+/// accepted twice.
 pub const MAX_ACCEPTED_NOTES: usize = 16_384;
 
-/// Changes that are kept to bring instances up to date without sending the whole configuration.
+/// Number of recent changes that the group keeps. A follower that lacks more of them is sent the whole
+/// configuration.
 pub const MAX_RETAINED_CHANGES: usize = 1_024;
 
-/// Revisions that a rebuilt group leaves out; more than the survivor can have missed.
+/// Number of revisions that a rebuilt group skips: more than the survivor can have missed.
 pub const REBUILD_REVISION_GAP: u64 = 1 << 20;
 
-/// A note that holds its number.
+/// Accepted note by which a number is used.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct HeldNumber {
+struct UsedNumber {
     accepted: Accepted,
     content: Fingerprint,
 }
 
-/// A team on its way to a new home region.
+/// Move of a team to a new home region that is in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeMove {
-    /// The team.
+    /// Team that is being moved.
     pub team: TeamId,
     /// Former home region.
     pub from: RegionId,
     /// New home region.
     pub to: RegionId,
-    /// Revision at which the home was changed.
+    /// Revision that changed the home.
     pub epoch: Revision,
 }
 
@@ -66,7 +67,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationGroup {
     current: Configuration,
-    numbers: Vec<HeldNumber>,
+    numbers: Vec<UsedNumber>,
     changes: VecDeque<Change>,
     moves: Vec<HomeMove>,
     foundings: Vec<Founding>,
@@ -78,12 +79,12 @@
         &self.current
     }
 
-    /// Teams whose bookings are on their way to a new home region, sorted by team.
+    /// Moves of teams to a new home region that are in progress, sorted by team.
     pub fn moves(&self) -> &[HomeMove] {
         &self.moves
     }
 
-    /// The newest accepted notes, at most `count`, the newest one first.
+    /// Last `count` accepted notes at most, newest first.
     pub fn history(&self, count: usize) -> Vec<Accepted> {
         let mut notes: Vec<Accepted> = self.numbers.iter().map(|it| it.accepted.clone()).collect();
         notes.sort_by_key(|it| std::cmp::Reverse(it.revision));
@@ -91,7 +92,7 @@
         notes
     }
 
-    /// Applies one command of the log.
+    /// Applies one command of the replicated log and returns the reply to its sender.
     pub fn apply(&mut self, command: Command) -> Reply {
         match command {
             Command::Apply(note) => match self.accept(note) {
@@ -99,13 +100,14 @@
                 Err(refusal) => Reply::Refused(refusal),
             },
             Command::RemoveDrained { revision, items } => self.remove_drained(revision, items),
-            Command::HomeAdopted { team, epoch } => self.end_move(&team, epoch),
+            Command::HomeAdopted { team, epoch } => self.finish_move(&team, epoch),
             Command::FoundHome { region, token } => self.found_home(region, token),
-            Command::Rebuilt => self.rebuilt(),
+            Command::Rebuilt => self.skip_lost_revisions(),
         }
     }
 
-    /// What a follower lacks: the missing changes if they are still kept, else everything.
+    /// Changes that a follower lacks, or the whole configuration if some of them are no longer kept.
+    /// Returns `None` if the follower is up to date or ahead.
     pub fn update_for(&self, ask: &UpdateRequest) -> Option<Update> {
         let missing = self.current.revision.0.checked_sub(ask.revision.0)?;
         if missing == 0 {
@@ -120,16 +122,16 @@
         Some(Update::Changes { base: ask.revision, changes })
     }
 
-    /// The state as bytes.
+    /// Encodes the state for a snapshot of the log.
     pub fn encode_snapshot(&self) -> Vec<u8> {
         postcard::to_allocvec(self).expect("state encodes to memory")
     }
 
-    /// The state that [`encode_snapshot`](Self::encode_snapshot) wrote.
+    /// Decodes a state that [`encode_snapshot`](Self::encode_snapshot) encoded.
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are no such state.
+    /// Fails if the bytes are not an encoded state.
     pub fn decode_snapshot(bytes: &[u8]) -> Result<ConfigurationGroup, postcard::Error> {
         postcard::from_bytes(bytes)
     }
@@ -137,7 +139,7 @@
     fn accept(&mut self, note: ReleaseNote) -> Result<Accepted, Refusal> {
         let content = fingerprint(&note);
         let place = match self.find_number(note.number()) {
-            Ok(found) => return self.first_answer(found, &note, content),
+            Ok(found) => return self.reply_to_used_number(found, &note, content),
             Err(place) => place,
         };
         let next = note.apply(&self.current)?;
@@ -147,9 +149,9 @@
             operator: note.operator().clone(),
             revision: next.revision,
         };
-        self.numbers.insert(place, HeldNumber { accepted: accepted.clone(), content });
-        self.forget_oldest_number();
-        self.begin_moves(&next);
+        self.numbers.insert(place, UsedNumber { accepted: accepted.clone(), content });
+        self.evict_oldest_number();
+        self.start_moves(&next);
         self.advance(next, Change::Note(note));
         Ok(accepted)
     }
@@ -158,21 +160,22 @@
         self.numbers.binary_search_by_key(&number, |it| it.accepted.number)
     }
 
-    fn first_answer(
+    /// Returns the first reply if the note is the one that used the number, and a conflict otherwise.
+    fn reply_to_used_number(
         &self,
         found: usize,
         note: &ReleaseNote,
         content: Fingerprint,
     ) -> Result<Accepted, Refusal> {
-        let held = &self.numbers[found];
-        let winner = held.accepted.clone();
-        if held.content == content {
+        let used = &self.numbers[found];
+        let winner = used.accepted.clone();
+        if used.content == content {
             return Ok(winner);
         }
         Err(Refusal::Conflict { winner, operator: note.operator().clone() })
     }
 
-    /// Refuses to move a team again, or to withdraw a region, while bookings are on their way.
+    /// Refuses to move a team again, or to withdraw a region of its move, while its move is in progress.
     fn check_moves(&self, note: &ReleaseNote, next: &Configuration) -> Result<(), Refusal> {
         for it in &self.moves {
             let is_moved_again = next.home_of(&it.team).is_some_and(|home| home.epoch != it.epoch);
@@ -186,7 +189,7 @@
         Ok(())
     }
 
-    fn begin_moves(&mut self, next: &Configuration) {
+    fn start_moves(&mut self, next: &Configuration) {
         for home in next.homes().iter().filter(|it| it.epoch == next.revision) {
             let Some(from) = home.from.clone() else {
                 continue;
@@ -197,7 +200,7 @@
         self.moves.sort_by(|a, b| a.team.cmp(&b.team));
     }
 
-    fn forget_oldest_number(&mut self) {
+    fn evict_oldest_number(&mut self) {
         if self.numbers.len() <= MAX_ACCEPTED_NOTES {
             return;
         }
@@ -215,8 +218,8 @@
         }
     }
 
-    /// Leaves out the revisions that may be in force elsewhere and are not known here.
-    fn rebuilt(&mut self) -> Reply {
+    /// Skips the revisions that may be in effect at instances and are missing in the rebuilt state.
+    fn skip_lost_revisions(&mut self) -> Reply {
         self.current.revision = Revision(self.current.revision.0 + REBUILD_REVISION_GAP);
         self.changes.clear();
         Reply::Rebuilt(self.current.revision)
@@ -235,7 +238,7 @@
         }
     }
 
-    fn end_move(&mut self, team: &TeamId, epoch: Revision) -> Reply {
+    fn finish_move(&mut self, team: &TeamId, epoch: Revision) -> Reply {
         self.moves.retain(|it| it.team != *team || it.epoch != epoch);
         Reply::HomeAdopted
     }
--- a/crates/medlarlug-core/src/configuration_group/tracker.rs
+++ b/crates/medlarlug-core/src/configuration_group/tracker.rs
@@ -1,12 +1,12 @@
-//! Where a revision is in force.
+//! Rollout of revisions to the instances.
 //!
-//! The leader keeps a [`RolloutTracker`] beside the group. Followers tell their revision with every
-//! question that they ask. A revision is in force everywhere when every known instance has
-//! confirmed it, or when the configuration lease of all that have not must have run out: an
-//! instance without a valid lease crosses no region.
+//! The leader of the configuration group keeps a [`RolloutTracker`]. Followers send their revision with
+//! every update request. The rollout of a revision is complete once every known instance has confirmed
+//! it, or once the configuration leases of those that have not must have expired: an instance without
+//! a valid lease sends no request to another region.
 //!
-//! A leader's tracker begins empty. A new leader counts the lease of the revisions that it finds
-//! from its own beginning, which is later than their commit and therefore safe.
+//! A new leader starts with an empty tracker. It counts the lease of the revisions that it finds from
+//! its own start, which is later than their commit and therefore safe.
 
 use std::time::Duration;
 
@@ -17,15 +17,15 @@
     time::Time,
 };
 
-/// One instance's revision.
+/// Revision that an instance has confirmed last.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Known {
+struct InstanceRevision {
     instance: InstanceId,
     zone: ZoneId,
     revision: Revision,
 }
 
-/// Where revisions are in force.
+/// Tracks the revisions that instances have confirmed, and the commit times of revisions.
 ///
 /// ```
 /// use medlarlug_core::{configuration_group::RolloutTracker, ids::Revision, time::Time};
@@ -41,37 +41,37 @@
 #[derive(Debug, Clone)]
 pub struct RolloutTracker {
     lease: Duration,
-    known: Vec<Known>,
-    committed: Vec<(Revision, Time)>,
+    instances: Vec<InstanceRevision>,
+    commits: Vec<(Revision, Time)>,
 }
 
-/// Commits whose time is kept; the lease of older ones has run out.
-const MAX_COMMITTED: usize = 1_024;
+/// Number of commit times that are kept; leases from before older commits have expired.
+const MAX_COMMIT_TIMES: usize = 1_024;
 
-/// Where one revision is in force.
+/// Progress of the rollout of one revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The revision.
+    /// Revision that is rolled out.
     pub revision: Revision,
-    /// Zone by zone, sorted.
+    /// Progress in each availability zone, sorted by zone.
     pub zones: Vec<ZoneRollout>,
-    /// Time until every lease that does not know the revision has run out.
+    /// Time until every lease that was granted before the revision has expired; zero afterwards.
     pub leases: Duration,
 }
 
-/// Where one revision is in force within a zone.
+/// Progress of the rollout of one revision in an availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneRollout {
-    /// The zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Instances that confirmed the revision or a later one.
+    /// Number of instances that have confirmed the revision or a later one.
     pub confirmed: u32,
-    /// Instances that did not.
+    /// Instances that have confirmed neither.
     pub pending: Vec<InstanceId>,
 }
 
 impl Rollout {
-    /// Whether all known instances confirmed the revision, or the leases of the others ran out.
+    /// Whether all known instances have confirmed the revision, or the leases of the others have expired.
     pub fn is_complete(&self) -> bool {
         let is_confirmed = self.zones.iter().all(|it| it.pending.is_empty());
         self.leases.is_zero() || (is_confirmed && !self.zones.is_empty())
@@ -79,53 +79,54 @@
 }
 
 impl RolloutTracker {
-    /// A tracker for configuration leases of length `lease` on clocks that differ in speed by
-    /// `drift` at most: 0.01 is one part in a hundred.
+    /// Creates a tracker for configuration leases of length `lease`. Clocks differ in speed by the
+    /// fraction `drift` at most: 0.01 is one part in a hundred.
     pub fn new(lease: Duration, drift: f64) -> RolloutTracker {
         let lease = lease.mul_f64(1.0 + drift);
-        RolloutTracker { lease, known: Vec::new(), committed: Vec::new() }
+        RolloutTracker { lease, instances: Vec::new(), commits: Vec::new() }
     }
 
-    /// The group committed `revision`, or this leader found it committed when it began.
+    /// Records that the group committed `revision`, or that this leader found it committed at its start.
     pub fn record_commit(&mut self, now: Time, revision: Revision) {
-        if self.committed.last().is_some_and(|(last, _)| *last >= revision) {
+        if self.commits.last().is_some_and(|(last, _)| *last >= revision) {
             return;
         }
-        if self.committed.len() == MAX_COMMITTED {
-            self.committed.remove(0);
+        if self.commits.len() == MAX_COMMIT_TIMES {
+            self.commits.remove(0);
         }
-        self.committed.push((revision, now));
+        self.commits.push((revision, now));
     }
 
-    /// `instance` is a member; it counts as pending until it confirms.
+    /// Adds a member, which counts as pending until it confirms a revision.
     pub fn add_instance(&mut self, instance: InstanceId, zone: ZoneId) {
         if let Err(place) = self.find(&instance) {
-            self.known.insert(place, Known { instance, zone, revision: Revision(0) });
+            self.instances
+                .insert(place, InstanceRevision { instance, zone, revision: Revision(0) });
         }
     }
 
-    /// `instance` uses `revision`.
+    /// Records that `instance` uses `revision`.
     ///
-    /// An instance restarts without a disk at revision 0, so a lower revision replaces a higher.
+    /// A lower revision replaces a higher one, since an instance without a disk restarts at revision 0.
     pub fn record_confirmation(&mut self, instance: InstanceId, zone: ZoneId, revision: Revision) {
-        let known = Known { instance, zone, revision };
+        let known = InstanceRevision { instance, zone, revision };
         match self.find(&known.instance) {
-            Ok(found) => self.known[found] = known,
-            Err(place) => self.known.insert(place, known),
+            Ok(found) => self.instances[found] = known,
+            Err(place) => self.instances.insert(place, known),
         }
     }
 
-    /// `instance` is no longer a member, and its lease has run out.
+    /// Removes an instance that is no longer a member and whose lease has expired.
     pub fn remove_instance(&mut self, instance: &InstanceId) {
         if let Ok(found) = self.find(instance) {
-            self.known.remove(found);
+            self.instances.remove(found);
         }
     }
 
-    /// Where `revision` is in force at `now`.
+    /// Progress of the rollout of `revision` at the time `now`.
     pub fn rollout(&self, now: Time, revision: Revision) -> Rollout {
         let mut zones: Vec<ZoneRollout> = Vec::new();
-        for it in &self.known {
+        for it in &self.instances {
             let place = match zones.binary_search_by(|zone| zone.zone.cmp(&it.zone)) {
                 Ok(found) => found,
                 Err(place) => {
@@ -140,18 +141,18 @@
                 zones[place].pending.push(it.instance.clone());
             }
         }
-        Rollout { revision, zones, leases: self.leases_left(now, revision) }
+        Rollout { revision, zones, leases: self.remaining_lease(now, revision) }
     }
 
-    fn leases_left(&self, now: Time, revision: Revision) -> Duration {
-        let place = self.committed.partition_point(|(committed, _)| *committed < revision);
-        match self.committed.get(place) {
+    fn remaining_lease(&self, now: Time, revision: Revision) -> Duration {
+        let place = self.commits.partition_point(|(committed, _)| *committed < revision);
+        match self.commits.get(place) {
             Some((_, at)) => (*at + self.lease) - now,
             None => self.lease,
         }
     }
 
     fn find(&self, instance: &InstanceId) -> Result<usize, usize> {
-        self.known.binary_search_by(|it| it.instance.cmp(instance))
+        self.instances.binary_search_by(|it| it.instance.cmp(instance))
     }
 }
