--- a/crates/medlarlug-gateway/src/entry/attempt.rs
+++ b/crates/medlarlug-gateway/src/entry/attempt.rs
@@ -11,10 +11,10 @@
 };
 use medlarlug_core::{
     gateway::{
-        availability::Rest,
-        handover::{Attempts, Report},
-        health::CallEnd,
-        placing::Choice,
+        availability::Backoff,
+        handover::{Attempts, HandoverReport},
+        health::UpstreamOutcome,
+        placement::Choice,
         table::RouteKind,
         upstreams::Birth,
     },
@@ -148,7 +148,7 @@
             let now = self.entry.now();
             match &self.counted_at {
                 CountedAt::Upstream(choice) => {
-                    self.entry.loads.borrow_mut().answered(now, choice, now - self.began);
+                    self.entry.loads.borrow_mut().record_first_token(now, choice, now - self.began);
                     report_at_once(&self.entry, choice);
                 }
                 CountedAt::Region(region, tokens) => {
@@ -168,7 +168,7 @@
         }
         match &self.counted_at {
             CountedAt::Upstream(choice) => {
-                self.entry.loads.borrow_mut().ended(now, choice, self.has_first_token);
+                self.entry.loads.borrow_mut().record_end(now, choice, self.has_first_token);
                 if !self.has_first_token {
                     report_at_once(&self.entry, choice);
                 }
@@ -276,11 +276,13 @@
     match (&outcome, hop) {
         (Outcome::NotRun(NotRun::Unreachable | NotRun::Withdrawn), _) => {}
         (_, Hop::Peer { .. }) => match report {
-            Some(report) if !matches!(outcome, Outcome::Unknown(_)) => attempts.reported(report),
-            _ => attempts.unreported(),
+            Some(report) if !matches!(outcome, Outcome::Unknown(_)) => {
+                attempts.record_report(report)
+            }
+            _ => attempts.record_missing_report(),
         },
-        (Outcome::NotRun(_), Hop::Upstream { .. }) => attempts.refused(),
-        (_, Hop::Upstream { .. }) => attempts.ran(),
+        (Outcome::NotRun(_), Hop::Upstream { .. }) => attempts.record_refusal(),
+        (_, Hop::Upstream { .. }) => attempts.record_run(),
     }
     outcome
 }
@@ -291,7 +293,7 @@
     entry: &Rc<Entry>,
     context: &AttemptContext<'_>,
     hop: &Hop,
-    report: &mut Option<Report>,
+    report: &mut Option<HandoverReport>,
 ) -> Outcome {
     let now = entry.now();
     let left = context.answer_by - now;
@@ -353,23 +355,23 @@
                 slot.answered();
                 slot.request_end = RequestEnd::Answered;
                 let end = match parts.status.is_server_error() {
-                    true => CallEnd::Failed,
-                    false => CallEnd::Answered,
+                    true => UpstreamOutcome::Failed,
+                    false => UpstreamOutcome::Answered,
                 };
                 record_health(entry, hop, end);
                 entry.client.give_back_among(connection, hop.idle());
                 Outcome::Answer(Response::from_parts(parts, bytes))
             }
             Err(ReadError::Cut) => {
-                record_health(entry, hop, CallEnd::Broken);
+                record_health(entry, hop, UpstreamOutcome::Broken);
                 Outcome::Unknown(Unknown::ConnectionLost)
             }
             Err(ReadError::TooLong) => {
-                record_health(entry, hop, CallEnd::Failed);
+                record_health(entry, hop, UpstreamOutcome::Failed);
                 Outcome::Unknown(Unknown::ForeignAnswer)
             }
             Err(ReadError::Late) => {
-                record_health(entry, hop, CallEnd::Failed);
+                record_health(entry, hop, UpstreamOutcome::Failed);
                 Outcome::Unknown(Unknown::TimedOut)
             }
         };
@@ -389,13 +391,13 @@
     match timeout(left, stream.next()).await {
         Ok(Piece::Events(events)) => {
             stream.ready = Some(events);
-            record_health(entry, hop, CallEnd::Answered);
+            record_health(entry, hop, UpstreamOutcome::Answered);
             Outcome::Stream(Box::new(stream))
         }
         // A stream without events is complete.
         Ok(Piece::End) => Outcome::Stream(Box::new(stream)),
         Ok(Piece::Broken) => {
-            record_health(entry, hop, CallEnd::Broken);
+            record_health(entry, hop, UpstreamOutcome::Broken);
             Outcome::Unknown(Unknown::ConnectionLost)
         }
         Err(_) => {
@@ -406,7 +408,7 @@
 }
 
 fn report_at_once(entry: &Entry, choice: &Choice) {
-    if choice.is_told() {
+    if choice.needs_immediate_report() {
         entry.exchange().report_at_once(&choice.id);
     }
 }
@@ -416,10 +418,10 @@
     let demand = &context.call.demand;
     let counted_at = match hop {
         Hop::Upstream { choice, birth, memory, cold_rate, .. } => {
-            entry.loads.borrow_mut().sent(now, choice, demand, *memory);
+            entry.loads.borrow_mut().record_sent(now, choice, demand, *memory);
             report_at_once(entry, choice);
             if let Some(rate) = cold_rate {
-                entry.cold.borrow_mut().sent(now, &choice.id, *rate);
+                entry.cold.borrow_mut().record_send(now, &choice.id, *rate);
                 let instances = entry.region_entries().len();
                 let up_ms = entry.uptime().as_millis() as u64;
                 metrics::counter!(names::COLD_REQUESTS).increment(1);
@@ -432,7 +434,7 @@
             CountedAt::Upstream(choice.clone())
         }
         Hop::Peer { region, .. } => {
-            let tokens = u64::from(demand.prompt);
+            let tokens = u64::from(demand.prompt_tokens);
             entry.update_forwarded_tokens(region, |unread| unread + tokens);
             CountedAt::Region(region.clone(), tokens)
         }
@@ -501,7 +503,7 @@
         let now = self.now();
         let headers = answer.headers();
         let is_leaving = headers.get(&self.names.leaving).is_some_and(|value| value == "1");
-        if is_leaving && self.availabilities.borrow_mut().leaves(now, id, birth) {
+        if is_leaving && self.availabilities.borrow_mut().record_leaving(now, id, birth) {
             metrics::counter!(names::LEAVING_UPSTREAMS).increment(1);
             tracing::info!(request = %call.id, upstream = %id, birth = birth.0, "upstream announced in an answer that it is leaving");
             self.client.forget(address);
@@ -511,11 +513,11 @@
             return;
         }
         let Some(value) = headers.get(header::RETRY_AFTER) else { return };
-        match value.to_str().unwrap_or_default().parse::<Rest>() {
+        match value.to_str().unwrap_or_default().parse::<Backoff>() {
             Ok(rest) => {
                 let spread = rand::rng().random();
                 let remaining =
-                    self.availabilities.borrow_mut().rests(now, id, birth, rest, spread);
+                    self.availabilities.borrow_mut().record_backoff(now, id, birth, rest, spread);
                 if let Some(remaining) = remaining {
                     let for_ms = remaining.as_millis() as u64;
                     metrics::counter!(names::BACKOFFS).increment(1);
@@ -535,7 +537,7 @@
     context: &AttemptContext,
     hop: &Hop,
     answer: &Response<Incoming>,
-    report: Option<Report>,
+    report: Option<HandoverReport>,
 ) -> Option<Outcome> {
     let names = &entry.names;
     let headers = answer.headers();
@@ -547,17 +549,17 @@
         return Some(Outcome::NotRun(NotRun::Refused { after: retry_after(headers) }));
     }
     if headers.contains_key(&names.not_run) {
-        record_health(entry, hop, CallEnd::Refused);
+        record_health(entry, hop, UpstreamOutcome::Refused);
         return Some(Outcome::NotRun(NotRun::Refused { after: retry_after(headers) }));
     }
     if answer.status() == StatusCode::MISDIRECTED_REQUEST {
-        record_health(entry, hop, CallEnd::Unreachable);
+        record_health(entry, hop, UpstreamOutcome::Unreachable);
         return Some(Outcome::NotRun(NotRun::Misdirected));
     }
     let is_signed = headers.contains_key(&names.signature);
     let is_encoded = headers.contains_key(header::CONTENT_ENCODING);
     if answer.status().is_success() && (!is_signed || is_encoded) {
-        record_health(entry, hop, CallEnd::Failed);
+        record_health(entry, hop, UpstreamOutcome::Failed);
         return Some(Outcome::Unknown(Unknown::ForeignAnswer));
     }
     None
@@ -579,16 +581,16 @@
             {
                 entry.refused_connection(&choice.id);
             }
-            record_health(entry, hop, CallEnd::Unreachable);
+            record_health(entry, hop, UpstreamOutcome::Unreachable);
             Outcome::NotRun(NotRun::Unreachable)
         }
         CallError::Withdrawn { .. } => Outcome::NotRun(NotRun::Withdrawn),
         CallError::Lost { .. } => {
-            record_health(entry, hop, CallEnd::Broken);
+            record_health(entry, hop, UpstreamOutcome::Broken);
             Outcome::Unknown(Unknown::ConnectionLost)
         }
         CallError::Silent { address, .. } => {
-            record_health(entry, hop, CallEnd::Failed);
+            record_health(entry, hop, UpstreamOutcome::Failed);
             entry.client.forget(*address);
             Outcome::Unknown(Unknown::TimedOut)
         }
@@ -596,16 +598,16 @@
 }
 
 /// Records the result of a request for the health of its upstream.
-pub(super) fn record_health(entry: &Rc<Entry>, hop: &Hop, end: CallEnd) {
+pub(super) fn record_health(entry: &Rc<Entry>, hop: &Hop, end: UpstreamOutcome) {
     let Hop::Upstream { choice, address, cold_rate, .. } = hop else { return };
     let end = match end {
-        CallEnd::Answered if cold_rate.is_some() => CallEnd::AnsweredCold,
+        UpstreamOutcome::Answered if cold_rate.is_some() => UpstreamOutcome::AnsweredCold,
         end => end,
     };
-    if end == CallEnd::Broken {
+    if end == UpstreamOutcome::Broken {
         entry.start_crash_check(&choice.id, *address);
     }
-    let avoided = entry.healths.borrow_mut().ended(entry.now(), &choice.id, end);
+    let avoided = entry.healths.borrow_mut().record(entry.now(), &choice.id, end);
     if let Some(pause) = avoided {
         tracing::warn!(upstream = %choice.id, avoid_ms = pause.as_millis() as u64, ?end, "upstream avoided");
     }
--- a/crates/medlarlug-gateway/src/entry/crashes.rs
+++ b/crates/medlarlug-gateway/src/entry/crashes.rs
@@ -153,7 +153,7 @@
             plan.route.may_be_served_in(region) && self.upstreams_in(region, &plan.service) > 0
         };
         let contacts = self.contacts.borrow();
-        let live = contacts.live_entries(now).map(|contact| &contact.card);
+        let live = contacts.live_entries(now).map(|contact| &contact.info);
         let others = live.filter(|card| card.id != own.id && can_try(&card.region));
         let mut instances: Vec<InstanceId> = others.map(|card| card.id.clone()).collect();
         if can_try(&own.region) {
@@ -240,7 +240,7 @@
     /// Called when an upstream announces itself: an older incarnation with its id or address has
     /// crashed, unless it had announced that it was leaving.
     pub(super) fn on_replacement(&self, upstream: &Upstream) {
-        let replaced = self.upstreams.borrow().crashed_before(upstream);
+        let replaced = self.upstreams.borrow().crashed_predecessors(upstream);
         for (id, birth) in replaced {
             let key = key(&id, birth);
             if self.crashes.borrow().has_unanswered(&key) {
@@ -261,7 +261,7 @@
         for (key, when) in reported {
             // The upstream is cold when it returns.
             if self.newest_incarnation(&key.upstream).as_ref() == Some(&key) {
-                self.healths.borrow_mut().crashed(when, &key.upstream);
+                self.healths.borrow_mut().record_crash(when, &key.upstream);
             }
             if self.crashes.borrow().has_unanswered(&key) {
                 self.record_crash(key, "reported by another instance");
@@ -363,7 +363,7 @@
     let idle = entry.client.idle(address);
     if running == 0 && idle == 0 {
         tracing::warn!(upstream = %key.upstream, "all connections to the upstream broke; it may have crashed");
-        entry.healths.borrow_mut().crashed(began, &key.upstream);
+        entry.healths.borrow_mut().record_crash(began, &key.upstream);
         if http_client::is_refused(address, PROBE_TIMEOUT).await {
             entry.record_crash(key.clone(), "refuses connections");
         }
--- a/crates/medlarlug-gateway/src/entry/forwarded.rs
+++ b/crates/medlarlug-gateway/src/entry/forwarded.rs
@@ -2,18 +2,18 @@
 
 use hyper::{HeaderMap, header::HeaderValue};
 use medlarlug::transport::body::Answer;
-use medlarlug_core::gateway::handover::{Handover, Report};
+use medlarlug_core::gateway::handover::{Handover, HandoverReport};
 use serde::{Serialize, de::DeserializeOwned};
 
 /// Header of a forwarded call: a [`Handover`] in JSON.
 pub(super) const HANDOVER_HEADER: &str = "medlarlug-forwarded";
-/// Header of the answer to a forwarded call: a [`Report`] in JSON.
+/// Header of the answer to a forwarded call: a [`HandoverReport`] in JSON.
 const REPORT_HEADER: &str = "medlarlug-report";
 
 /// The answer to a call, with the number of attempts that this instance made.
 pub(super) struct Reported {
     pub(super) answer: Answer,
-    pub(super) report: Report,
+    pub(super) report: HandoverReport,
 }
 
 impl Reported {
@@ -36,7 +36,7 @@
 }
 
 /// The report in the answer of another instance; `None` if it is missing or can't be parsed.
-pub(super) fn report(headers: &HeaderMap) -> Option<Report> {
+pub(super) fn report(headers: &HeaderMap) -> Option<HandoverReport> {
     let report = headers.get(REPORT_HEADER).and_then(decode);
     if report.is_none() {
         tracing::warn!(
--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -40,19 +40,19 @@
 };
 use medlarlug_core::{
     gateway::{
-        availability::Availabilities,
-        away::USUAL_PROMPT,
-        budget::RetryWindow,
-        cold::{ColdSends, Suspicions},
-        contacts::{Card, Contacts, Part, RegionWait, Spare, Status},
-        exchange::Member,
-        health::Healths,
-        peer_loads::{LoadReport, Source},
-        placing::{Demand, Loads},
+        availability::AvailabilityTracker,
+        cold::{ColdDetector, ColdSendPacer},
+        contacts::{Contacts, InstanceInfo, InstanceKind, RegionWait, ServiceWait, Status},
+        health::HealthTracker,
+        keeper_view::{KEEPER_SOURCES, KeeperView},
+        load_exchange::Member,
+        peer_loads::{LoadReport, ReportSource},
+        placement::{Demand, Loads},
+        prefill_queue::QueueWaits,
+        remote_region::REFERENCE_PROMPT_TOKENS,
+        retry_budget::RetryWindow,
         table::{RouteTable, ServiceName, TableVersion},
-        turns::TurnWaits,
         upstreams::{Birth, Effect, UpstreamState, Upstreams},
-        view::{SOURCES, View},
     },
     ids::{InstanceId, RegionId, UpstreamId, ZoneId},
     time::Time,
@@ -121,20 +121,20 @@
     upstreams: RefCell<Upstreams>,
     contacts: RefCell<Contacts>,
     /// Which keepers this instance receives updates from.
-    view: RefCell<View>,
+    view: RefCell<KeeperView>,
     loads: RefCell<Loads>,
     exchange: Exchange,
-    turn_waits: RefCell<TurnWaits>,
-    healths: RefCell<Healths>,
-    availabilities: RefCell<Availabilities>,
+    turn_waits: RefCell<QueueWaits>,
+    healths: RefCell<HealthTracker>,
+    availabilities: RefCell<AvailabilityTracker>,
     limited: LimitState,
-    cold: RefCell<ColdSends>,
+    cold: RefCell<ColdSendPacer>,
     crashes: RefCell<Crashes>,
-    suspicions: RefCell<Suspicions>,
+    suspicions: RefCell<ColdDetector>,
     /// Predicted waiting times of other regions, sorted by region and service.
     waits: RefCell<Vec<RegionWait>>,
     /// Predicted spare capacity of this instance, and when it was predicted.
-    spare: RefCell<(Option<Time>, Vec<Spare>)>,
+    spare: RefCell<(Option<Time>, Vec<ServiceWait>)>,
     /// Prompt tokens forwarded to each region whose calls are not answered yet, sorted by region.
     forwarded_tokens: RefCell<Vec<(RegionId, u64)>>,
     /// Recent calls and retries of each service, sorted by service.
@@ -284,7 +284,7 @@
         let settings = self.settings.borrow();
         let own = &settings.card;
         let contacts = self.contacts.borrow();
-        let live = contacts.live_entries(self.now()).map(|contact| &contact.card);
+        let live = contacts.live_entries(self.now()).map(|contact| &contact.info);
         let mut ids: Vec<InstanceId> =
             live.filter(|card| card.region == own.region).map(|card| card.id.clone()).collect();
         ids.push(own.id.clone());
@@ -297,9 +297,9 @@
     pub(crate) fn region_members(&self) -> (Member, Vec<(Member, SocketAddr)>) {
         let settings = self.settings.borrow();
         let own = &settings.card;
-        let member = |card: &Card| Member { id: card.id.clone(), zone: card.zone.clone() };
+        let member = |card: &InstanceInfo| Member { id: card.id.clone(), zone: card.zone.clone() };
         let contacts = self.contacts.borrow();
-        let live = contacts.live_entries(self.now()).map(|contact| &contact.card);
+        let live = contacts.live_entries(self.now()).map(|contact| &contact.info);
         let others = live.filter(|card| card.region == own.region && card.id != own.id);
         let mut all: Vec<(Member, SocketAddr)> =
             others.map(|card| (member(card), card.internal)).collect();
@@ -330,29 +330,29 @@
 
     /// The number of instances of the region other than `to`, and their aggregate load.
     pub(crate) fn aggregate_for(&self, to: &InstanceId) -> (usize, Vec<LoadReport>) {
-        self.loads.borrow().sum_for(to)
+        self.loads.borrow().aggregate_for(to)
     }
 
     /// The own zone, the number of its instances, and their aggregate load.
     pub(crate) fn zone_aggregate(&self) -> (ZoneId, usize, Vec<LoadReport>) {
-        let (instances, loads) = self.loads.borrow().zone_sum();
+        let (instances, loads) = self.loads.borrow().zone_aggregate();
         (self.settings.borrow().card.zone.clone(), instances, loads)
     }
 
     /// Removes reports of peers that have expired.
     pub(crate) fn expire_peer_loads(&self) {
-        self.loads.borrow_mut().forget_silent(self.now());
+        self.loads.borrow_mut().drop_expired_reports(self.now());
     }
 
     /// Applies changed loads of other instances at some upstreams.
-    pub(crate) fn apply_load_changes(&self, from: &Source, changes: Vec<LoadReport>) {
+    pub(crate) fn apply_load_changes(&self, from: &ReportSource, changes: Vec<LoadReport>) {
         let mut loads = self.loads.borrow_mut();
-        changes.into_iter().for_each(|change| loads.hear_change(from, change));
+        changes.into_iter().for_each(|change| loads.apply_change(from, change));
     }
 
     /// Replaces the load that `from` reported before by `loads`.
-    pub(crate) fn apply_loads(&self, from: Source, instances: usize, loads: Vec<LoadReport>) {
-        self.loads.borrow_mut().hear(self.now(), from, instances, loads);
+    pub(crate) fn apply_loads(&self, from: ReportSource, instances: usize, loads: Vec<LoadReport>) {
+        self.loads.borrow_mut().apply_report(self.now(), from, instances, loads);
     }
 
     fn on_update(&self, from: SocketAddr, update: Update) {
@@ -364,10 +364,10 @@
             let before = self.upstreams.borrow().get(&id).map(|it| it.upstream.birth);
             self.on_replacement(&upstream);
             let effect = match state {
-                UpstreamState::Gone => self.upstreams.borrow_mut().leave_unknown(now, upstream),
+                UpstreamState::Gone => self.upstreams.borrow_mut().mark_unknown_gone(now, upstream),
                 _ => self.upstreams.borrow_mut().announce(now, upstream, age),
             };
-            self.upstreams.borrow_mut().told_by(from, &id, Birth(birth));
+            self.upstreams.borrow_mut().record_keeper(from, &id, Birth(birth));
             if effect != Effect::Changed {
                 continue;
             }
@@ -375,12 +375,12 @@
             let is_new = before.is_some_and(|before| before.0 < birth);
             if is_new {
                 self.healths.borrow_mut().forget(&id);
-                self.loads.borrow_mut().forget(&id);
+                self.loads.borrow_mut().reset(&id);
             }
         }
         self.apply_contacts(now, update.contacts, update.pulses);
         if let Some(pulse) = &update.pulse {
-            self.upstreams.borrow_mut().take_pulse(now, from, pulse);
+            self.upstreams.borrow_mut().apply_heartbeat(now, from, pulse);
         }
         if !update.waits.is_empty() {
             *self.waits.borrow_mut() = update.waits;
@@ -397,14 +397,14 @@
     fn apply_contacts(
         &self,
         now: Time,
-        changed: Vec<(Card, bool, u32)>,
+        changed: Vec<(InstanceInfo, bool, u32)>,
         pulses: Vec<(InstanceId, u32)>,
     ) {
         let mut contacts = self.contacts.borrow_mut();
         for (card, ready, age) in changed {
             let age = Duration::from_millis(age.into());
             let status = Status { ready, spare: Vec::new() };
-            contacts.hear(now, card, Some(status), age);
+            contacts.update(now, card, Some(status), age);
         }
         for (id, age) in pulses {
             contacts.renew(now, &id, Duration::from_millis(age.into()));
@@ -413,7 +413,7 @@
 
     /// Updates the view with the current list of keepers, and logs if the process was stalled.
     fn update_view(&self) {
-        let stalled = self.view.borrow_mut().look(self.now(), &self.keepers());
+        let stalled = self.view.borrow_mut().update(self.now(), &self.keepers());
         if let Some(time) = stalled {
             let stalled_ms = time.as_millis() as u64;
             tracing::warn!(
@@ -428,8 +428,8 @@
         let own = self.card();
         let contacts = self.contacts.borrow();
         let distance = |address: &SocketAddr| {
-            let known = contacts.all().iter().find(|it| it.card.internal == *address);
-            known.map_or(3, |it| match &it.card {
+            let known = contacts.all().iter().find(|it| it.info.internal == *address);
+            known.map_or(3, |it| match &it.info {
                 card if card.zone == own.zone => 0,
                 card if card.region == own.region => 1,
                 _ => 2,
@@ -437,7 +437,7 @@
         };
         let mut open = self.links.connected();
         open.sort_by_key(|address| (distance(address), *address));
-        open.truncate(SOURCES);
+        open.truncate(KEEPER_SOURCES);
         open
     }
 
@@ -450,10 +450,10 @@
             tracing::info!(round = head.round, evacuated = ?head.evacuated, was_away, ?restored, %from, "evacuated zones changed");
             let mut suspicions = self.suspicions.borrow_mut();
             match seen {
-                Some(zones) => zones.iter().for_each(|zone| suspicions.restored(now, zone)),
+                Some(zones) => zones.iter().for_each(|zone| suspicions.zone_restored(now, zone)),
                 None => restored.iter().for_each(|(zone, age)| {
                     let age = Duration::from_millis((*age).into());
-                    suspicions.restored(now.saturating_sub(age), zone);
+                    suspicions.zone_restored(now.saturating_sub(age), zone);
                 }),
             }
             own.round = head.round;
@@ -504,7 +504,7 @@
     }
 
     /// Predicted waiting times of calls of usual size at this instance, by service.
-    fn spare(&self) -> Vec<Spare> {
+    fn spare(&self) -> Vec<ServiceWait> {
         let now = self.now();
         let mut spare = self.spare.borrow_mut();
         if spare.0.is_none_or(|when| now - when > SPARE_LIFETIME) {
@@ -513,15 +513,15 @@
         spare.1.clone()
     }
 
-    fn predict_spare(&self) -> Vec<Spare> {
+    fn predict_spare(&self) -> Vec<ServiceWait> {
         let Some(table) = self.table.borrow().clone() else { return Vec::new() };
         let spare = table.services().iter().map(|service| {
-            let prompt = service.engine.map_or(0, |_| USUAL_PROMPT);
-            let demand = Demand { prompt, rank: 1, ..Demand::default() };
+            let prompt = service.engine.map_or(0, |_| REFERENCE_PROMPT_TOKENS);
+            let demand = Demand { prompt_tokens: prompt, priority: 1, ..Demand::default() };
             let choice = self.choose_local(&table, &service.name, &demand, &[]);
             let wait = choice.map(|choice| self.cost(&choice).as_millis());
             let wait_ms = wait.map(|wait| u32::try_from(wait).unwrap_or(u32::MAX));
-            Spare { service: service.name.clone(), wait_ms }
+            ServiceWait { service: service.name.clone(), wait_ms }
         });
         spare.collect()
     }
@@ -537,7 +537,7 @@
 }
 
 impl LinkOwner for Entry {
-    fn card(&self) -> Card {
+    fn card(&self) -> InstanceInfo {
         self.settings.borrow().card.clone()
     }
 
@@ -551,16 +551,16 @@
 
     fn keepers(&self) -> Vec<SocketAddr> {
         let contacts = self.contacts.borrow();
-        let known = contacts.all().iter().filter(|it| it.card.part == Part::Keeper);
+        let known = contacts.all().iter().filter(|it| it.info.part == InstanceKind::Keeper);
         let mut all = self.settings.borrow().contacts.clone();
-        all.extend(known.map(|it| it.card.internal));
+        all.extend(known.map(|it| it.info.internal));
         all.sort();
         all.dedup();
         all
     }
 
     fn link_opened(&self, address: SocketAddr) {
-        self.upstreams.borrow_mut().forget_teller(address);
+        self.upstreams.borrow_mut().forget_keeper(address);
         let facts = self.facts_to_resend();
         if !facts.is_empty() {
             self.links.send(address, &Message::Facts(facts));
@@ -570,7 +570,7 @@
     fn receive(&self, from: SocketAddr, message: Message) {
         let now = self.now();
         self.contacts.borrow_mut().renew_at(now, from);
-        self.view.borrow_mut().hear(now, from);
+        self.view.borrow_mut().record_keeper(now, from);
         self.update_view();
         match message {
             Message::Update(update) => self.on_update(from, update),
--- a/crates/medlarlug-gateway/src/entry/relay.rs
+++ b/crates/medlarlug-gateway/src/entry/relay.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use medlarlug::{protocol::events, transport::body::Part};
-use medlarlug_core::gateway::health::CallEnd;
+use medlarlug_core::gateway::health::UpstreamOutcome;
 use tokio::{
     sync::mpsc::Sender,
     time::{sleep, timeout},
@@ -57,7 +57,7 @@
             Step::Late => return plan.record_outcome(&entry, &call, CallOutcome::TimedOut),
             Step::Broken => {}
         }
-        attempt::record_health(&entry, stream.hop(), CallEnd::Broken);
+        attempt::record_health(&entry, stream.hop(), UpstreamOutcome::Broken);
         plan.count_broken(stream.hop());
         // Closes the connection before another upstream resumes the stream.
         drop(stream);
--- a/crates/medlarlug-gateway/src/entry/serve.rs
+++ b/crates/medlarlug-gateway/src/entry/serve.rs
@@ -7,11 +7,11 @@
 use medlarlug::transport::body::{self, Answer, BodyError};
 use medlarlug_core::{
     gateway::{
-        budget::{Balance, Share, Spending},
-        handover::{Attempts, Handover, Report},
-        refusing::{self, Outlook, Verdict},
+        handover::{Attempts, Handover, HandoverReport},
+        load_shedding::{self, CallForecast, Verdict},
+        prefill_queue::PrefillDecision,
+        retry_budget::{Balance, InstanceShare, Spending},
         table::ServiceName,
-        turns::Turn,
     },
     time::Time,
 };
@@ -94,12 +94,12 @@
         let now = self.now();
         let share = self.share();
         let (is_taken, balance) = self.with_window(service, |window| {
-            (window.take(now, bounds, share), window.balance(bounds, share))
+            (window.try_take_retry(now, bounds, share), window.balance(bounds, share))
         });
         let name = if is_taken { names::RETRIES } else { names::RETRIES_DENIED };
         metrics::counter!(name).increment(1);
-        let Balance { calls, repeats, left } = balance;
-        let (share, instances) = (share.of(bounds), share.instances);
+        let Balance { calls, retries: repeats, remaining: left } = balance;
+        let (share, instances) = (share.allowance(bounds), share.instances);
         let up_ms = self.uptime().as_millis() as u64;
         tracing::info!(request = %call.id, %service, is_taken, calls, repeats, left, share, instances, up_ms, "retry requested");
         is_taken
@@ -111,33 +111,33 @@
         let spread = rand::rng().random();
         let interval = self.permit_interval(&self.limited_upstreams(plan));
         match (self.backoff_remaining(&plan.service), interval) {
-            (_, Some(interval)) => Some(refusing::after(interval, left, spread)),
-            (Some(rest), None) => Some(refusing::after_rest(rest, spread)),
+            (_, Some(interval)) => Some(load_shedding::retry_after(interval, left, spread)),
+            (Some(rest), None) => Some(load_shedding::retry_after_backoff(rest, spread)),
             (None, None) => None,
         }
     }
 
     /// This instance's share of the retries that a service is allowed beyond the ratio to its
     /// calls.
-    fn share(&self) -> Share {
+    fn share(&self) -> InstanceShare {
         let is_first = self.settings.borrow().first_start;
-        Share {
-            instances: self.contacts.borrow().most_entries(),
-            age: (!is_first).then(|| self.uptime()),
-            has_seen_all: self.view.borrow().was_complete(),
+        InstanceShare {
+            instances: self.contacts.borrow().peak_entries(),
+            process_age: (!is_first).then(|| self.uptime()),
+            has_complete_view: self.view.borrow().was_complete(),
         }
     }
 
     fn count_call(&self, service: &ServiceName) {
         let bounds = self.settings.borrow().retries;
         let now = self.now();
-        self.with_window(service, |window| window.count(now, bounds));
+        self.with_window(service, |window| window.record_call(now, bounds));
     }
 
     fn with_window<T>(
         &self,
         service: &ServiceName,
-        act: impl FnOnce(&mut medlarlug_core::gateway::budget::RetryWindow) -> T,
+        act: impl FnOnce(&mut medlarlug_core::gateway::retry_budget::RetryWindow) -> T,
     ) -> T {
         let mut windows = self.retry_windows.borrow_mut();
         let at = match windows.binary_search_by(|it| it.0.cmp(service)) {
@@ -169,7 +169,7 @@
         None => {
             tracing::warn!("refusing a forwarded call without a valid route");
             let call = Call::read(request.into_parts().0, &entry.names);
-            refusal(&entry, &call, NO_TABLE_RETRY_AFTER, Report::REFUSED)
+            refusal(&entry, &call, NO_TABLE_RETRY_AFTER, HandoverReport::REFUSED)
         }
     };
     reported.for_instance()
@@ -189,14 +189,14 @@
         Ok(plan) => plan,
         Err(reported) => return *reported,
     };
-    call.demand.rank = plan.route.priority;
+    call.demand.priority = plan.route.priority;
     let limit = plan.table.limits().body_bytes;
     match timeout(plan.answer_by - entry.now(), body::read(incoming, limit)).await {
         Ok(Ok(bytes)) => call.set_body(bytes),
         Err(_) => {
             plan.record_outcome(entry, &call, CallOutcome::TimedOut);
             let answer = plain(StatusCode::REQUEST_TIMEOUT, "the body took too long; not run");
-            return Reported { answer, report: Report::REFUSED };
+            return Reported { answer, report: HandoverReport::REFUSED };
         }
         Ok(Err(BodyError::TooLong { .. })) => {
             plan.record_outcome(entry, &call, CallOutcome::Rejected);
@@ -246,7 +246,7 @@
     let table = entry.table.borrow().clone();
     let Some(table) = table else {
         tracing::info!(request = %call.id, outcome = "refused", "no table yet");
-        return Err(Box::new(refusal(entry, call, NO_TABLE_RETRY_AFTER, Report::REFUSED)));
+        return Err(Box::new(refusal(entry, call, NO_TABLE_RETRY_AFTER, HandoverReport::REFUSED)));
     };
     let is_forwarded = forwarded.is_some();
     let most_arrivals = forwarded.as_ref().map_or(MAX_ARRIVALS, |it| it.arrivals);
@@ -319,18 +319,25 @@
         }
         let wait = hop.as_ref().map(Hop::wait);
         let objective = plan.is_on_engines().then_some(plan.route.objective);
-        let mut verdict = refusing::judge(Outlook { wait, left, objective }, rand::rng().random());
+        let mut verdict = load_shedding::decide(
+            CallForecast { predicted_wait: wait, time_left: left, objective },
+            rand::rng().random(),
+        );
         if verdict == Verdict::Serve {
             match plan.admission(entry, hop.as_ref()) {
-                Turn::Go => {}
-                Turn::Wait => {
+                PrefillDecision::Send => {}
+                PrefillDecision::Wait => {
                     sleep(ADMISSION_POLL_INTERVAL.mul_f64(rand::rng().random_range(0.5..1.5)))
                         .await;
                     continue;
                 }
-                Turn::Refuse => {
-                    let after = refusing::after(plan.route.objective, left, rand::rng().random());
-                    verdict = Verdict::Refuse { after };
+                PrefillDecision::Refuse => {
+                    let after = load_shedding::retry_after(
+                        plan.route.objective,
+                        left,
+                        rand::rng().random(),
+                    );
+                    verdict = Verdict::Refuse { retry_after: after };
                 }
             }
         }
@@ -354,11 +361,13 @@
                     return Resolution::Refuse { after };
                 }
                 let own = match verdict {
-                    Verdict::Refuse { after } => match hop {
+                    Verdict::Refuse { retry_after: after } => match hop {
                         None => entry.upstream_retry_after(plan, left).unwrap_or(after),
                         Some(_) => after,
                     },
-                    Verdict::Serve => refusing::after(Duration::ZERO, left, rand::rng().random()),
+                    Verdict::Serve => {
+                        load_shedding::retry_after(Duration::ZERO, left, rand::rng().random())
+                    }
                 };
                 tracing::info!(
                     request = %call.id,
@@ -439,7 +448,7 @@
 }
 
 /// The answer to a call that was not run; the caller may retry it after `after`.
-fn refusal(entry: &Entry, call: &Call, after: Duration, report: Report) -> Reported {
+fn refusal(entry: &Entry, call: &Call, after: Duration, report: HandoverReport) -> Reported {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "not run; come back later");
     let seconds = format!("{:.3}", after.as_secs_f64());
     body::insert(answer.headers_mut(), header::RETRY_AFTER.as_str(), &seconds);
@@ -449,7 +458,7 @@
 
 /// The answer to a call that matches no route or exceeds a size limit.
 fn rejected(status: StatusCode, text: &'static str) -> Reported {
-    Reported { answer: plain(status, text), report: Report::REJECTED }
+    Reported { answer: plain(status, text), report: HandoverReport::REJECTED }
 }
 
 fn echo_id(entry: &Entry, call: &Call, answer: &mut Answer) {
--- a/crates/medlarlug-gateway/src/keeper/mod.rs
+++ b/crates/medlarlug-gateway/src/keeper/mod.rs
@@ -31,9 +31,9 @@
 };
 use medlarlug_core::{
     gateway::{
-        cold::Suspicions,
-        contacts::{Card, Contacts, Part, Status},
-        stall::Stall,
+        cold::ColdDetector,
+        contacts::{Contacts, InstanceInfo, InstanceKind, Status},
+        stall::StallDetector,
         table::RouteTable,
         upstreams::{Effect, Renewal, UpstreamState, Upstreams},
     },
@@ -101,7 +101,7 @@
     last_call: Cell<u64>,
     head: RefCell<PublicationHead>,
     /// When the evacuation of each zone was withdrawn.
-    suspicions: RefCell<Suspicions>,
+    suspicions: RefCell<ColdDetector>,
     /// Facts from entry instances about contents that crash upstreams.
     facts: RefCell<FactLog>,
     /// The facts that are on disk, or being written.
@@ -110,7 +110,7 @@
     membership: RefCell<Option<Membership>>,
     table: RefCell<Option<Rc<RouteTable>>>,
     /// Stalls of this process, during which announcements queue.
-    stall: RefCell<Stall>,
+    stall: RefCell<StallDetector>,
     /// Batches that are not durable yet, oldest first: sequence number, and when each was passed to
     /// the writer.
     unsynced: RefCell<Vec<(u64, Time)>>,
@@ -155,7 +155,7 @@
             stored_facts: RefCell::default(),
             membership: RefCell::default(),
             table: RefCell::default(),
-            stall: RefCell::new(Stall::new(STALL_LIMIT)),
+            stall: RefCell::new(StallDetector::new(STALL_LIMIT)),
             unsynced: RefCell::default(),
             failure: RefCell::default(),
         });
@@ -329,7 +329,7 @@
             settings.zones.iter().map(|it| it.0.clone()).collect()
         });
         let now = self.now();
-        restored.iter().for_each(|zone| self.suspicions.borrow_mut().restored(now, zone));
+        restored.iter().for_each(|zone| self.suspicions.borrow_mut().zone_restored(now, zone));
         *self.head.borrow_mut() = head;
     }
 
@@ -353,17 +353,17 @@
     fn on_update(&self, from: SocketAddr, update: Update) {
         let now = self.now();
         // Updates that were queued during a stall are older than they state.
-        let time_queued = self.stall.borrow().age(now);
+        let time_queued = self.stall.borrow().max_message_age(now);
         let mut is_changed = false;
         {
             let mut upstreams = self.upstreams.borrow_mut();
             for (upstream, age) in update.upstreams {
                 let age = Duration::from_millis(age.into()) + time_queued;
-                let upstream = upstream.read_late(time_queued);
+                let upstream = upstream.extend_cold(time_queued);
                 let is_gone = upstream.state == UpstreamState::Gone;
                 let id = upstream.id.clone();
                 let effect = match is_gone {
-                    true => upstreams.leave_unknown(now, upstream),
+                    true => upstreams.mark_unknown_gone(now, upstream),
                     false => upstreams.announce(now, upstream, age),
                 };
                 if effect == Effect::Changed {
@@ -377,10 +377,11 @@
                 upstreams.renew(now, &Renewal { age_ms, ..renewal });
             }
             let mut contacts = self.contacts.borrow_mut();
-            let keepers = update.contacts.into_iter().filter(|it| it.0.part == Part::Keeper);
+            let keepers =
+                update.contacts.into_iter().filter(|it| it.0.part == InstanceKind::Keeper);
             for (card, _, age) in keepers {
                 let age = Duration::from_millis(age.into());
-                contacts.hear(now, card, None, age);
+                contacts.update(now, card, None, age);
             }
         }
         is_changed |= self.apply_facts(&update.facts);
@@ -412,7 +413,7 @@
     }
 
     /// Handles a message on a link that the peer opened.
-    fn on_subscriber_message(&self, link: u64, card: &Card, message: Message) {
+    fn on_subscriber_message(&self, link: u64, card: &InstanceInfo, message: Message) {
         let now = self.now();
         match message {
             Message::Ping { status, is_primary } => {
@@ -422,7 +423,7 @@
                 if was_ready != status.ready {
                     tracing::info!(instance = %card.id, ready = status.ready, "readiness changed");
                 }
-                contacts.hear(now, card.clone(), Some(status), Duration::ZERO);
+                contacts.update(now, card.clone(), Some(status), Duration::ZERO);
                 self.subscribers.borrow().send(&card.id, &Message::Pong);
             }
             Message::Acknowledged(number) => {
@@ -444,7 +445,7 @@
                 self.drive_group(|group, now, out| group.receive(now, from, message, out));
             }
             Message::Leaving { upstream, birth } => {
-                let effect = self.upstreams.borrow_mut().leaves(&upstream, birth);
+                let effect = self.upstreams.borrow_mut().mark_draining(&upstream, birth);
                 if effect == Effect::Changed {
                     let birth = birth.0;
                     tracing::info!(%upstream, birth, instance = %card.id, "upstream announced in an answer that it is leaving");
@@ -480,7 +481,7 @@
 const LEADERSHIP_TRANSFER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl LinkOwner for Keeper {
-    fn card(&self) -> Card {
+    fn card(&self) -> InstanceInfo {
         self.settings.borrow().card.clone()
     }
 
@@ -499,10 +500,10 @@
         let members = group.replica().membership().map(|it| it.members()).unwrap_or_default();
         let members = members.iter().filter_map(|member| address_of(&member.key.id, port));
         let contacts = self.contacts.borrow();
-        let known = contacts.all().iter().filter(|it| it.card.part == Part::Keeper);
+        let known = contacts.all().iter().filter(|it| it.info.part == InstanceKind::Keeper);
         let mut all: Vec<SocketAddr> = settings.contacts.clone();
         all.extend(members);
-        all.extend(known.map(|it| it.card.internal));
+        all.extend(known.map(|it| it.info.internal));
         all.sort();
         all.dedup();
         all
--- a/crates/medlarlug-gateway/src/keeper_links.rs
+++ b/crates/medlarlug-gateway/src/keeper_links.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
-use medlarlug_core::gateway::contacts::{Card, Status};
+use medlarlug_core::gateway::contacts::{InstanceInfo, Status};
 use tokio::{task, time::MissedTickBehavior};
 
 use crate::link::{self, LinkError, LinkSender, Message, PING_INTERVAL};
@@ -13,7 +13,7 @@
 /// The process that owns links to keepers: supplies what is sent over them and handles messages.
 pub(crate) trait LinkOwner: 'static {
     /// The introduction of this process, sent when a link is opened.
-    fn card(&self) -> Card;
+    fn card(&self) -> InstanceInfo;
     /// The state that pings report.
     fn status(&self) -> Status;
     /// Whether this process wants renewals from the keeper at `address`, in addition to changes.
--- a/crates/medlarlug-gateway/src/link.rs
+++ b/crates/medlarlug-gateway/src/link.rs
@@ -12,9 +12,9 @@
 use medlarlug_core::{
     gateway::{
         cold::Evacuations,
-        contacts::{Card, RegionWait, Status},
+        contacts::{InstanceInfo, RegionWait, Status},
         table::TableVersion,
-        upstreams::{Birth, Pulse, Renewal, Upstream},
+        upstreams::{Birth, Heartbeat, Renewal, Upstream},
     },
     ids::{InstanceId, UpstreamId, ZoneId},
     replication,
@@ -58,7 +58,7 @@
     /// To keepers: upstreams that renewed their announcement at the sender.
     pub renewals: Vec<Renewal>,
     /// To entry instances: all upstreams have renewed their announcement, except for those listed.
-    pub pulse: Option<Pulse>,
+    pub pulse: Option<Heartbeat>,
     /// The replicated state, if it has changed.
     pub head: Option<PublicationHead>,
     /// Sent with `head`: the zones that were evacuated earlier, each with the time since the
@@ -66,7 +66,7 @@
     pub restored: Vec<(ZoneId, u32)>,
     /// Instances that are new or have changed, whether each is ready, and the time since its last
     /// message in milliseconds.
-    pub contacts: Vec<(Card, bool, u32)>,
+    pub contacts: Vec<(InstanceInfo, bool, u32)>,
     /// All live instances, each with the time since its last message in milliseconds.
     pub pulses: Vec<(InstanceId, u32)>,
     /// Predicted waiting times by region and service.
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// The first message on a link, sent by the side that opened it.
-    Hello(Card),
+    Hello(InstanceInfo),
     /// Requests a sign of life and reports the sender's state.
     Ping {
         /// Readiness and spare capacity of the sender.
@@ -246,7 +246,7 @@
 /// The connection could not be opened within [`CONNECT_TIMEOUT`].
 pub async fn open(
     address: SocketAddr,
-    card: Card,
+    card: InstanceInfo,
 ) -> Result<(LinkSender, LinkReceiver), LinkError> {
     let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
@@ -263,7 +263,9 @@
 /// # Errors
 ///
 /// The first message is not [`Message::Hello`], or does not arrive within [`LINK_TIMEOUT`].
-pub async fn accept(stream: TcpStream) -> Result<(Card, LinkSender, LinkReceiver), LinkError> {
+pub async fn accept(
+    stream: TcpStream,
+) -> Result<(InstanceInfo, LinkSender, LinkReceiver), LinkError> {
     let (sender, mut receiver) = split(stream);
     match receiver.receive().await? {
         Message::Hello(card) => Ok((card, sender, receiver)),
--- a/crates/medlarlug-gateway/src/settings.rs
+++ b/crates/medlarlug-gateway/src/settings.rs
@@ -8,8 +8,8 @@
 
 use medlarlug_core::{
     gateway::{
-        budget::RetryBounds,
-        contacts::{Card, Part},
+        contacts::{InstanceInfo, InstanceKind},
+        retry_budget::RetryBounds,
         table::{RouteTable, TableVersion},
     },
     ids::{IdError, InstanceId, RegionId, ZoneId},
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
     /// Id, role, zone, region and addresses of this process.
-    pub card: Card,
+    pub card: InstanceInfo,
     /// Region of each zone, sorted by zone.
     pub zones: Vec<(ZoneId, RegionId)>,
     /// Internal addresses of some keepers, from which the others are discovered.
@@ -67,7 +67,7 @@
 
     /// Whether the process runs as a keeper rather than as an entry instance.
     pub fn is_keeper(&self) -> bool {
-        self.card.part == Part::Keeper
+        self.card.part == InstanceKind::Keeper
     }
 }
 
--- a/crates/medlarlug-gateway/src/subscribers.rs
+++ b/crates/medlarlug-gateway/src/subscribers.rs
@@ -10,9 +10,9 @@
 
 use medlarlug_core::{
     gateway::{
-        cold::Suspicions,
-        contacts::{Contacts, Part, RegionWait},
-        upstreams::{Known, Pulse, Renewal, Upstreams},
+        cold::ColdDetector,
+        contacts::{Contacts, InstanceKind, RegionWait},
+        upstreams::{Heartbeat, KnownUpstream, Renewal, Upstreams},
     },
     ids::InstanceId,
     suspects::FactLog,
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct Subscriber {
     id: InstanceId,
-    part: Part,
+    part: InstanceKind,
     /// Number of the link, unique in this process; one peer may have several links.
     link: u64,
     sender: LinkSender,
@@ -65,7 +65,7 @@
     pub(crate) upstreams: &'a Upstreams,
     pub(crate) contacts: &'a Contacts,
     pub(crate) head: &'a PublicationHead,
-    pub(crate) suspicions: &'a Suspicions,
+    pub(crate) suspicions: &'a ColdDetector,
     pub(crate) facts: &'a FactLog,
 }
 
@@ -73,7 +73,7 @@
 struct UpdateRound<'a> {
     now: Time,
     state: KeeperState<'a>,
-    pulse: OnceCell<Pulse>,
+    pulse: OnceCell<Heartbeat>,
     pulses: OnceCell<Vec<(InstanceId, u32)>>,
     waits: OnceCell<Vec<RegionWait>>,
 }
@@ -84,14 +84,14 @@
         UpdateRound { now, state, pulse, pulses, waits }
     }
 
-    fn pulse(&self) -> &Pulse {
-        self.pulse.get_or_init(|| self.state.upstreams.pulse(self.now))
+    fn pulse(&self) -> &Heartbeat {
+        self.pulse.get_or_init(|| self.state.upstreams.heartbeat(self.now))
     }
 
     fn pulses(&self) -> &Vec<(InstanceId, u32)> {
         self.pulses.get_or_init(|| {
             let live = self.state.contacts.live(self.now);
-            live.map(|it| (it.card.id.clone(), millis(self.now - it.heard))).collect()
+            live.map(|it| (it.info.id.clone(), millis(self.now - it.last_seen))).collect()
         })
     }
 
@@ -109,12 +109,12 @@
 
 impl Subscribers {
     /// Adds a link and returns its number.
-    pub(crate) fn add(&mut self, id: InstanceId, part: Part, sender: LinkSender) -> u64 {
+    pub(crate) fn add(&mut self, id: InstanceId, part: InstanceKind, sender: LinkSender) -> u64 {
         self.last += 1;
         let link = self.last;
         let sent = SentState::default();
         // Keepers always want renewals.
-        let is_primary = part == Part::Keeper;
+        let is_primary = part == InstanceKind::Keeper;
         self.links.push(Subscriber {
             id,
             part,
@@ -144,7 +144,7 @@
     pub(crate) fn set_primary(&mut self, link: u64, is_primary: bool) {
         if let Ok(at) = self.position(link) {
             let it = &mut self.links[at];
-            it.is_primary = is_primary || it.part == Part::Keeper;
+            it.is_primary = is_primary || it.part == InstanceKind::Keeper;
         }
     }
 
@@ -171,7 +171,8 @@
     /// The updates that entry instances have been sent but have not acknowledged, as pairs of link
     /// and sequence number.
     pub(crate) fn unacknowledged_by_entries(&self) -> Vec<(u64, u64)> {
-        let is_waiting = |it: &&Subscriber| it.part == Part::Entry && it.acknowledged < it.number;
+        let is_waiting =
+            |it: &&Subscriber| it.part == InstanceKind::Entry && it.acknowledged < it.number;
         self.links.iter().filter(is_waiting).map(|it| (it.link, it.number)).collect()
     }
 
@@ -189,25 +190,26 @@
         let now = round.now;
         let KeeperState { upstreams, contacts, head, suspicions, facts } = round.state;
         let mut update = Update::default();
-        let is_keeper = self.part == Part::Keeper;
+        let is_keeper = self.part == InstanceKind::Keeper;
         // Other keepers receive the remaining upstreams from the keeper that those announced
         // themselves to.
-        let is_forwarded = |known: &&Known| !is_keeper || known.is_local;
+        let is_forwarded = |known: &&KnownUpstream| !is_keeper || known.is_local;
         if upstreams.change() > self.sent.upstreams {
-            let changed = upstreams.since(self.sent.upstreams).filter(is_forwarded);
-            let told = changed.map(|it| (it.upstream.clone(), millis(now - it.heard)));
+            let changed = upstreams.changed_since(self.sent.upstreams).filter(is_forwarded);
+            let told = changed.map(|it| (it.upstream.clone(), millis(now - it.announced_at)));
             update.upstreams = told.collect();
             self.sent.upstreams = upstreams.change();
         }
         if contacts.change() > self.sent.contacts {
-            let changed = contacts.since(self.sent.contacts);
-            let told = changed.map(|it| (it.card.clone(), it.status.ready, millis(now - it.heard)));
+            let changed = contacts.changed_since(self.sent.contacts);
+            let told =
+                changed.map(|it| (it.info.clone(), it.status.ready, millis(now - it.last_seen)));
             update.contacts = told.collect();
             self.sent.contacts = contacts.change();
         }
         if self.sent.head.as_ref() != Some(head) {
             update.head = Some(head.clone());
-            let restored = suspicions.all_restored().iter();
+            let restored = suspicions.restored_zones().iter();
             update.restored = restored.map(|it| (it.0.clone(), millis(now - it.1))).collect();
             self.sent.head = Some(head.clone());
         }
@@ -246,12 +248,12 @@
     }
 }
 
-fn renewal(now: Time, known: &Known) -> Renewal {
+fn renewal(now: Time, known: &KnownUpstream) -> Renewal {
     Renewal {
         id: known.upstream.id.clone(),
         birth: known.upstream.birth,
         sequence: known.upstream.sequence,
-        age_ms: millis(now - known.heard),
+        age_ms: millis(now - known.announced_at),
     }
 }
 
