--- a/crates/medlarlug-core/src/membership/dead_peers.rs
+++ b/crates/medlarlug-core/src/membership/dead_peers.rs
@@ -1,9 +1,10 @@
-//! Dead entry instances, told to keepers that don't watch them.
+//! Reports of dead entry instances to keepers that don't watch them.
 //!
-//! In a large deployment an instance watches its own zone only, while the voters of a home group may
-//! run anywhere. The speaker of a zone tells them which entry instances of its zone are dead, at once
-//! and from time to time. Nothing is sent while all live, so the cost is bounded by the number of
-//! dead instances and keepers. A zone that is lost as a whole has nobody who tells.
+//! In a large deployment an instance watches the instances of its own zone only, while the voters
+//! of a home group may run in any zone. The speaker of a zone reports the dead entry instances of
+//! its zone to the keepers elsewhere, at once and periodically. Nothing is sent while all are
+//! alive, so the cost is bounded by the number of dead instances and of keepers. If a whole zone
+//! fails, no instance is left to report it.
 
 use crate::{
     ids::ZoneId,
@@ -15,11 +16,12 @@
     time::Time,
 };
 
-/// Dead instances of other zones, as others tell.
+/// Dead instances of zones that this instance doesn't watch, as the speakers of those zones report
+/// them.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ReportedDead {
     peers: Vec<DeadPeer>,
-    heard: Vec<Time>,
+    received_at: Vec<Time>,
 }
 
 impl ReportedDead {
@@ -27,50 +29,56 @@
         &self.peers
     }
 
-    /// Takes news in; answers whether the instance was not known to be dead.
-    fn learn(&mut self, now: Time, peer: DeadPeer) -> bool {
-        let Some(place) = self.peers.iter().position(|it| it.id == peer.id) else {
+    /// Adds a reported instance; returns whether its death is new.
+    fn apply(&mut self, now: Time, peer: DeadPeer) -> bool {
+        let Some(index) = self.peers.iter().position(|it| it.id == peer.id) else {
             self.peers.push(peer);
-            self.heard.push(now);
+            self.received_at.push(now);
             return true;
         };
-        let known = &mut self.peers[place];
+        let known = &mut self.peers[index];
         let is_new = peer.incarnation > known.incarnation;
         known.incarnation = known.incarnation.max(peer.incarnation);
-        self.heard[place] = now;
+        self.received_at[index] = now;
         is_new
     }
 
     fn expire(&mut self, now: Time) {
-        for place in (0..self.peers.len()).rev() {
-            if now - self.heard[place] >= DEAD_REPORT_LIFETIME {
-                self.peers.remove(place);
-                self.heard.remove(place);
+        for index in (0..self.peers.len()).rev() {
+            if now - self.received_at[index] >= DEAD_REPORT_LIFETIME {
+                self.peers.remove(index);
+                self.received_at.remove(index);
             }
         }
     }
 }
 
 impl Membership {
-    pub(super) fn learn_lost(&mut self, now: Time, lost: Vec<DeadPeer>, out: &mut Vec<Effect>) {
+    pub(super) fn apply_dead_report(
+        &mut self,
+        now: Time,
+        dead: Vec<DeadPeer>,
+        out: &mut Vec<Effect>,
+    ) {
         let own = &self.settings.own.id;
-        let is_news = |it: &DeadPeer| it.id != *own && self.peer(&it.id).is_none();
-        let lost: Vec<DeadPeer> = lost.into_iter().filter(is_news).collect();
-        for peer in lost {
+        let is_unwatched = |it: &DeadPeer| it.id != *own && self.peer(&it.id).is_none();
+        let dead: Vec<DeadPeer> = dead.into_iter().filter(is_unwatched).collect();
+        for peer in dead {
             let id = peer.id.clone();
-            if self.lost.learn(now, peer) {
+            if self.reported_dead.apply(now, peer) {
                 out.push(Effect::Notice(Notice::PeerDead(id)));
             }
         }
     }
 
-    /// Tells of the dead instances of the zone, at once when `is_new` and from time to time.
-    pub(super) fn tell_lost(&mut self, now: Time, is_new: bool, out: &mut Vec<Effect>) {
-        self.lost.expire(now);
-        if !is_new && now < self.next_lost {
+    /// Reports the dead entry instances of the zone to keepers that don't watch it: at once when
+    /// `is_urgent`, otherwise periodically.
+    pub(super) fn report_dead_peers(&mut self, now: Time, is_urgent: bool, out: &mut Vec<Effect>) {
+        self.reported_dead.expire(now);
+        if !is_urgent && now < self.next_dead_report {
             return;
         }
-        self.next_lost = now + DEAD_REPORT_INTERVAL;
+        self.next_dead_report = now + DEAD_REPORT_INTERVAL;
         let dead = self.dead_entries();
         if dead.is_empty() || !self.is_speaker() {
             return;
--- a/crates/medlarlug-core/src/membership/dump.rs
+++ b/crates/medlarlug-core/src/membership/dump.rs
@@ -1,4 +1,4 @@
-//! The view as plain data, for the state dump that operators ask for.
+//! The membership view as plain data, for the state dump that operators request.
 
 use std::time::Duration;
 
@@ -12,45 +12,45 @@
     time::Time,
 };
 
-/// What an instance knows at one moment.
+/// An instance's membership view at one moment.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct MembershipDump {
     /// The instance.
     pub own: InstanceId,
-    /// Its status.
+    /// Load and state of the instance.
     pub status: Status,
     /// Whether it sends the summaries of its zone.
     pub speaker: bool,
-    /// Upstreams of its zone.
+    /// Known upstreams of its zone.
     pub upstreams: Vec<UpstreamDump>,
-    /// Number of tombstones.
+    /// Tombstones of upstreams that left or whose lease expired.
     pub tombstones: usize,
-    /// Instances that it watches.
+    /// Instances that it watches by heartbeats.
     pub peers: Vec<PeerDump>,
     /// Other zones.
     pub zones: Vec<ZoneDump>,
 }
 
-/// What is known of one upstream.
+/// One upstream of the own zone.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct UpstreamDump {
     /// The upstream.
     pub id: UpstreamId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Number of its latest announcement.
+    /// Sequence number of its latest announcement.
     pub sequence: u64,
-    /// Age of that announcement.
+    /// Time since that announcement reached the zone.
     pub age: Duration,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub usable: bool,
-    /// Requests that run, by its report.
+    /// Requests in progress, by its load report.
     pub running: u32,
-    /// Requests that wait, by its report.
+    /// Requests that wait for a slot, by its load report.
     pub waiting: u32,
 }
 
-/// What is known of one instance.
+/// One watched instance.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PeerDump {
     /// The instance.
@@ -59,31 +59,31 @@
     pub incarnation: Incarnation,
     /// Whether it counts as alive.
     pub live: bool,
-    /// Whether its connection was silent and has been replaced.
+    /// Whether its connection was unresponsive and has been replaced.
     pub reconnecting: bool,
-    /// Its latest status.
+    /// Load and state by its latest heartbeat.
     pub status: Status,
 }
 
-/// What is known of one zone.
+/// One other zone.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ZoneDump {
     /// The zone.
     pub zone: ZoneId,
     /// Its region.
     pub region: RegionId,
-    /// Age of its latest summary.
+    /// Age of its latest summary; `None` if none was received.
     pub age: Option<Duration>,
-    /// Highest configuration revision in force in it.
+    /// Highest configuration revision in force there, by its summaries.
     pub revision: Revision,
-    /// Entry instances that it names.
+    /// Entry instances named by its latest summary.
     pub entries: Vec<EntryLoad>,
-    /// What it can do, as far as younger than the lifetime.
+    /// Rows of its summaries that are younger than their lifetime.
     pub rows: Vec<TargetSummary>,
 }
 
 impl Membership {
-    /// The view as plain data.
+    /// The current view; ages are relative to `now`.
     pub fn dump(&self, now: Time) -> MembershipDump {
         MembershipDump {
             own: self.settings.own.id.clone(),
--- a/crates/medlarlug-core/src/membership/hash.rs
+++ b/crates/medlarlug-core/src/membership/hash.rs
@@ -1,8 +1,8 @@
-//! A hash that is the same in every build, for digests that processes compare.
+//! A hash that doesn't change between builds, for digests that processes compare.
 
 use std::hash::Hasher;
 
-/// FNV-1a with 64 bits.
+/// The FNV-1a hash with 64 bits.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StableHasher(u64);
 
@@ -14,7 +14,7 @@
         StableHasher(Self::OFFSET)
     }
 
-    /// The upper half of the hash, folded over the lower.
+    /// The upper half of the hash, XORed onto the lower half.
     pub(super) fn short(self) -> u32 {
         (self.0 ^ (self.0 >> 32)) as u32
     }
--- a/crates/medlarlug-core/src/membership/message.rs
+++ b/crates/medlarlug-core/src/membership/message.rs
@@ -1,6 +1,6 @@
 //! Messages between the instances that watch each other.
 //!
-//! No message carries a wall-clock time: what it tells is dated by its age when it was sent.
+//! No message carries a wall-clock time. Contents are dated by their age at the time of sending.
 
 use std::time::Duration;
 
@@ -17,51 +17,52 @@
 /// A message from one instance to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender is alive.
+    /// Shows that the sender is alive.
     Heartbeat(Heartbeat),
-    /// News of upstreams of the sender's zone.
+    /// Updates on upstreams of the sender's zone, sent between heartbeats.
     Upstreams(Vec<UpstreamUpdate>),
-    /// Asks for the whole announcement of upstreams that the sender doesn't know.
+    /// Requests the full announcements of upstreams that the sender doesn't know.
     Pull(Vec<UpstreamKey>),
-    /// Summaries of zones, on their way through regions and zones.
+    /// Summaries of zones, forwarded through regions and zones.
     Summaries(Summaries),
-    /// Entry instances of the sender's zone that are dead, for those who don't watch the zone.
+    /// Dead entry instances of the sender's zone, for keepers that don't watch the zone.
     #[serde(rename = "Lost")]
     DeadPeers(Vec<DeadPeer>),
 }
 
-/// An instance that is dead.
+/// An instance that is reported as dead.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeadPeer {
-    /// The instance.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// The incarnation that died.
+    /// Incarnation that is dead; a later one may be alive.
     pub incarnation: Incarnation,
 }
 
-/// Sign of life of an instance, and what it passes on with it.
+/// Periodic message that shows that the sender is alive, with its status and its updates on
+/// upstreams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Incarnation of the sender.
+    /// Incarnation of the sender; heartbeats of earlier ones are ignored.
     pub incarnation: Incarnation,
     /// Load and state of the sender.
     pub status: Status,
-    /// Hash of the upstreams and tombstones that the sender knows.
+    /// Hash of the upstreams that the sender knows.
     pub digest: u32,
-    /// News of upstreams, for entry instances of the sender's zone.
+    /// Updates on upstreams, for entry instances of the sender's zone only.
     #[serde(rename = "news")]
     pub updates: Vec<UpstreamUpdate>,
 }
 
-/// Short name of what an upstream announced besides its load: 32 bits of a hash of its id, its
-/// incarnation and the rest.
+/// Short key of what an upstream announced besides its load: a 32-bit hash of its id, its
+/// incarnation and the other properties.
 ///
-/// Two upstreams of a zone that shared a key would be taken for each other in renewals.
+/// If two upstreams of a zone shared a key, renewals of one would be applied to the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct UpstreamKey(pub [u8; 4]);
 
-/// What an instance tells of itself.
+/// Load and state that an instance reports of itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Requests in progress.
@@ -74,37 +75,37 @@
     pub settling: bool,
 }
 
-/// News of one upstream.
+/// An update on one upstream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum UpstreamUpdate {
-    /// Everything known of it.
+    /// All that is known of the upstream.
     Full {
         /// Its latest announcement.
         announcement: Box<Announcement>,
         /// Time since the announcement arrived.
         age: Duration,
     },
-    /// A renewal that changes the load only.
+    /// A renewal of the lease that changes nothing but the load.
     Renewal {
-        /// The upstream, its incarnation and what it announced besides its load.
+        /// Identifies the upstream, its incarnation and the properties besides its load.
         key: UpstreamKey,
-        /// Number of the announcement.
+        /// Sequence number of the announcement.
         sequence: u64,
         /// Time since the announcement arrived.
         age: Millis,
         /// The new load.
         load: LoadUpdate,
     },
-    /// This incarnation takes no new work any more.
+    /// This incarnation accepts no new requests any more.
     Left {
-        /// The upstream.
+        /// Id of the upstream.
         id: UpstreamId,
         /// The incarnation that left.
         incarnation: Incarnation,
     },
 }
 
-/// A time in milliseconds, which takes fewer bytes than a [`Duration`].
+/// A time in milliseconds, which is encoded in fewer bytes than a [`Duration`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Millis(pub u32);
@@ -121,18 +122,18 @@
     }
 }
 
-/// A load report in few bytes.
+/// A load report in a compact encoding.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadUpdate {
-    /// Time between the reading and the sending of the announcement.
+    /// Time between the measurement of the load and the sending of the announcement.
     pub age: Millis,
-    /// Requests that run.
+    /// Requests in progress.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that wait for a slot.
     pub waiting: u32,
     /// Prompt tokens that wait to be processed.
     pub backlog: Tokens,
-    /// Tokens generated a second.
+    /// Tokens generated per second.
     pub speed: u32,
     /// Prefixes that entered the cache.
     pub cached: Vec<ShortFingerprint>,
@@ -156,37 +157,37 @@
 }
 
 impl From<&LoadUpdate> for LoadReport {
-    /// The report without its cache events, whose fingerprints are shortened.
-    fn from(news: &LoadUpdate) -> LoadReport {
+    /// The report without its cache events, of which only shortened fingerprints are sent.
+    fn from(update: &LoadUpdate) -> LoadReport {
         LoadReport {
-            age: news.age.into(),
-            running: news.running,
-            waiting: news.waiting,
-            backlog: news.backlog,
-            speed: f64::from(news.speed),
+            age: update.age.into(),
+            running: update.running,
+            waiting: update.waiting,
+            backlog: update.backlog,
+            speed: f64::from(update.speed),
             cached: Vec::new(),
             evicted: Vec::new(),
         }
     }
 }
 
-/// Summaries of zones and how far they still travel.
+/// Summaries of zones, and how far they are still to be forwarded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Summaries {
-    /// How far the receiver hands them on.
+    /// How far the receiver forwards them.
     pub scope: Scope,
     /// The summaries.
     pub zones: Vec<ZoneUpdate>,
 }
 
-/// How far a receiver hands a summary on.
+/// How far a receiver forwards a summary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
     /// To the other zones of its region, and in its own zone.
     Region,
     /// In its own zone.
     Zone,
-    /// To so many further instances of its zone, one after the other.
+    /// To this number of further instances of its zone, each of which forwards it to the next.
     Chain(u8),
 }
 
@@ -195,22 +196,22 @@
 pub struct ZoneUpdate {
     /// The zone.
     pub zone: ZoneId,
-    /// The instance that made the summary.
+    /// The instance that created the summary.
     pub speaker: InstanceId,
-    /// Time since it was made.
+    /// Time since the summary was created.
     pub age: Millis,
     /// Highest configuration revision in force in the zone.
     pub revision: Revision,
-    /// Entry instances that callers may use, the least loaded first, and their load.
+    /// Entry instances that accept callers, the least loaded first; not necessarily all.
     pub entries: Vec<EntryLoad>,
-    /// Rows that changed or are due for a refresh.
+    /// Rows that changed or are due for a refresh; the others stay as they were sent before.
     pub rows: Vec<TargetSummary>,
 }
 
-/// Load of an entry instance.
+/// An entry instance and its load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryLoad {
-    /// The instance.
+    /// Id of the instance.
     pub id: InstanceId,
     /// Requests in progress.
     pub load: u32,
--- a/crates/medlarlug-core/src/membership/mod.rs
+++ b/crates/medlarlug-core/src/membership/mod.rs
@@ -1,15 +1,17 @@
-//! Who is there: upstreams of the own zone, instances of the system, and what other zones can do.
+//! Membership: the upstreams of the own zone, the instances of the deployment, and summaries of
+//! what other zones can serve.
 //!
 //! Upstreams announce themselves to one or two entry instances of their zone and renew the
-//! announcement within its lease. Every entry instance of the zone learns of every upstream:
-//! announcements are handed to the other entry instances as small deltas, dated by their age.
-//! Leaving leaves a tombstone behind, which beats every older announcement that arrives late.
+//! announcement within its lease. These forward small deltas, dated by their age, to the other
+//! entry instances of the zone, so that all of them know every upstream. An upstream that leaves is
+//! replaced by a tombstone, which takes precedence over older announcements that arrive late.
 //!
-//! Between zones only summaries travel. One entry instance per zone, the *speaker*, sends them:
-//! often within its region, rarely to the other regions, where one zone hands them on.
+//! Only summaries are sent between zones. One entry instance per zone, the *speaker*, sends them:
+//! often within its region, and rarely to the other regions, where one zone forwards them to the
+//! others.
 //!
-//! Instances watch each other by heartbeats. A silent connection is replaced by a new one first;
-//! an instance counts as dead only when the new connection is silent as well.
+//! Instances watch each other by heartbeats. An unresponsive connection is first replaced by a new
+//! one. An instance counts as dead only when the new connection is unresponsive as well.
 
 mod core;
 mod dead_peers;
@@ -47,40 +49,40 @@
 pub use warm::{ShortFingerprint, WarmSet};
 pub use zones::{Row, ZoneView};
 
-/// Role of an instance of the system.
+/// Role of an instance in the deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum InstanceKind {
-    /// Takes callers' requests in.
+    /// Receives requests from callers and sends them to upstreams.
     Entry,
-    /// Keeps replicated state.
+    /// Stores replicated state.
     Keeper,
 }
 
 /// An instance that is known from the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Seed {
-    /// The instance.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// Its role.
+    /// Role of the instance.
     pub kind: InstanceKind,
-    /// Its zone.
+    /// Zone that it runs in.
     pub zone: ZoneId,
-    /// Its region.
+    /// Region of that zone.
     pub region: RegionId,
 }
 
-/// What an instance knows of itself at its start.
+/// Configuration of the core at the start of the instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
     /// The instance itself.
     pub own: Seed,
-    /// Its incarnation.
+    /// Incarnation of the instance; higher after each restart.
     pub incarnation: Incarnation,
-    /// The other instances.
+    /// Every other instance of the deployment, watched or not.
     pub peers: Vec<Seed>,
 }
 
-/// What happens to the core.
+/// An input of the core.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// An upstream of the zone announced itself to this instance.
@@ -92,13 +94,13 @@
         /// The message.
         message: Message,
     },
-    /// The own load or state changed.
+    /// The load or state of this instance changed.
     Status(Status),
-    /// Time passed; due every [`TICK`].
+    /// Time has passed; due every [`TICK`].
     Tick,
 }
 
-/// What the embedding program has to do.
+/// An action that the embedding program carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send a message.
@@ -108,30 +110,30 @@
         /// The message.
         message: Message,
     },
-    /// Replace the connection to a peer, which has been silent.
+    /// Replace the connection to a peer, because it is unresponsive.
     Reconnect {
         /// The peer.
         peer: InstanceId,
     },
-    /// Something changed.
+    /// Report a change of the view.
     Notice(Notice),
 }
 
-/// A change in what is known.
+/// A change of the membership view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notice {
-    /// An upstream takes work.
+    /// An upstream accepts requests: it is new, has returned or has changed what it serves.
     UpstreamUp(UpstreamId),
-    /// An upstream takes no new work: its requests end normally.
+    /// An upstream accepts no new requests; those in progress end normally.
     UpstreamLeaving(UpstreamId),
-    /// An upstream's lease ran out.
+    /// The lease of an upstream expired.
     UpstreamDead(UpstreamId),
     /// An instance is alive.
     PeerUp(InstanceId),
     /// An instance is about to stop.
     PeerLeaving(InstanceId),
-    /// An instance is silent on a new connection too.
+    /// An instance is unresponsive on a new connection too.
     PeerDead(InstanceId),
-    /// An announcement was refused, because it names another zone.
+    /// An announcement was rejected because it names another zone.
     ForeignZone(UpstreamId),
 }
--- a/crates/medlarlug-core/src/membership/peers.rs
+++ b/crates/medlarlug-core/src/membership/peers.rs
@@ -1,4 +1,4 @@
-//! The other instances: heartbeats, silent connections and suspicion.
+//! The other instances: heartbeats, connection time-outs and failure detection.
 
 use std::time::Duration;
 
@@ -14,38 +14,39 @@
     time::Time,
 };
 
-/// What is known of another instance.
+/// State of a watched instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Who it is and where it runs.
+    /// Id, role and location.
     pub seed: Seed,
-    /// Its incarnation, as far as heard.
+    /// Highest incarnation that it has reported; 0 before its first heartbeat.
     pub incarnation: Incarnation,
-    /// Its latest status.
+    /// Load and state by its latest heartbeat.
     pub status: Status,
-    /// Whether it is there.
+    /// Whether it counts as alive, by its messages.
     pub state: PeerState,
-    heard: Time,
-    /// When an unheard instance was last asked for a new connection, or first waited for.
-    tried: Option<Time>,
-    mismatches: u8,
+    last_received: Time,
+    /// For an instance that was never seen: when a new connection was last requested, or the first
+    /// check.
+    last_reconnect: Option<Time>,
+    digest_mismatches: u8,
 }
 
-/// Whether an instance is there.
+/// Liveness of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerState {
-    /// Nothing was heard of it since the own start.
+    /// No message from it has arrived since this instance started.
     NeverSeen,
-    /// It was heard lately.
+    /// Messages from it arrive.
     Up,
-    /// Its connection was silent and has been replaced.
+    /// Its connection was unresponsive and has been replaced.
     Reconnecting {
-        /// When the new connection was asked for.
+        /// When the new connection was requested.
         since: Time,
     },
-    /// The new connection was silent as well.
+    /// The new connection was unresponsive as well.
     Dead {
-        /// When the last new connection was asked for.
+        /// When a new connection was last requested.
         last_reconnect: Time,
     },
 }
@@ -56,12 +57,12 @@
         matches!(self.state, PeerState::Up | PeerState::Reconnecting { .. })
     }
 
-    /// Time since it was heard; `None` if it never was.
+    /// Time since its last message; `None` if none has arrived.
     pub fn age(&self, now: Time) -> Option<Duration> {
-        (self.state != PeerState::NeverSeen).then(|| now - self.heard)
+        (self.state != PeerState::NeverSeen).then(|| now - self.last_received)
     }
 
-    /// Whether callers can be sent to it.
+    /// Whether callers can be sent to it: it is live, is not leaving and is an entry instance.
     pub fn accepts_callers(&self) -> bool {
         self.is_live() && !self.status.leaving && self.seed.kind == InstanceKind::Entry
     }
@@ -75,7 +76,7 @@
 
 impl PeerTable {
     pub(super) fn new(seeds: Vec<Seed>) -> PeerTable {
-        let mut peers: Vec<Peer> = seeds.into_iter().map(Peer::unheard).collect();
+        let mut peers: Vec<Peer> = seeds.into_iter().map(Peer::never_seen).collect();
         peers.sort_by(|a, b| a.seed.id.cmp(&b.seed.id));
         PeerTable { peers }
     }
@@ -89,83 +90,85 @@
     }
 
     fn get_mut(&mut self, id: &InstanceId) -> Option<&mut Peer> {
-        let place = self.find(id)?;
-        Some(&mut self.peers[place])
+        let index = self.find(id)?;
+        Some(&mut self.peers[index])
     }
 
     fn find(&self, id: &InstanceId) -> Option<usize> {
         self.peers.binary_search_by(|it| it.seed.id.cmp(id)).ok()
     }
 
-    /// Notes that any message of an instance arrived.
-    pub(super) fn hear(&mut self, now: Time, id: &InstanceId, out: &mut Vec<Effect>) {
+    /// Records that any message from an instance arrived.
+    pub(super) fn record_received(&mut self, now: Time, id: &InstanceId, out: &mut Vec<Effect>) {
         let Some(peer) = self.get_mut(id) else {
             return;
         };
-        peer.heard = now;
+        peer.last_received = now;
         if !peer.is_live() {
             out.push(Effect::Notice(Notice::PeerUp(id.clone())));
         }
         peer.state = PeerState::Up;
     }
 
-    /// Takes a heartbeat in; answers whether the whole view should be sent to its sender.
-    pub(super) fn beat(
+    /// Applies a heartbeat; returns whether the full view should be sent to its sender.
+    pub(super) fn record_heartbeat(
         &mut self,
         id: &InstanceId,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         digest: u32,
         out: &mut Vec<Effect>,
     ) -> bool {
         let Some(peer) = self.get_mut(id) else {
             return false;
         };
-        if beat.incarnation < peer.incarnation {
+        if heartbeat.incarnation < peer.incarnation {
             return false;
         }
-        let was_leaving = peer.status.leaving && beat.incarnation == peer.incarnation;
-        peer.incarnation = beat.incarnation;
-        peer.status = Status { leaving: was_leaving || beat.status.leaving, ..beat.status };
+        let was_leaving = peer.status.leaving && heartbeat.incarnation == peer.incarnation;
+        peer.incarnation = heartbeat.incarnation;
+        peer.status =
+            Status { leaving: was_leaving || heartbeat.status.leaving, ..heartbeat.status };
         if peer.status.leaving && !was_leaving {
             out.push(Effect::Notice(Notice::PeerLeaving(id.clone())));
         }
-        peer.mismatches = if beat.digest == digest { 0 } else { peer.mismatches.saturating_add(1) };
-        peer.mismatches >= DIGEST_MISMATCHES
+        peer.digest_mismatches =
+            if heartbeat.digest == digest { 0 } else { peer.digest_mismatches.saturating_add(1) };
+        peer.digest_mismatches >= DIGEST_MISMATCHES
     }
 
-    /// Starts the count of differing digests again, after the whole view was sent.
-    pub(super) fn synced(&mut self, id: &InstanceId) {
+    /// Resets the count of differing digests, after the full view was sent.
+    pub(super) fn reset_mismatches(&mut self, id: &InstanceId) {
         if let Some(peer) = self.get_mut(id) {
-            peer.mismatches = 0;
+            peer.digest_mismatches = 0;
         }
     }
 
-    /// Factor of the heartbeat's period and of the silences, so that the bytes of heartbeats stay
-    /// bounded in a zone with many instances. Instances of a zone watch each other, so that they
-    /// reckon with the same factor.
+    /// Factor of the heartbeat interval and of the time-outs, which bounds the bytes of heartbeats
+    /// in a zone with many instances. Instances of a zone watch each other, so all of them apply
+    /// the same factor.
     pub(super) fn period_factor(&self) -> u32 {
         if self.peers.len() > SMALL_GROUP_PEERS { LARGE_GROUP_PERIOD_FACTOR } else { 1 }
     }
 
-    /// Looks for silent connections.
-    pub(super) fn check(&mut self, now: Time, out: &mut Vec<Effect>) {
+    /// Checks the time-outs of all connections.
+    pub(super) fn check_timeouts(&mut self, now: Time, out: &mut Vec<Effect>) {
         let factor = self.period_factor();
-        let (link_silence, peer_silence) =
+        let (connection_timeout, reconnect_timeout) =
             (CONNECTION_TIMEOUT * factor, RECONNECT_TIMEOUT * factor);
         for peer in &mut self.peers {
             let id = &peer.seed.id;
             match peer.state {
                 PeerState::NeverSeen
-                    if now - *peer.tried.get_or_insert(now) >= DEAD_RECONNECT_INTERVAL =>
+                    if now - *peer.last_reconnect.get_or_insert(now) >= DEAD_RECONNECT_INTERVAL =>
                 {
-                    peer.tried = Some(now);
+                    peer.last_reconnect = Some(now);
                     out.push(Effect::Reconnect { peer: id.clone() });
                 }
-                PeerState::Up if now - peer.heard >= link_silence => {
+                PeerState::Up if now - peer.last_received >= connection_timeout => {
                     peer.state = PeerState::Reconnecting { since: now };
                     out.push(Effect::Reconnect { peer: id.clone() });
                 }
-                PeerState::Reconnecting { since } if now - since >= peer_silence => {
+                PeerState::Reconnecting { since } if now - since >= reconnect_timeout => {
                     peer.state = PeerState::Dead { last_reconnect: now };
                     out.push(Effect::Notice(Notice::PeerDead(id.clone())));
                 }
@@ -182,15 +185,15 @@
 }
 
 impl Peer {
-    fn unheard(seed: Seed) -> Peer {
+    fn never_seen(seed: Seed) -> Peer {
         Peer {
             seed,
             incarnation: Incarnation(0),
             status: Status::default(),
             state: PeerState::NeverSeen,
-            heard: Time::ZERO,
-            tried: None,
-            mismatches: 0,
+            last_received: Time::ZERO,
+            last_reconnect: None,
+            digest_mismatches: 0,
         }
     }
 }
--- a/crates/medlarlug-core/src/membership/query.rs
+++ b/crates/medlarlug-core/src/membership/query.rs
@@ -1,4 +1,4 @@
-//! Questions to the view.
+//! Read access to the membership view.
 
 use crate::{
     ids::{InstanceId, RegionId, Revision, UpstreamId, ZoneId},
@@ -6,49 +6,51 @@
     time::Time,
 };
 
-/// An entry instance that callers may use.
+/// An entry instance that accepts callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryView {
-    /// The instance.
+    /// Id of the instance.
     pub id: InstanceId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its region.
     pub region: RegionId,
-    /// Its load, as far as known.
+    /// Requests in progress, by its latest heartbeat or the latest summary of its zone.
     pub load: u32,
-    /// Whether it has just started; not known of instances of other zones that are not watched.
+    /// Whether it has just started. Always false for instances that are not watched, since
+    /// summaries don't include it.
     pub settling: bool,
 }
 
 impl Membership {
-    /// The instance itself.
+    /// This instance, as its settings describe it.
     pub fn own(&self) -> &Seed {
         &self.settings.own
     }
 
-    /// Upstreams of the zone that take new work, sorted by id.
+    /// Upstreams of the own zone that accept new requests, sorted by id.
     pub fn upstreams(&self, now: Time) -> impl Iterator<Item = &Upstream> {
         self.upstreams.all().iter().filter(move |it| it.is_usable(now))
     }
 
-    /// Every known upstream of the zone, sorted by id; ask [`Upstream::is_usable`] before use.
+    /// Every known upstream of the own zone, sorted by id; check [`Upstream::is_usable`] before
+    /// use.
     pub fn all_upstreams(&self) -> &[Upstream] {
         self.upstreams.all()
     }
 
-    /// Rises whenever an upstream enters, goes or changes what it serves; the places in
-    /// [`Membership::all_upstreams`] stay the same in between.
+    /// Increases whenever an upstream is added, is removed or changes what it serves. Positions in
+    /// [`Membership::all_upstreams`] are stable in between.
     pub fn generation(&self) -> u64 {
         self.upstreams.generation()
     }
 
-    /// The upstream with this id, when it takes new work.
+    /// The upstream with this id, if it accepts new requests.
     pub fn upstream(&self, now: Time, id: &UpstreamId) -> Option<&Upstream> {
         self.upstreams.get(id).filter(|it| it.is_usable(now))
     }
 
-    /// Number of tombstones that are kept.
+    /// Number of tombstones, of upstreams that left or whose lease expired.
     pub fn tombstones(&self) -> usize {
         self.upstreams.tombstones()
     }
@@ -58,7 +60,8 @@
         self.zones.all()
     }
 
-    /// Another zone.
+    /// Another zone; `None` for the own one and for zones without an entry instance in the
+    /// settings.
     pub fn zone(&self, zone: &ZoneId) -> Option<&ZoneView> {
         self.zones.get(zone)
     }
@@ -68,17 +71,18 @@
         self.peers.all()
     }
 
-    /// A watched instance; `None` if it is not watched.
+    /// A watched instance; `None` if it isn't watched.
     pub fn peer(&self, id: &InstanceId) -> Option<&Peer> {
         self.peers.get(id)
     }
 
-    /// The dead instances of zones that aren't watched, as far as others tell.
+    /// Dead instances of zones that this instance doesn't watch, as the speakers of those zones
+    /// report them.
     pub fn reported_dead(&self) -> &[DeadPeer] {
-        self.lost.all()
+        self.reported_dead.all()
     }
 
-    /// The highest configuration revision that a live instance or a zone has told of.
+    /// The highest configuration revision reported by a live instance, a zone or this instance.
     pub fn highest_revision(&self) -> Revision {
         let peers = self.peers.all().iter().filter(|it| it.is_live());
         let peers = peers.map(|it| it.status.revision);
@@ -86,31 +90,33 @@
         peers.chain(zones).chain([self.status.revision]).max().unwrap_or_default()
     }
 
-    /// Entry instances of the own zone that callers may use, this one included.
+    /// Number of entry instances of the own zone that accept callers, including this one.
     pub fn accepting_entries(&self) -> u32 {
         let others = self.zone_peers().filter(|it| it.accepts_callers()).count();
         u32::try_from(others).unwrap_or(u32::MAX).saturating_add(u32::from(self.accepts_callers()))
     }
 
-    /// Whether this instance sends the summaries of its zone: the lowest live entry instance.
+    /// Whether this instance sends the summaries of its zone: it is the one with the lowest id
+    /// among the entry instances that accept callers.
     pub fn is_speaker(&self) -> bool {
         let own = &self.settings.own.id;
         self.accepts_callers()
             && !self.zone_peers().any(|it| it.accepts_callers() && it.seed.id < *own)
     }
 
-    /// The entry instances that callers may use, sorted by id: live and not leaving.
+    /// The entry instances of all zones that accept callers, sorted by id: those that are live and
+    /// not leaving.
     pub fn entries(&self, now: Time) -> Vec<EntryView> {
         let mut entries: Vec<EntryView> = Vec::new();
         if self.accepts_callers() {
             entries.push(entry_view(&self.settings.own, self.status));
         }
         let watched = self.peers.all();
-        let open = watched.iter().filter(|it| it.accepts_callers());
-        entries.extend(open.map(|it| entry_view(&it.seed, it.status)));
+        let accepting = watched.iter().filter(|it| it.accepts_callers());
+        entries.extend(accepting.map(|it| entry_view(&it.seed, it.status)));
         for zone in self.zones.all().iter().filter(|it| it.has_fresh_summary(now)) {
-            let far = zone.entries.iter().filter(|it| self.peer(&it.id).is_none());
-            entries.extend(far.map(|it| EntryView {
+            let unwatched = zone.entries.iter().filter(|it| self.peer(&it.id).is_none());
+            entries.extend(unwatched.map(|it| EntryView {
                 id: it.id.clone(),
                 zone: zone.zone.clone(),
                 region: zone.region.clone(),
--- a/crates/medlarlug-core/src/membership/summary.rs
+++ b/crates/medlarlug-core/src/membership/summary.rs
@@ -10,17 +10,17 @@
     release::ItemKey,
 };
 
-/// What a request asks for.
+/// The model or service that a request names.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Target {
-    /// A model.
+    /// A model, at any of its versions.
     Model(ModelId),
-    /// A plain service.
+    /// A service that is not a model.
     Service(ServiceId),
 }
 
 impl Target {
-    /// The key of its item in the configuration.
+    /// Key of the target's item in the configuration.
     pub fn key(&self) -> ItemKey {
         match self {
             Target::Model(id) => ItemKey::Model(id.clone()),
@@ -29,20 +29,20 @@
     }
 }
 
-/// What one zone can do for one target.
+/// What one zone can serve of one target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetSummary {
     /// The target.
     pub target: Target,
-    /// Upstreams that serve it.
+    /// Number of usable upstreams that serve the target.
     pub upstreams: u16,
-    /// Slots that are free.
+    /// Free slots, over all upstreams.
     pub free: u32,
     /// Mean of the predicted queueing times of the upstreams.
     pub queueing: QueueTime,
-    /// Tokens generated a second, over all upstreams.
+    /// Tokens generated per second, over all upstreams.
     pub speed: u32,
-    /// Prefixes that are warm somewhere in the zone.
+    /// Prefixes that are cached at some upstream of the zone.
     pub warm: Sketch,
 }
 
@@ -54,13 +54,13 @@
 pub struct QueueTime(pub u32);
 
 impl QueueTime {
-    /// The queueing time as a duration.
+    /// Converts to a [`Duration`].
     pub fn duration(self) -> Duration {
         Duration::from_millis(u64::from(self.0))
     }
 }
 
-/// A small set of prefixes: false positives are possible, false negatives are not.
+/// A small Bloom filter of prefixes: false positives are possible, false negatives are not.
 ///
 /// ```
 /// use medlarlug_core::{fingerprint::Fingerprint, membership::Sketch};
@@ -74,12 +74,12 @@
 pub struct Sketch([u8; 8]);
 
 impl From<Option<[u8; 8]>> for Sketch {
-    fn from(bits: Option<[u8; 8]>) -> Sketch {
-        Sketch(bits.unwrap_or_default())
+    fn from(bytes: Option<[u8; 8]>) -> Sketch {
+        Sketch(bytes.unwrap_or_default())
     }
 }
 
-/// An empty sketch takes one byte in messages.
+/// An empty sketch is encoded as one byte in messages.
 impl From<Sketch> for Option<[u8; 8]> {
     fn from(sketch: Sketch) -> Option<[u8; 8]> {
         (sketch != Sketch::default()).then_some(sketch.0)
@@ -88,17 +88,17 @@
 
 impl Sketch {
     const BITS: u32 = 64;
-    /// Prefixes of one upstream that enter the sketch, the newest ones.
+    /// Number of prefixes of each upstream that enter the sketch, the newest ones.
     pub(super) const PREFIXES: usize = 4;
 
-    /// Adds a prefix.
+    /// Adds a prefix; it can't be removed again.
     pub fn insert(&mut self, prefix: ShortFingerprint) {
         for bit in Self::positions(prefix) {
             self.0[bit / 8] |= 1 << (bit % 8);
         }
     }
 
-    /// Whether the prefix may have been added.
+    /// Whether the prefix may have been added; false positives are possible.
     pub fn contains(&self, prefix: ShortFingerprint) -> bool {
         Self::positions(prefix).iter().all(|bit| self.0[bit / 8] & (1 << (bit % 8)) != 0)
     }
@@ -116,16 +116,17 @@
         TargetSummary { target, upstreams: 0, free: 0, queueing, speed: 0, warm }
     }
 
-    /// Whether the other summary would lead to other decisions.
+    /// Whether this summary differs so much from `other`, the one sent last, that routing may
+    /// decide differently.
     pub fn differs(&self, other: &TargetSummary) -> bool {
         let free = self.free.abs_diff(other.free);
         let queueing = self.queueing.0.abs_diff(other.queueing.0);
         self.upstreams != other.upstreams
             || (self.free == 0) != (other.free == 0)
             || free * 4 > other.free
-            || (queueing > MIN_DIFFERENCE && queueing * 4 > other.queueing.0)
+            || (queueing > MIN_DIFFERENCE_MS && queueing * 4 > other.queueing.0)
     }
 }
 
-/// Difference between two queueing times, in milliseconds, below which they count as equal.
-const MIN_DIFFERENCE: u32 = 50;
+/// Queueing times that differ by no more than this count as equal.
+const MIN_DIFFERENCE_MS: u32 = 50;
--- a/crates/medlarlug-core/src/membership/upstreams.rs
+++ b/crates/medlarlug-core/src/membership/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams of the own zone: leases, tombstones and news for the other instances.
+//! Upstreams of the own zone: leases, tombstones, and updates for the other instances.
 
 use std::hash::Hash;
 
@@ -17,26 +17,27 @@
     time::Time,
 };
 
-/// What is known of one upstream.
+/// An upstream of the own zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Upstream {
     /// Its latest announcement.
     pub announcement: Announcement,
-    /// When that announcement reached the zone.
+    /// When that announcement reached the zone, by this instance's clock.
     pub received_at: Time,
-    /// Prefixes in its cache, as far as its events tell.
+    /// Prefixes in its cache, according to its cache events.
     pub warm: WarmSet,
-    shape: u32,
+    /// Hash of what it announced besides its load.
+    properties_hash: u32,
     key: UpstreamKey,
     unsent: Unsent,
-    /// When an instance of higher rank last passed a renewal on.
-    told: Option<Time>,
-    /// When the own instance last passed a renewal on.
-    passed: Option<Time>,
+    /// When an instance of higher rank last relayed a renewal of it.
+    relayed_by_peer_at: Option<Time>,
+    /// When this instance last relayed a renewal of it.
+    relayed_at: Option<Time>,
     pending: PendingEvents,
 }
 
-/// Cache events that the other instances of the zone haven't been sent.
+/// Cache events that have not been sent to the other instances of the zone yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct PendingEvents {
     cached: Vec<ShortFingerprint>,
@@ -44,17 +45,17 @@
 }
 
 impl PendingEvents {
-    fn add(&mut self, news: &LoadUpdate) {
-        self.cached.extend(&news.cached);
-        self.evicted.extend(&news.evicted);
-        for prints in [&mut self.cached, &mut self.evicted] {
-            let surplus = prints.len().saturating_sub(MAX_PENDING_CACHE_EVENTS);
-            prints.drain(..surplus);
+    fn add(&mut self, update: &LoadUpdate) {
+        self.cached.extend(&update.cached);
+        self.evicted.extend(&update.evicted);
+        for fingerprints in [&mut self.cached, &mut self.evicted] {
+            let surplus = fingerprints.len().saturating_sub(MAX_PENDING_CACHE_EVENTS);
+            fingerprints.drain(..surplus);
         }
     }
 }
 
-/// What the other instances of the zone have to be told.
+/// What has to be sent to the other instances of the zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Unsent {
     Nothing,
@@ -64,28 +65,28 @@
 
 impl Upstream {
     fn new(announcement: Announcement, received_at: Time, unsent: Unsent) -> Upstream {
-        let shape = shape(&announcement);
+        let properties_hash = properties_hash(&announcement);
         let mut upstream = Upstream {
-            key: key(&announcement, shape),
+            key: key(&announcement, properties_hash),
             announcement,
             received_at,
             warm: WarmSet::default(),
-            shape,
+            properties_hash,
             unsent,
-            told: None,
-            passed: None,
+            relayed_by_peer_at: None,
+            relayed_at: None,
             pending: PendingEvents::default(),
         };
-        upstream.note_cache();
+        upstream.apply_cache_events();
         upstream
     }
 
-    /// Whether it takes new work: its lease runs and it doesn't leave.
+    /// Whether it accepts new requests: its lease is valid and it isn't leaving.
     pub fn is_usable(&self, now: Time) -> bool {
         !self.announcement.leaving && now - self.received_at < UPSTREAM_LEASE
     }
 
-    /// Whether it serves a target.
+    /// Whether it serves a target, whatever its version.
     pub fn serves(&self, target: &Target) -> bool {
         match (&self.announcement.kind, target) {
             (UpstreamKind::Engine { models }, Target::Model(id)) => {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Whether it has an adapter of a model loaded.
+    /// Whether it has an adapter of a model loaded; false for a service.
     pub fn has_adapter(&self, target: &Target, adapter: &AdapterId) -> bool {
         match (&self.announcement.kind, target) {
             (UpstreamKind::Engine { models }, Target::Model(id)) => {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The targets that it serves.
+    /// The targets that it serves: the models that it has loaded, or its one service.
     pub fn targets(&self) -> Vec<Target> {
         match &self.announcement.kind {
             UpstreamKind::Engine { models } => {
@@ -116,28 +117,29 @@
         }
     }
 
-    /// Whether another instance passes the renewals on; of all that the upstream announces itself
-    /// to, the one with the highest rank does, so that each renewal travels once.
-    fn is_told(&self, now: Time) -> bool {
-        self.told.is_some_and(|told| now - told < RELAY_TIMEOUT)
+    /// Whether another instance relays the renewals. Of all instances that the upstream announces
+    /// itself to, the one with the highest rank does, so that each renewal is sent once.
+    fn is_relayed_by_peer(&self, now: Time) -> bool {
+        self.relayed_by_peer_at.is_some_and(|relayed_at| now - relayed_at < RELAY_TIMEOUT)
     }
 
-    fn order(&self) -> (Incarnation, u64) {
+    fn version(&self) -> (Incarnation, u64) {
         (self.announcement.incarnation, self.announcement.sequence)
     }
 
-    fn note_cache(&mut self) {
-        let news = LoadUpdate::from(&self.announcement.load);
-        self.note_events(&news);
+    fn apply_cache_events(&mut self) {
+        let update = LoadUpdate::from(&self.announcement.load);
+        self.apply_events(&update);
     }
 
-    fn note_events(&mut self, news: &LoadUpdate) {
-        news.evicted.iter().for_each(|it| self.warm.remove(*it));
-        news.cached.iter().for_each(|it| self.warm.insert(*it));
+    fn apply_events(&mut self, update: &LoadUpdate) {
+        update.evicted.iter().for_each(|it| self.warm.remove(*it));
+        update.cached.iter().for_each(|it| self.warm.insert(*it));
     }
 }
 
-fn shape(announcement: &Announcement) -> u32 {
+/// Hash of what an upstream announced besides its id, its incarnation and its load.
+fn properties_hash(announcement: &Announcement) -> u32 {
     let Announcement { address, kind, slots, fencing, .. } = announcement;
     let mut hasher = StableHasher::new();
     (address, slots, fencing).hash(&mut hasher);
@@ -152,36 +154,37 @@
     hasher.short()
 }
 
-fn key(announcement: &Announcement, shape: u32) -> UpstreamKey {
+fn key(announcement: &Announcement, properties_hash: u32) -> UpstreamKey {
     let mut hasher = StableHasher::new();
-    (&announcement.id, announcement.incarnation, shape).hash(&mut hasher);
+    (&announcement.id, announcement.incarnation, properties_hash).hash(&mut hasher);
     UpstreamKey(hasher.short().to_be_bytes())
 }
 
-/// Marks announcements up to (incarnation, sequence) as void.
+/// Makes announcements up to this incarnation and sequence outdated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Tombstone {
     id: UpstreamId,
     incarnation: Incarnation,
     sequence: u64,
-    since: Time,
-    rounds: u8,
+    created_at: Time,
+    /// Messages in which it is still to be sent.
+    remaining_sends: u8,
 }
 
-/// Sequence of a tombstone that no announcement of the incarnation lifts.
-const LEFT: u64 = u64::MAX;
+/// Sequence number of a tombstone that no announcement of the same incarnation overrides.
+const LEFT_SEQUENCE: u64 = u64::MAX;
 
-/// What an upstream's news changed.
+/// What an update on an upstream changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Change {
     /// Nothing, or its load.
     None,
-    /// It is new, came back, or changed what it serves.
+    /// The upstream is new, has returned, or has changed what it serves.
     Up,
-    /// It leaves.
+    /// The upstream is leaving.
     Leaving,
-    /// The news is older than a tombstone that the sender has missed.
-    Void,
+    /// The update is older than a tombstone, which the sender has missed.
+    Outdated,
 }
 
 /// The upstreams of one zone, sorted by id, and the tombstones.
@@ -197,7 +200,7 @@
         &self.upstreams
     }
 
-    /// Rises whenever an upstream enters, goes or changes what it serves.
+    /// Increases whenever an upstream is added, is removed or changes what it serves.
     pub(super) fn generation(&self) -> u64 {
         self.generation
     }
@@ -207,8 +210,8 @@
     }
 
     pub(super) fn get(&self, id: &UpstreamId) -> Option<&Upstream> {
-        let place = self.find(id).ok()?;
-        Some(&self.upstreams[place])
+        let index = self.find(id).ok()?;
+        Some(&self.upstreams[index])
     }
 
     fn find(&self, id: &UpstreamId) -> Result<usize, usize> {
@@ -219,14 +222,15 @@
         self.upstreams.iter().position(|it| it.key == key)
     }
 
-    /// The upstream that news is about; fails with the key of an upstream that is not known.
-    pub(super) fn subject(&self, news: &UpstreamUpdate) -> Result<UpstreamId, UpstreamKey> {
-        match news {
+    /// The upstream that an update is about; fails with its key if no upstream with this key is
+    /// known.
+    pub(super) fn upstream_of(&self, update: &UpstreamUpdate) -> Result<UpstreamId, UpstreamKey> {
+        match update {
             UpstreamUpdate::Full { announcement, .. } => Ok(announcement.id.clone()),
             UpstreamUpdate::Left { id, .. } => Ok(id.clone()),
             UpstreamUpdate::Renewal { key, .. } => {
-                let place = self.find_key(*key).ok_or(*key)?;
-                Ok(self.upstreams[place].announcement.id.clone())
+                let index = self.find_key(*key).ok_or(*key)?;
+                Ok(self.upstreams[index].announcement.id.clone())
             }
         }
     }
@@ -235,37 +239,43 @@
         self.tombstones.binary_search_by(|it| it.id.cmp(id))
     }
 
-    fn is_void(&self, id: &UpstreamId, order: (Incarnation, u64)) -> bool {
-        self.find_tombstone(id).is_ok_and(|place| {
-            let tombstone = &self.tombstones[place];
-            order <= (tombstone.incarnation, tombstone.sequence)
+    fn is_outdated(&self, id: &UpstreamId, version: (Incarnation, u64)) -> bool {
+        self.find_tombstone(id).is_ok_and(|index| {
+            let tombstone = &self.tombstones[index];
+            version <= (tombstone.incarnation, tombstone.sequence)
         })
     }
 
-    /// Takes in an announcement that arrived from the upstream itself.
+    /// Applies an announcement that arrived from the upstream itself.
     pub(super) fn announce(&mut self, now: Time, announcement: Announcement) -> Change {
         self.accept(announcement, now, now, true)
     }
 
-    /// Takes in news from another instance of the zone; `is_preferred` tells whether it goes before
-    /// the own one in passing renewals of the upstream on.
-    pub(super) fn learn(&mut self, now: Time, news: UpstreamUpdate, is_preferred: bool) -> Change {
-        match news {
+    /// Applies an update from another instance of the zone. `is_preferred` is whether that instance
+    /// ranks higher than this one for relaying renewals of the upstream.
+    pub(super) fn apply(
+        &mut self,
+        now: Time,
+        update: UpstreamUpdate,
+        is_preferred: bool,
+    ) -> Change {
+        match update {
             UpstreamUpdate::Full { announcement, age } => {
                 self.accept(*announcement, now.saturating_sub(age), now, false)
             }
             UpstreamUpdate::Renewal { key, sequence, age, load } => {
-                let Some(place) = self.find_key(key) else {
+                let Some(index) = self.find_key(key) else {
                     return Change::None;
                 };
-                // Otherwise the one whose turn comes first would pass every renewal on.
+                // Without this check, the instance whose tick comes first would relay every
+                // renewal.
                 if is_preferred {
-                    self.upstreams[place].told = Some(now);
-                    self.upstreams[place].unsent = Unsent::Nothing;
+                    self.upstreams[index].relayed_by_peer_at = Some(now);
+                    self.upstreams[index].unsent = Unsent::Nothing;
                 }
-                self.renew(place, sequence, now.saturating_sub(age.into()), load)
+                self.apply_renewal(index, sequence, now.saturating_sub(age.into()), load)
             }
-            UpstreamUpdate::Left { id, incarnation } => self.leave(now, &id, incarnation),
+            UpstreamUpdate::Left { id, incarnation } => self.mark_left(now, &id, incarnation),
         }
     }
 
@@ -274,189 +284,204 @@
         announcement: Announcement,
         received_at: Time,
         now: Time,
-        is_first_hand: bool,
+        is_direct: bool,
     ) -> Change {
         let (id, incarnation) = (announcement.id.clone(), announcement.incarnation);
-        let order = (incarnation, announcement.sequence);
-        if self.is_void(&id, order) {
-            return Change::Void;
+        let version = (incarnation, announcement.sequence);
+        if self.is_outdated(&id, version) {
+            return Change::Outdated;
         }
         if now - received_at >= UPSTREAM_LEASE {
             return Change::None;
         }
         let is_leaving = announcement.leaving;
-        let mut unsent = if is_first_hand { Unsent::Everything } else { Unsent::Nothing };
+        let mut unsent = if is_direct { Unsent::Everything } else { Unsent::Nothing };
         let change = match self.find(&id) {
-            Ok(place) => {
-                let known = &mut self.upstreams[place];
-                if order < known.order() {
+            Ok(index) => {
+                let known = &mut self.upstreams[index];
+                if version < known.version() {
                     return Change::None;
                 }
-                if order == known.order() {
-                    known.unsent = if is_first_hand { known.unsent } else { Unsent::Nothing };
+                if version == known.version() {
+                    known.unsent = if is_direct { known.unsent } else { Unsent::Nothing };
                     return Change::None;
                 }
-                let is_same = known.shape == shape(&announcement) && order.0 == known.order().0;
-                if is_same && is_first_hand && known.unsent != Unsent::Everything {
-                    unsent = if known.is_told(now) { Unsent::Nothing } else { Unsent::Load };
+                let is_renewal = known.properties_hash == properties_hash(&announcement)
+                    && version.0 == known.version().0;
+                if is_renewal && is_direct && known.unsent != Unsent::Everything {
+                    unsent =
+                        if known.is_relayed_by_peer(now) { Unsent::Nothing } else { Unsent::Load };
                 }
                 known.announcement = announcement;
                 known.received_at = received_at;
                 known.unsent = unsent;
-                known.note_cache();
+                known.apply_cache_events();
                 match unsent {
                     Unsent::Load => known.pending.add(&LoadUpdate::from(&known.announcement.load)),
                     _ => known.pending = PendingEvents::default(),
                 }
-                if is_same {
+                if is_renewal {
                     Change::None
                 } else {
-                    known.shape = shape(&known.announcement);
-                    known.key = key(&known.announcement, known.shape);
+                    known.properties_hash = properties_hash(&known.announcement);
+                    known.key = key(&known.announcement, known.properties_hash);
                     Change::Up
                 }
             }
-            Err(place) => {
-                self.upstreams.insert(place, Upstream::new(announcement, received_at, unsent));
+            Err(index) => {
+                self.upstreams.insert(index, Upstream::new(announcement, received_at, unsent));
                 Change::Up
             }
         };
         if change == Change::Up {
             self.generation += 1;
         }
-        if is_leaving { self.leave(now, &id, incarnation) } else { change }
+        if is_leaving { self.mark_left(now, &id, incarnation) } else { change }
     }
 
-    fn renew(
+    fn apply_renewal(
         &mut self,
-        place: usize,
+        index: usize,
         sequence: u64,
         received_at: Time,
         load: LoadUpdate,
     ) -> Change {
-        let known = &self.upstreams[place];
-        let order = (known.announcement.incarnation, sequence);
-        if self.is_void(&known.announcement.id, order) {
-            return Change::Void;
+        let known = &self.upstreams[index];
+        let version = (known.announcement.incarnation, sequence);
+        if self.is_outdated(&known.announcement.id, version) {
+            return Change::Outdated;
         }
-        let known = &mut self.upstreams[place];
-        if order < known.order() {
+        let known = &mut self.upstreams[index];
+        if version < known.version() {
             return Change::None;
         }
-        if order > known.order() {
+        if version > known.version() {
             known.announcement.sequence = sequence;
             known.announcement.load = LoadReport::from(&load);
             known.received_at = received_at;
-            known.note_events(&load);
+            known.apply_events(&load);
         }
         Change::None
     }
 
-    fn leave(&mut self, now: Time, id: &UpstreamId, incarnation: Incarnation) -> Change {
-        let is_known = self.find_tombstone(id).is_ok_and(|place| {
-            let tombstone = &self.tombstones[place];
-            (tombstone.incarnation, tombstone.sequence) >= (incarnation, LEFT)
+    fn mark_left(&mut self, now: Time, id: &UpstreamId, incarnation: Incarnation) -> Change {
+        let is_applied = self.find_tombstone(id).is_ok_and(|index| {
+            let tombstone = &self.tombstones[index];
+            (tombstone.incarnation, tombstone.sequence) >= (incarnation, LEFT_SEQUENCE)
         });
-        if is_known {
+        if is_applied {
             return Change::None;
         }
-        self.bury(now, id, incarnation, LEFT);
-        if let Ok(place) = self.find(id)
-            && self.upstreams[place].announcement.incarnation <= incarnation
+        self.add_tombstone(now, id, incarnation, LEFT_SEQUENCE);
+        if let Ok(index) = self.find(id)
+            && self.upstreams[index].announcement.incarnation <= incarnation
         {
-            self.upstreams.remove(place);
+            self.upstreams.remove(index);
             self.generation += 1;
         }
         Change::Leaving
     }
 
-    fn bury(&mut self, now: Time, id: &UpstreamId, incarnation: Incarnation, sequence: u64) {
-        let rounds = if sequence == LEFT { LEAVING_SENDS } else { 0 };
-        let tombstone = Tombstone { id: id.clone(), incarnation, sequence, since: now, rounds };
+    fn add_tombstone(
+        &mut self,
+        now: Time,
+        id: &UpstreamId,
+        incarnation: Incarnation,
+        sequence: u64,
+    ) {
+        let remaining_sends = if sequence == LEFT_SEQUENCE { LEAVING_SENDS } else { 0 };
+        let tombstone =
+            Tombstone { id: id.clone(), incarnation, sequence, created_at: now, remaining_sends };
         match self.find_tombstone(id) {
-            Ok(place) => self.tombstones[place] = tombstone,
-            Err(place) => self.tombstones.insert(place, tombstone),
+            Ok(index) => self.tombstones[index] = tombstone,
+            Err(index) => self.tombstones.insert(index, tombstone),
         }
         if self.tombstones.len() > MAX_TOMBSTONES {
-            let oldest = (0..self.tombstones.len()).min_by_key(|it| self.tombstones[*it].since);
+            let oldest =
+                (0..self.tombstones.len()).min_by_key(|it| self.tombstones[*it].created_at);
             self.tombstones.remove(oldest.unwrap_or(0));
         }
     }
 
-    /// Takes out upstreams whose lease ran out, and gives their ids.
+    /// Removes upstreams whose lease has expired, and returns their ids.
     pub(super) fn expire(&mut self, now: Time) -> Vec<UpstreamId> {
-        self.tombstones.retain(|it| now - it.since < TOMBSTONE_LIFETIME);
+        self.tombstones.retain(|it| now - it.created_at < TOMBSTONE_LIFETIME);
         let is_dead = |it: &Upstream| now - it.received_at >= UPSTREAM_LEASE;
         let dead: Vec<_> = self.upstreams.extract_if(.., |it| is_dead(it)).collect();
         if !dead.is_empty() {
             self.generation += 1;
         }
         for it in &dead {
-            let (incarnation, sequence) = it.order();
-            self.bury(now, &it.announcement.id, incarnation, sequence);
+            let (incarnation, sequence) = it.version();
+            self.add_tombstone(now, &it.announcement.id, incarnation, sequence);
         }
         dead.into_iter().map(|it| it.announcement.id).collect()
     }
 
-    /// Whether there is news that can't wait for the next message with renewals.
-    pub(super) fn has_urgent_news(&self) -> bool {
-        self.tombstones.iter().any(|it| it.rounds > 0)
+    /// Whether there are updates that can't wait for the next message with renewals.
+    pub(super) fn has_urgent_updates(&self) -> bool {
+        self.tombstones.iter().any(|it| it.remaining_sends > 0)
             || self.upstreams.iter().any(|it| it.unsent == Unsent::Everything)
     }
 
-    /// News that the other instances of the zone haven't been sent.
-    pub(super) fn take_news(&mut self, now: Time) -> Vec<UpstreamUpdate> {
-        let mut news = Vec::new();
+    /// Returns the updates that the other instances of the zone have not been sent, and marks them
+    /// as sent.
+    pub(super) fn take_updates(&mut self, now: Time) -> Vec<UpstreamUpdate> {
+        let mut updates = Vec::new();
         for it in &mut self.tombstones {
-            if it.rounds > 0 {
-                it.rounds -= 1;
-                news.push(UpstreamUpdate::Left { id: it.id.clone(), incarnation: it.incarnation });
+            if it.remaining_sends > 0 {
+                it.remaining_sends -= 1;
+                updates
+                    .push(UpstreamUpdate::Left { id: it.id.clone(), incarnation: it.incarnation });
             }
         }
         for it in &mut self.upstreams {
             match it.unsent {
                 Unsent::Nothing => continue,
-                Unsent::Load if it.passed.is_some_and(|last| now - last < RELAY_INTERVAL) => {
+                Unsent::Load if it.relayed_at.is_some_and(|last| now - last < RELAY_INTERVAL) => {
                     continue;
                 }
-                Unsent::Load => news.push(renewal(now, it)),
-                Unsent::Everything => news.push(full(now, it)),
+                Unsent::Load => updates.push(renewal(now, it)),
+                Unsent::Everything => updates.push(full(now, it)),
             }
             it.unsent = Unsent::Nothing;
-            it.passed = Some(now);
+            it.relayed_at = Some(now);
         }
-        news
+        updates
     }
 
-    /// Everything that is known, tombstones included.
-    pub(super) fn whole_view(&self, now: Time) -> Vec<UpstreamUpdate> {
-        let left = self.tombstones.iter().filter(|it| it.sequence == LEFT);
+    /// Updates with everything that is known, including tombstones.
+    pub(super) fn full_view(&self, now: Time) -> Vec<UpstreamUpdate> {
+        let left = self.tombstones.iter().filter(|it| it.sequence == LEFT_SEQUENCE);
         let left =
             left.map(|it| UpstreamUpdate::Left { id: it.id.clone(), incarnation: it.incarnation });
         left.chain(self.upstreams.iter().map(|it| full(now, it))).collect()
     }
 
-    /// The news that answers for one upstream: its announcement, or its tombstone.
-    pub(super) fn answer(&self, now: Time, id: &UpstreamId) -> Option<UpstreamUpdate> {
+    /// The latest update on one upstream: its announcement, or its tombstone.
+    pub(super) fn current_update(&self, now: Time, id: &UpstreamId) -> Option<UpstreamUpdate> {
         if let Some(upstream) = self.get(id) {
             return Some(full(now, upstream));
         }
-        let place = self.find_tombstone(id).ok()?;
-        let tombstone = &self.tombstones[place];
+        let index = self.find_tombstone(id).ok()?;
+        let tombstone = &self.tombstones[index];
         let incarnation = tombstone.incarnation;
-        (tombstone.sequence == LEFT).then(|| UpstreamUpdate::Left { id: id.clone(), incarnation })
+        (tombstone.sequence == LEFT_SEQUENCE)
+            .then(|| UpstreamUpdate::Left { id: id.clone(), incarnation })
     }
 
-    /// The whole announcement that a key stands for.
-    pub(super) fn answer_key(&self, now: Time, key: UpstreamKey) -> Option<UpstreamUpdate> {
+    /// The full announcement of the upstream with a key.
+    pub(super) fn full_update(&self, now: Time, key: UpstreamKey) -> Option<UpstreamUpdate> {
         Some(full(now, &self.upstreams[self.find_key(key)?]))
     }
 
-    /// Hash of the upstreams that take work.
+    /// Hash of the known upstreams, their incarnations and properties, for comparison with other
+    /// instances.
     pub(super) fn digest(&self) -> u32 {
         let mut hasher = StableHasher::new();
         for it in &self.upstreams {
-            (&it.announcement.id, it.announcement.incarnation, it.shape).hash(&mut hasher);
+            (&it.announcement.id, it.announcement.incarnation, it.properties_hash)
+                .hash(&mut hasher);
         }
         hasher.short()
     }
--- a/crates/medlarlug-core/src/membership/warm.rs
+++ b/crates/medlarlug-core/src/membership/warm.rs
@@ -1,12 +1,12 @@
-//! Prefixes in an upstream's cache, as far as its events tell.
+//! Prefixes in the cache of an upstream, according to its cache events.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{fingerprint::Fingerprint, membership::timing::MAX_WARM_PREFIXES};
 
-/// The last 24 bits of a prefix's fingerprint: short enough for the byte budget of the messages.
-/// Two prefixes that share them only make a prediction less exact; one out of 65,536 is taken for
-/// one of the 256 of an upstream.
+/// The last 24 bits of the fingerprint of a prefix, which fit the byte budget of the messages. Two
+/// prefixes that share them only make a prediction less exact: a prefix has a chance of one in
+/// 65,536 of being mistaken for one of the 256 of an upstream.
 ///
 /// ```
 /// use medlarlug_core::{fingerprint::Fingerprint, membership::ShortFingerprint};
@@ -18,8 +18,8 @@
 pub struct ShortFingerprint([u8; 3]);
 
 impl From<Fingerprint> for ShortFingerprint {
-    fn from(print: Fingerprint) -> ShortFingerprint {
-        let [_, bytes @ ..] = (print.0 as u32).to_be_bytes();
+    fn from(fingerprint: Fingerprint) -> ShortFingerprint {
+        let [_, bytes @ ..] = (fingerprint.0 as u32).to_be_bytes();
         ShortFingerprint(bytes)
     }
 }
@@ -32,7 +32,7 @@
     }
 }
 
-/// A bounded set of prefixes; the one that was reported longest ago goes first.
+/// A bounded set of prefixes, which evicts the one that was reported longest ago.
 ///
 /// ```
 /// use medlarlug_core::{fingerprint::Fingerprint, membership::WarmSet};
@@ -45,57 +45,57 @@
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WarmSet {
-    prints: Vec<Reported>,
-    reports: u64,
+    prefixes: Vec<ReportedPrefix>,
+    report_count: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Reported {
-    print: ShortFingerprint,
+struct ReportedPrefix {
+    fingerprint: ShortFingerprint,
     report: u64,
 }
 
 impl WarmSet {
-    /// Whether the prefix is in the set.
-    pub fn contains(&self, print: ShortFingerprint) -> bool {
-        self.find(print).is_ok()
+    /// Whether the prefix is expected to be cached.
+    pub fn contains(&self, fingerprint: ShortFingerprint) -> bool {
+        self.find(fingerprint).is_ok()
     }
 
-    /// Adds a prefix, or notes that it was reported again.
-    pub fn insert(&mut self, print: ShortFingerprint) {
-        self.reports += 1;
-        let report = self.reports;
-        match self.find(print) {
-            Ok(place) => self.prints[place].report = report,
-            Err(place) => self.prints.insert(place, Reported { print, report }),
+    /// Adds a prefix, or records that it was reported again.
+    pub fn insert(&mut self, fingerprint: ShortFingerprint) {
+        self.report_count += 1;
+        let report = self.report_count;
+        match self.find(fingerprint) {
+            Ok(index) => self.prefixes[index].report = report,
+            Err(index) => self.prefixes.insert(index, ReportedPrefix { fingerprint, report }),
         }
-        if self.prints.len() > MAX_WARM_PREFIXES {
+        if self.prefixes.len() > MAX_WARM_PREFIXES {
             self.drop_oldest();
         }
     }
 
-    /// Takes a prefix out.
-    pub fn remove(&mut self, print: ShortFingerprint) {
-        if let Ok(place) = self.find(print) {
-            self.prints.remove(place);
+    /// Removes a prefix that the upstream has evicted.
+    pub fn remove(&mut self, fingerprint: ShortFingerprint) {
+        if let Ok(index) = self.find(fingerprint) {
+            self.prefixes.remove(index);
         }
     }
 
     /// The `count` prefixes that were reported last, the newest first.
     pub fn newest(&self, count: usize) -> Vec<ShortFingerprint> {
-        let mut prints = self.prints.clone();
-        prints.sort_by_key(|it| std::cmp::Reverse(it.report));
-        prints.into_iter().take(count).map(|it| it.print).collect()
+        let mut prefixes = self.prefixes.clone();
+        prefixes.sort_by_key(|it| std::cmp::Reverse(it.report));
+        prefixes.into_iter().take(count).map(|it| it.fingerprint).collect()
     }
 
-    fn find(&self, print: ShortFingerprint) -> Result<usize, usize> {
-        self.prints.binary_search_by_key(&print, |it| it.print)
+    fn find(&self, fingerprint: ShortFingerprint) -> Result<usize, usize> {
+        self.prefixes.binary_search_by_key(&fingerprint, |it| it.fingerprint)
     }
 
     fn drop_oldest(&mut self) {
-        let oldest = (0..self.prints.len()).min_by_key(|it| self.prints[*it].report);
-        if let Some(place) = oldest {
-            self.prints.remove(place);
+        let oldest = (0..self.prefixes.len()).min_by_key(|it| self.prefixes[*it].report);
+        if let Some(index) = oldest {
+            self.prefixes.remove(index);
         }
     }
 }
--- a/crates/medlarlug-core/src/membership/zones.rs
+++ b/crates/medlarlug-core/src/membership/zones.rs
@@ -1,4 +1,5 @@
-//! What is known of other zones, and which changes of the own summary are worth sending.
+//! The other zones as known from their summaries, and the rows of the own summary that are due to
+//! be sent.
 
 use std::time::Duration;
 
@@ -15,36 +16,37 @@
     time::Time,
 };
 
-/// What another zone can do for one target.
+/// What another zone can serve of one target.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Row {
-    /// The summary.
+    /// The latest summary of the target.
     pub summary: TargetSummary,
-    /// When it was made, by the own clock.
+    /// When the summary was created, by this instance's clock.
     pub created_at: Time,
 }
 
-/// What is known of another zone.
+/// Another zone, as known from its summaries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneView {
-    /// The zone.
+    /// Id of the zone.
     pub zone: ZoneId,
     /// Its region.
     pub region: RegionId,
-    /// Age beyond which its rows are not used.
+    /// Age from which its rows are not used.
     pub lifetime: Duration,
-    /// When its latest summary was made, by the own clock.
+    /// When its latest summary was created, by this instance's clock; `None` before the first.
     pub created_at: Option<Time>,
     /// Highest configuration revision in force in it.
     pub revision: Revision,
-    /// Its entry instances that callers may use, the least loaded first.
+    /// Its entry instances that accept callers, the least loaded first, as its latest summary names
+    /// them.
     pub entries: Vec<EntryLoad>,
     rows: Vec<Row>,
     seeds: Vec<InstanceId>,
     contact: Contact,
 }
 
-/// The instance of another zone that summaries are sent to.
+/// The instance of another zone that summaries are sent to, and since when.
 #[derive(Debug, Clone, PartialEq)]
 struct Contact {
     id: InstanceId,
@@ -52,10 +54,10 @@
 }
 
 impl ZoneView {
-    /// The row for a target, when it is younger than its lifetime.
+    /// The row of a target, if it is younger than its lifetime.
     pub fn row(&self, now: Time, target: &Target) -> Option<&Row> {
-        let place = self.rows.binary_search_by(|it| it.summary.target.cmp(target)).ok()?;
-        let row = &self.rows[place];
+        let index = self.rows.binary_search_by(|it| it.summary.target.cmp(target)).ok()?;
+        let row = &self.rows[index];
         (now - row.created_at < self.lifetime).then_some(row)
     }
 
@@ -64,20 +66,20 @@
         self.rows.iter().filter(move |it| now - it.created_at < self.lifetime)
     }
 
-    /// Whether a summary of the zone arrived within its lifetime.
+    /// Whether a summary of the zone was created within its lifetime.
     pub fn has_fresh_summary(&self, now: Time) -> bool {
         self.created_at.is_some_and(|created_at| now - created_at < self.lifetime)
     }
 
-    /// The instance that summaries are sent to: the zone's speaker while it is heard, otherwise
-    /// each entry instance in turn.
+    /// The instance that summaries are sent to: the speaker of the zone while its summaries arrive,
+    /// otherwise each of its entry instances in turn.
     fn contact(&mut self, now: Time) -> InstanceId {
         let last = self
             .created_at
             .map_or(self.contact.since, |created_at| created_at.max(self.contact.since));
         if now - last >= CONTACT_TIMEOUT.max(self.lifetime / 2) {
-            let place = self.seeds.iter().position(|it| *it == self.contact.id).unwrap_or(0);
-            let next = &self.seeds[(place + 1) % self.seeds.len()];
+            let index = self.seeds.iter().position(|it| *it == self.contact.id).unwrap_or(0);
+            let next = &self.seeds[(index + 1) % self.seeds.len()];
             self.contact = Contact { id: next.clone(), since: now };
         }
         self.contact.id.clone()
@@ -91,13 +93,13 @@
 }
 
 impl ZoneTable {
-    /// The zones of the entry instances in `seeds`, other than the `own` zone.
+    /// The zones of the entry instances in `seeds`, except the `own` zone.
     pub(super) fn new(own: &Seed, seeds: &[Seed]) -> ZoneTable {
         let mut zones: Vec<ZoneView> = Vec::new();
         for seed in seeds.iter().filter(|it| it.zone != own.zone) {
             match zones.binary_search_by(|it| it.zone.cmp(&seed.zone)) {
-                Ok(place) => zones[place].seeds.push(seed.id.clone()),
-                Err(place) => zones.insert(place, ZoneView::unheard(own, seed)),
+                Ok(index) => zones[index].seeds.push(seed.id.clone()),
+                Err(index) => zones.insert(index, ZoneView::never_seen(own, seed)),
             }
         }
         for zone in &mut zones {
@@ -112,46 +114,47 @@
     }
 
     pub(super) fn get(&self, zone: &ZoneId) -> Option<&ZoneView> {
-        let place = self.zones.binary_search_by(|it| it.zone.cmp(zone)).ok()?;
-        Some(&self.zones[place])
+        let index = self.zones.binary_search_by(|it| it.zone.cmp(zone)).ok()?;
+        Some(&self.zones[index])
     }
 
-    /// Takes news in; answers whether it is newer than what was known.
-    pub(super) fn learn(&mut self, now: Time, news: &ZoneUpdate) -> bool {
-        let Ok(place) = self.zones.binary_search_by(|it| it.zone.cmp(&news.zone)) else {
+    /// Applies an update; returns whether it is newer than what was known.
+    pub(super) fn apply(&mut self, now: Time, update: &ZoneUpdate) -> bool {
+        let Ok(index) = self.zones.binary_search_by(|it| it.zone.cmp(&update.zone)) else {
             return false;
         };
-        let zone = &mut self.zones[place];
-        let created_at = now.saturating_sub(news.age.into());
-        if zone.created_at.is_some_and(|known| created_at <= known + SAME_AGE) {
+        let zone = &mut self.zones[index];
+        let created_at = now.saturating_sub(update.age.into());
+        if zone.created_at.is_some_and(|known| created_at <= known + SAME_SUMMARY_TOLERANCE) {
             return false;
         }
         zone.created_at = Some(created_at);
-        zone.revision = zone.revision.max(news.revision);
-        zone.entries = news.entries.clone();
-        zone.contact = Contact { id: news.speaker.clone(), since: now };
-        for summary in &news.rows {
+        zone.revision = zone.revision.max(update.revision);
+        zone.entries = update.entries.clone();
+        zone.contact = Contact { id: update.speaker.clone(), since: now };
+        for summary in &update.rows {
             let row = Row { summary: summary.clone(), created_at };
             match zone.rows.binary_search_by(|it| it.summary.target.cmp(&summary.target)) {
-                Ok(place) => zone.rows[place] = row,
-                Err(place) => zone.rows.insert(place, row),
+                Ok(index) => zone.rows[index] = row,
+                Err(index) => zone.rows.insert(index, row),
             }
         }
         true
     }
 
-    /// Contacts in the other zones of a region.
+    /// One contact in each other zone of a region.
     pub(super) fn contacts(&mut self, now: Time, region: &RegionId) -> Vec<InstanceId> {
         let zones = self.zones.iter_mut().filter(|it| it.region == *region);
         zones.map(|it| it.contact(now)).collect()
     }
 
-    /// One contact in every region other than `own`; the zone differs by `turn`.
-    pub(super) fn far_contacts(
+    /// One contact in each region other than `own`. `rotation` selects the zone, so that a caller
+    /// which increments it reaches the zones of a region in turn.
+    pub(super) fn cross_region_contacts(
         &mut self,
         now: Time,
         own: &RegionId,
-        turn: usize,
+        rotation: usize,
     ) -> Vec<InstanceId> {
         let mut regions: Vec<RegionId> = self.zones.iter().map(|it| it.region.clone()).collect();
         regions.retain(|it| it != own);
@@ -161,23 +164,23 @@
         for region in regions {
             let mut zones: Vec<&mut ZoneView> =
                 self.zones.iter_mut().filter(|it| it.region == region).collect();
-            let place = turn % zones.len();
-            contacts.push(zones[place].contact(now));
+            let index = rotation % zones.len();
+            contacts.push(zones[index].contact(now));
         }
         contacts
     }
 }
 
-/// Difference in age within which two summaries count as the same one.
-const SAME_AGE: Duration = Duration::from_millis(100);
+/// Summaries whose creation times differ by no more than this count as the same one.
+const SAME_SUMMARY_TOLERANCE: Duration = Duration::from_millis(100);
 
 impl ZoneView {
-    fn unheard(own: &Seed, seed: &Seed) -> ZoneView {
-        let is_near = own.region == seed.region;
+    fn never_seen(own: &Seed, seed: &Seed) -> ZoneView {
+        let is_own_region = own.region == seed.region;
         ZoneView {
             zone: seed.zone.clone(),
             region: seed.region.clone(),
-            lifetime: if is_near { REGION_LIFETIME } else { CROSS_REGION_LIFETIME },
+            lifetime: if is_own_region { REGION_LIFETIME } else { CROSS_REGION_LIFETIME },
             created_at: None,
             revision: Revision(0),
             entries: Vec::new(),
@@ -188,35 +191,35 @@
     }
 }
 
-/// Rows of the own summary that are due in one scope, within its byte budget.
+/// The rows of the own summary that are due for one scope, within its byte budget.
 #[derive(Debug, Clone)]
 pub(super) struct Outbox {
     sent: Vec<Row>,
     refresh: Duration,
-    /// Whether rows tell which prefixes are warm.
-    tells_warm: bool,
-    budget: f64,
-    rate: f64,
-    filled: Time,
+    /// Whether rows include the sketch of cached prefixes.
+    includes_warm: bool,
+    budget_bytes: f64,
+    bytes_per_second: f64,
+    filled_at: Time,
 }
 
-/// Bytes that a message takes besides its rows.
+/// Bytes that a message takes besides its rows and entry instances.
 const HEADER_BYTES: f64 = 30.0;
-/// Bytes of a row besides the name of its target and its warm prefixes.
+/// Bytes of a row besides the name of its target and its sketch.
 const ROW_BYTES: f64 = 11.0;
-/// Bytes of the warm prefixes of a row.
+/// Bytes of the sketch of a row.
 const WARM_BYTES: f64 = 8.0;
-/// Bytes of an entry instance besides its name.
+/// Bytes of an entry instance besides its id.
 const ENTRY_BYTES: f64 = 3.0;
 
 impl Outbox {
-    /// An outbox for the other zones of the region, of which there are `zones`.
-    pub(super) fn near(zones: usize) -> Outbox {
+    /// An outbox for the other zones of the region; `zones` is their number.
+    pub(super) fn within_region(zones: usize) -> Outbox {
         Outbox::new(REGION_REFRESH, REGION_BYTES_PER_SECOND / zones.max(1) as f64, true)
     }
 
-    /// An outbox for other regions, which have `zones` zones.
-    pub(super) fn far(zones: usize) -> Outbox {
+    /// An outbox for the other regions; `zones` is the number of their zones.
+    pub(super) fn cross_region(zones: usize) -> Outbox {
         Outbox::new(
             CROSS_REGION_REFRESH,
             CROSS_REGION_BYTES_PER_SECOND / zones.max(1) as f64,
@@ -224,13 +227,21 @@
         )
     }
 
-    fn new(refresh: Duration, rate: f64, tells_warm: bool) -> Outbox {
-        let (budget, filled) = (MAX_SAVED_BYTES, Time::ZERO);
-        Outbox { sent: Vec::new(), refresh, tells_warm, budget, rate, filled }
+    fn new(refresh: Duration, bytes_per_second: f64, includes_warm: bool) -> Outbox {
+        let (budget_bytes, filled_at) = (MAX_SAVED_BYTES, Time::ZERO);
+        Outbox {
+            sent: Vec::new(),
+            refresh,
+            includes_warm,
+            budget_bytes,
+            bytes_per_second,
+            filled_at,
+        }
     }
 
-    /// Takes the rows that are to be sent now: new and much changed ones, then those due for a
-    /// refresh, the longest unsent first. Answers `None` when nothing is due or affordable.
+    /// Takes the rows that are to be sent now: new and considerably changed ones, then those due
+    /// for a refresh, the least recently sent first. Returns `None` when no row is due or the
+    /// budget doesn't suffice.
     pub(super) fn take(
         &mut self,
         now: Time,
@@ -241,57 +252,57 @@
         let entry_bytes: f64 = entries.iter().map(|it| it.id.as_str().len() as f64).sum();
         let mut cost = HEADER_BYTES + entry_bytes + ENTRY_BYTES * entries.len() as f64;
         let mut due: Vec<(Time, &TargetSummary)> =
-            rows.iter().filter_map(|it| Some((self.urgency(now, it)?, it))).collect();
+            rows.iter().filter_map(|it| Some((self.due_since(now, it)?, it))).collect();
         due.sort_by_key(|it| it.0);
         let due_count = due.len();
         let mut taken = Vec::new();
         for (_, row) in due {
-            let warm = if self.tells_warm { WARM_BYTES } else { 0.0 };
+            let warm = if self.includes_warm { WARM_BYTES } else { 0.0 };
             let bytes = ROW_BYTES + warm + name_bytes(&row.target);
-            if cost + bytes > self.budget {
+            if cost + bytes > self.budget_bytes {
                 break;
             }
             cost += bytes;
-            let warm = if self.tells_warm { row.warm } else { Sketch::default() };
+            let warm = if self.includes_warm { row.warm } else { Sketch::default() };
             taken.push(TargetSummary { warm, ..row.clone() });
         }
-        let is_full = self.budget >= MAX_SAVED_BYTES;
+        let is_full = self.budget_bytes >= MAX_SAVED_BYTES;
         let is_partial = taken.len() < due_count.min(MIN_BATCH_ROWS) && !is_full;
         if taken.is_empty() || is_partial {
             return None;
         }
-        self.budget -= cost;
+        self.budget_bytes -= cost;
         for row in &taken {
-            self.note_sent(now, row);
+            self.record_sent(now, row);
         }
         Some(taken)
     }
 
     fn fill(&mut self, now: Time) {
-        let earned = (now - self.filled).as_secs_f64() * self.rate;
-        self.budget = (self.budget + earned).min(MAX_SAVED_BYTES);
-        self.filled = now;
+        let earned = (now - self.filled_at).as_secs_f64() * self.bytes_per_second;
+        self.budget_bytes = (self.budget_bytes + earned).min(MAX_SAVED_BYTES);
+        self.filled_at = now;
     }
 
     fn find(&self, target: &Target) -> Result<usize, usize> {
         self.sent.binary_search_by(|it| it.summary.target.cmp(target))
     }
 
-    /// When the row was last sent, if it is due; the origin of time for a new one.
-    fn urgency(&self, now: Time, row: &TargetSummary) -> Option<Time> {
-        let Ok(place) = self.find(&row.target) else {
+    /// When the row was last sent, if it is due; the origin of time for a new row.
+    fn due_since(&self, now: Time, row: &TargetSummary) -> Option<Time> {
+        let Ok(index) = self.find(&row.target) else {
             return Some(Time::ZERO);
         };
-        let last = &self.sent[place];
+        let last = &self.sent[index];
         let is_due = now - last.created_at >= self.refresh || row.differs(&last.summary);
         is_due.then_some(last.created_at)
     }
 
-    fn note_sent(&mut self, now: Time, row: &TargetSummary) {
+    fn record_sent(&mut self, now: Time, row: &TargetSummary) {
         let sent = Row { summary: row.clone(), created_at: now };
         match self.find(&row.target) {
-            Ok(place) => self.sent[place] = sent,
-            Err(place) => self.sent.insert(place, sent),
+            Ok(index) => self.sent[index] = sent,
+            Err(index) => self.sent.insert(index, sent),
         }
     }
 }
--- a/crates/medlarlug-core/src/routing/learned.rs
+++ b/crates/medlarlug-core/src/routing/learned.rs
@@ -83,15 +83,15 @@
 }
 
 impl DestinationStats {
-    pub(super) fn new(since: Time) -> DestinationStats {
+    pub(super) fn new(available_since: Time) -> DestinationStats {
         DestinationStats {
             requests: Vec::new(),
             slot_times: SlotTimes::default(),
             latency_ratio: 1.0,
-            observed_at: since,
+            observed_at: available_since,
             failures: 0,
             cooldown_until: Time::ZERO,
-            available_since: since,
+            available_since,
             last_sent: Time::ZERO,
         }
     }
