--- a/crates/medlarlug-core/tests/testsuite/configuration_group.rs
+++ b/crates/medlarlug-core/tests/testsuite/configuration_group.rs
@@ -1,5 +1,5 @@
-//! The configuration group: equal numbers, resends, validation, moves of homes; and the whole of it
-//! against a naive model.
+//! State machine of the configuration group: used numbers, retries, validation, moves of homes, and a
+//! comparison with a naive model.
 
 use assert_matches::assert_matches;
 use medlarlug_core::{
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn same_note_gets_its_first_answer_long_after() {
+fn retried_note_gets_its_first_reply_after_later_notes() {
     let mut group = ConfigurationGroup::default();
     let first = apply(&mut group, note(0, vec![region("riga", &["riga-a"])]));
     for base in 1..100 {
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn rebuilt_group_goes_on_above_every_revision_that_it_may_have_lost() {
+fn rebuilt_group_continues_above_every_revision_that_it_may_have_lost() {
     let mut survivor = group_with(vec![region("riga", &["riga-a"])]);
     let mut lost = survivor.clone();
     apply(&mut lost, note(1, vec![region("kurzeme", &["liepaja-a"])]));
@@ -163,14 +163,14 @@
     assert_eq!(update, Some(Update::Full(survivor.configuration().clone())));
 }
 
-/// Accepted notes as a list; the configuration is computed from all of them each time.
+/// Naive model: a list of the accepted notes, from which the configuration is computed each time.
 #[derive(Debug, Default)]
-struct Naive {
+struct NaiveModel {
     accepted: Vec<(RawNote, Revision)>,
     revision: u64,
 }
 
-impl Naive {
+impl NaiveModel {
     fn items(&self) -> Vec<Item> {
         let mut items: Vec<Item> = Vec::new();
         for (note, _) in &self.accepted {
@@ -184,7 +184,7 @@
         items
     }
 
-    /// The revision of the note, or `None` when it is refused.
+    /// Revision of the note, or `None` if it is refused.
     fn accept(&mut self, note: &RawNote) -> Option<Revision> {
         if let Some((held, revision)) = self.accepted.iter().find(|it| it.0.number == note.number) {
             return (held == note).then_some(*revision);
@@ -247,11 +247,11 @@
 }
 
 #[test]
-fn group_equals_a_list_of_notes_and_its_changes_lead_to_it() {
+fn group_matches_the_naive_model_and_its_changes_reproduce_it() {
     let mut accepted = 0;
     for seed in 0..1_500 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut group, mut naive) = (ConfigurationGroup::default(), Naive::default());
+        let (mut group, mut naive) = (ConfigurationGroup::default(), NaiveModel::default());
         let mut sent: Vec<RawNote> = Vec::new();
         let mut past = vec![group.configuration().clone()];
         for _ in 0..60 {
@@ -261,7 +261,7 @@
             let Ok(note) = ReleaseNote::try_from(raw.clone()) else {
                 continue;
             };
-            // The naive model knows no moves: they end at once.
+            // The naive model has no moves, so they are completed immediately.
             let moving = group.moves().first().cloned();
             if let Some(it) = moving {
                 group.apply(Command::HomeAdopted { team: it.team, epoch: it.epoch });
--- a/crates/medlarlug-core/tests/testsuite/draining.rs
+++ b/crates/medlarlug-core/tests/testsuite/draining.rs
@@ -1,4 +1,4 @@
-//! When withdrawn items are removed.
+//! Removal of withdrawn items.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     .unwrap()
 }
 
-/// A configuration at revision 2 from which the service was withdrawn.
+/// Configuration at revision 2, which withdrew the service.
 fn withdrawn() -> Configuration {
     let empty = Configuration::default();
     let first = note(1, 0, vec![region("riga"), service()], Vec::new()).apply(&empty).unwrap();
@@ -45,12 +45,12 @@
 }
 
 #[test]
-fn item_is_unused_once_the_longest_request_has_passed_everywhere() {
+fn item_is_removable_once_the_longest_request_time_has_passed_everywhere() {
     let configuration = withdrawn();
     let mut draining = DrainTracker::default();
 
     let early = draining.removable_items(Time::ZERO, &configuration, false);
-    let begun = draining.removable_items(after(MAX_REQUEST_DURATION), &configuration, true);
+    let started = draining.removable_items(after(MAX_REQUEST_DURATION), &configuration, true);
     let almost = draining.removable_items(
         after(MAX_REQUEST_DURATION * 2 - Duration::from_millis(1)),
         &configuration,
@@ -58,12 +58,12 @@
     );
     let due = draining.removable_items(after(MAX_REQUEST_DURATION * 2), &configuration, true);
 
-    assert_eq!((early, begun, almost), (Vec::new(), Vec::new(), Vec::new()));
+    assert_eq!((early, started, almost), (Vec::new(), Vec::new(), Vec::new()));
     assert_eq!(due, [key()]);
 }
 
 #[test]
-fn note_in_between_and_a_new_leader_begin_the_wait_again() {
+fn further_note_and_new_leader_restart_the_wait() {
     let configuration = withdrawn();
     let next = note(3, 2, vec![region("kurzeme")], Vec::new()).apply(&configuration).unwrap();
     let mut draining = DrainTracker::default();
--- a/crates/medlarlug-core/tests/testsuite/replication/cluster.rs
+++ b/crates/medlarlug-core/tests/testsuite/replication/cluster.rs
@@ -1,4 +1,4 @@
-//! A small in-memory network of replicas, and the checks of what they do.
+//! Deterministic simulation of a group of replicas with their clocks, disks and network.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -16,17 +16,17 @@
 
 use super::history::History;
 
-/// A guard that the fake breaks on purpose.
+/// Safeguard that the simulation breaks on purpose, so that the checks can be tested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     None,
     /// Storage confirms before it has synced.
     EarlySync,
-    /// Storage forgets term and vote at a crash.
+    /// Storage loses the vote at a crash.
     LostVote,
-    /// A wiped replica keeps the name of its former storage.
+    /// A wiped replica keeps the id of its former storage.
     KeptStorageId,
-    /// The embedding program answers reads without asking the replica.
+    /// The embedding program answers reads without a quorum round of the replica.
     LocalRead,
 }
 
@@ -41,13 +41,13 @@
     unsynced: Vec<Persist>,
     frozen: bool,
     backlog: Vec<Event>,
-    /// Speed of the node's clock in thousandths.
-    speed: u64,
-    starts: u64,
+    /// Rate of the node's clock in thousandths of the simulated time.
+    clock_permille: u64,
+    start_count: u64,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct ScheduledAction {
     at: u64,
     order: u64,
     node: usize,
@@ -60,42 +60,52 @@
     Tick { start: u64 },
 }
 
-/// How the network treats messages.
+/// Behaviour of the network and the disks. Messages are dropped and duplicated with a probability;
+/// delays are drawn between a minimum and a maximum.
 #[derive(Debug, Clone, Copy)]
-pub struct Weather {
+pub struct NetworkConditions {
     pub drop: f64,
-    pub repeat: f64,
-    pub delay: (u64, u64),
-    pub sync: (u64, u64),
+    pub duplicate: f64,
+    pub delay_micros: (u64, u64),
+    pub sync_delay_micros: (u64, u64),
 }
 
-pub const FAIR: Weather =
-    Weather { drop: 0.0, repeat: 0.0, delay: (500, 5_000), sync: (500, 4_000) };
-pub const ROUGH: Weather =
-    Weather { drop: 0.08, repeat: 0.05, delay: (500, 80_000), sync: (500, 60_000) };
+pub const RELIABLE: NetworkConditions = NetworkConditions {
+    drop: 0.0,
+    duplicate: 0.0,
+    delay_micros: (500, 5_000),
+    sync_delay_micros: (500, 4_000),
+};
+pub const UNRELIABLE: NetworkConditions = NetworkConditions {
+    drop: 0.08,
+    duplicate: 0.05,
+    delay_micros: (500, 80_000),
+    sync_delay_micros: (500, 60_000),
+};
 
 const TICK_MICROS: u64 = 25_000;
 
 pub struct Cluster {
     pub nodes: Vec<Node>,
+    /// Simulated time in microseconds.
     pub now: u64,
     pub rng: ChaCha8Rng,
-    pub weather: Weather,
+    pub network: NetworkConditions,
     pub fault: Fault,
     pub history: History,
-    pub tune: fn(&mut Config),
+    pub configure: fn(&mut Config),
     founders: Vec<InstanceId>,
-    cuts: Vec<(usize, usize)>,
-    queue: BinaryHeap<Reverse<Due>>,
+    blocked_links: Vec<(usize, usize)>,
+    queue: BinaryHeap<Reverse<ScheduledAction>>,
     actions: Vec<Option<Action>>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     order: u64,
-    storages: u64,
+    last_storage_id: u64,
 }
 
 impl Cluster {
-    /// Founders as `durable` says, then one spare instance that is no founder.
-    pub fn new(seed: u64, durable: &[bool], fault: Fault, tune: fn(&mut Config)) -> Cluster {
+    /// Creates one founder for each element of `durable`, then one spare instance that is no founder.
+    pub fn new(seed: u64, durable: &[bool], fault: Fault, configure: fn(&mut Config)) -> Cluster {
         let names = ["a", "b", "c", "d", "e"];
         let founders: Vec<InstanceId> =
             names[..durable.len()].iter().map(|name| id(name)).collect();
@@ -103,23 +113,23 @@
             nodes: Vec::new(),
             now: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            weather: FAIR,
+            network: RELIABLE,
             fault,
             history: History::default(),
-            tune,
+            configure,
             founders: founders.clone(),
-            cuts: Vec::new(),
+            blocked_links: Vec::new(),
             queue: BinaryHeap::new(),
             actions: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             order: 0,
-            storages: 0,
+            last_storage_id: 0,
         };
         let spare = [(id("spare"), true)];
         let all = founders.into_iter().zip(durable.iter().copied()).chain(spare);
         for (id, durable) in all {
             let key = MemberKey { id: id.clone(), storage: StorageId(0) };
-            let speed = cluster.rng.random_range(950..1_050);
+            let clock_permille = cluster.rng.random_range(950..1_050);
             cluster.nodes.push(Node {
                 id,
                 key,
@@ -131,20 +141,20 @@
                 unsynced: Vec::new(),
                 frozen: false,
                 backlog: Vec::new(),
-                speed,
-                starts: 0,
+                clock_permille,
+                start_count: 0,
             });
         }
         for node in 0..cluster.nodes.len() {
-            cluster.nodes[node].key.storage = cluster.draw_storage();
+            cluster.nodes[node].key.storage = cluster.new_storage_id();
             cluster.start(node);
         }
         cluster
     }
 
-    fn draw_storage(&mut self) -> StorageId {
-        self.storages += 1;
-        StorageId(self.storages)
+    fn new_storage_id(&mut self) -> StorageId {
+        self.last_storage_id += 1;
+        StorageId(self.last_storage_id)
     }
 
     pub fn founder_count(&self) -> usize {
@@ -165,23 +175,23 @@
         config.chunk_bytes = 40;
         config.batch_bytes = 200;
         config.max_inflight = 4;
-        (self.tune)(&mut config);
+        (self.configure)(&mut config);
         let it = &mut self.nodes[node];
-        it.starts += 1;
+        it.start_count += 1;
         it.applied = it.disk.snapshot.as_ref().map(|s| decode(&s.data)).unwrap_or_default();
         it.replica = Some(Replica::new(config, it.disk.clone(), seed, now));
-        let start = it.starts;
+        let start = it.start_count;
         self.schedule(node, 0, Action::Tick { start });
     }
 
     fn wipe_storage(&mut self, node: usize) {
         self.nodes[node].disk = StoredState::default();
         if self.fault != Fault::KeptStorageId {
-            self.nodes[node].key.storage = self.draw_storage();
+            self.nodes[node].key.storage = self.new_storage_id();
         }
     }
 
-    /// Stops a node; what storage has not synced is lost.
+    /// Stops a node. Writes that storage has not synced are lost.
     pub fn crash(&mut self, node: usize) {
         let it = &mut self.nodes[node];
         it.replica = None;
@@ -192,15 +202,16 @@
         if self.fault == Fault::LostVote {
             it.disk.hard.vote = None;
         }
-        self.history.forget_node(node);
+        self.history.drop_reads(node);
     }
 
+    /// Crashes a node and deletes its storage.
     pub fn wipe(&mut self, node: usize) {
         self.crash(node);
         self.wipe_storage(node);
     }
 
-    /// Turns the disk of a stopped node into a group of its own.
+    /// Turns the disk of a stopped node into a new group.
     pub fn rebuild(&mut self, node: usize, formation: medlarlug_core::replication::FormationId) {
         let it = &mut self.nodes[node];
         let base = it.disk.snapshot.as_ref().map(|it| it.index).unwrap_or_default();
@@ -214,6 +225,7 @@
         it.disk = it.disk.clone().rebuild(member, formation, None).expect("a group to rebuild");
     }
 
+    /// Stops the event loop of a running node; messages are queued until [`Cluster::thaw`].
     pub fn freeze(&mut self, node: usize) {
         self.nodes[node].frozen = self.nodes[node].replica.is_some();
     }
@@ -225,27 +237,29 @@
         }
     }
 
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cuts.push((from, to));
+    pub fn block_link(&mut self, from: usize, to: usize) {
+        self.blocked_links.push((from, to));
     }
 
     pub fn isolate(&mut self, node: usize) {
         for other in 0..self.nodes.len() {
-            self.cuts.push((node, other));
-            self.cuts.push((other, node));
+            self.blocked_links.push((node, other));
+            self.blocked_links.push((other, node));
         }
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.blocked_links.clear();
     }
 
     fn clock(&self, node: usize) -> Time {
-        Time::from_micros(self.now * self.nodes[node].speed / 1_000 + node as u64 * 7_000_000)
+        Time::from_micros(
+            self.now * self.nodes[node].clock_permille / 1_000 + node as u64 * 7_000_000,
+        )
     }
 
     fn schedule(&mut self, node: usize, after: u64, action: Action) {
-        let slot = match self.free.pop() {
+        let slot = match self.free_slots.pop() {
             Some(slot) => slot,
             None => {
                 self.actions.push(None);
@@ -254,10 +268,15 @@
         };
         self.actions[slot] = Some(action);
         self.order += 1;
-        self.queue.push(Reverse(Due { at: self.now + after, order: self.order, node, slot }));
+        self.queue.push(Reverse(ScheduledAction {
+            at: self.now + after,
+            order: self.order,
+            node,
+            slot,
+        }));
     }
 
-    /// Runs the network for a while.
+    /// Runs the simulation for `time`.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time.as_micros() as u64;
         while let Some(Reverse(due)) = self.queue.peek() {
@@ -267,29 +286,29 @@
             let Some(Reverse(due)) = self.queue.pop() else { break };
             self.now = due.at;
             let action = self.actions[due.slot].take();
-            self.free.push(due.slot);
+            self.free_slots.push(due.slot);
             if let Some(action) = action {
-                self.act(due.node, action);
+                self.execute(due.node, action);
             }
         }
         self.now = end;
     }
 
-    fn act(&mut self, node: usize, action: Action) {
+    fn execute(&mut self, node: usize, action: Action) {
         match action {
             Action::Deliver { from, message, start } => {
-                if start.is_none_or(|start| start == self.nodes[node].starts) {
+                if start.is_none_or(|start| start == self.nodes[node].start_count) {
                     self.handle(node, Event::Message { from, message });
                 }
             }
             Action::Sync { sequence, start } => {
-                if start == self.nodes[node].starts && self.nodes[node].replica.is_some() {
+                if start == self.nodes[node].start_count && self.nodes[node].replica.is_some() {
                     self.sync(node, sequence);
                     self.handle(node, Event::Persisted { sequence });
                 }
             }
             Action::Tick { start } => {
-                if start == self.nodes[node].starts && self.nodes[node].replica.is_some() {
+                if start == self.nodes[node].start_count && self.nodes[node].replica.is_some() {
                     self.schedule(node, TICK_MICROS, Action::Tick { start });
                     self.handle(node, Event::Tick);
                 }
@@ -320,11 +339,11 @@
         let mut out = Vec::new();
         replica.handle(now, event, &mut out);
         for effect in out {
-            self.carry_out(node, effect);
+            self.apply_effect(node, effect);
         }
     }
 
-    fn carry_out(&mut self, node: usize, effect: Effect) {
+    fn apply_effect(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::Send { to, message } => self.send(node, &to, message),
             Effect::Persist(batch) => self.persist(node, batch),
@@ -347,7 +366,7 @@
                 self.nodes[node].is_leader = role == Role::Leader;
                 if role == Role::Leader {
                     let key = self.nodes[node].key.clone();
-                    self.history.lead(term, key);
+                    self.history.record_leader(term, key);
                 }
             }
         }
@@ -355,9 +374,9 @@
 
     fn persist(&mut self, node: usize, batch: Persist) {
         let sequence = batch.sequence;
-        let start = self.nodes[node].starts;
+        let start = self.nodes[node].start_count;
         self.nodes[node].unsynced.push(batch);
-        let (min, max) = self.weather.sync;
+        let (min, max) = self.network.sync_delay_micros;
         let delay = self.rng.random_range(min..max);
         if self.fault == Fault::EarlySync {
             self.handle(node, Event::Persisted { sequence });
@@ -371,13 +390,14 @@
         let Some(receiver) = self.nodes.iter().position(|other| other.id == *to) else {
             return;
         };
-        if self.cuts.contains(&(node, receiver)) || self.rng.random_bool(self.weather.drop) {
+        if self.blocked_links.contains(&(node, receiver)) || self.rng.random_bool(self.network.drop)
+        {
             return;
         }
         let from = self.nodes[node].id.clone();
-        let copies = if self.rng.random_bool(self.weather.repeat) { 2 } else { 1 };
+        let copies = if self.rng.random_bool(self.network.duplicate) { 2 } else { 1 };
         for _ in 0..copies {
-            let (min, max) = self.weather.delay;
+            let (min, max) = self.network.delay_micros;
             let delay = self.rng.random_range(min..max);
             let action =
                 Action::Deliver { from: from.clone(), message: message.clone(), start: None };
@@ -422,7 +442,7 @@
         self.handle(node, Event::Compact { index, snapshot });
     }
 
-    /// The node that leads in the highest term.
+    /// Node that leads in the highest term.
     pub fn leader(&self) -> Option<usize> {
         let term = |node: &usize| self.nodes[*node].replica.as_ref().map(Replica::term);
         (0..self.nodes.len()).filter(|node| self.nodes[*node].is_leader).max_by_key(term)
@@ -440,8 +460,8 @@
         self.nodes[node].replica.as_ref().map(Replica::committed).unwrap_or_default()
     }
 
-    /// Whether a leader stands, and every founder is up and a voter under its present storage.
-    pub fn is_whole(&self) -> bool {
+    /// Whether there is a leader, and every founder is running and a voter with its present storage.
+    pub fn is_recovered(&self) -> bool {
         let Some(members) = self.leader().and_then(|leader| self.membership(leader)) else {
             return false;
         };
@@ -449,17 +469,18 @@
         self.nodes[..self.founders.len()].iter().all(is_in)
     }
 
-    /// Repairs everything and runs until the group is whole or `seconds` have passed.
-    pub fn settle(&mut self, seconds: u64) -> bool {
+    /// Ends all faults and runs until the group has recovered or `seconds` have passed. Returns whether
+    /// it has recovered.
+    pub fn recover(&mut self, seconds: u64) -> bool {
         self.heal();
-        self.weather = FAIR;
+        self.network = RELIABLE;
         for node in 0..self.nodes.len() {
             self.thaw(node);
             self.start(node);
         }
         for _ in 0..seconds * 4 {
             self.run(Duration::from_millis(250));
-            if self.is_whole() {
+            if self.is_recovered() {
                 return true;
             }
         }
--- a/crates/medlarlug-core/tests/testsuite/replication/failures.rs
+++ b/crates/medlarlug-core/tests/testsuite/replication/failures.rs
@@ -1,4 +1,4 @@
-//! Focused failures of a group, and of single replicas.
+//! Single failures of a group and of replicas.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
 };
 use test_support::{id, note, region};
 
-use super::cluster::{Cluster, Fault, Weather};
+use super::cluster::{Cluster, Fault, NetworkConditions};
 
-const DURABLE: &[bool] = &[true, true, true];
-const ONE_DISK: &[bool] = &[true, false, false];
-/// Time in which a new leader has to stand.
-const NEW_LEADER: Duration = Duration::from_secs(2);
+const ALL_DURABLE: &[bool] = &[true, true, true];
+const ONE_DURABLE: &[bool] = &[true, false, false];
+/// Time within which a new leader has to be elected.
+const ELECTION_LIMIT: Duration = Duration::from_secs(2);
 
-fn formed(seed: u64, durable: &[bool], tune: fn(&mut Config)) -> Cluster {
-    let mut cluster = Cluster::new(seed, durable, Fault::None, tune);
-    assert!(cluster.settle(10));
+fn formed_cluster(seed: u64, durable: &[bool], configure: fn(&mut Config)) -> Cluster {
+    let mut cluster = Cluster::new(seed, durable, Fault::None, configure);
+    assert!(cluster.recover(10));
     cluster
 }
 
@@ -50,7 +50,7 @@
     })
 }
 
-fn grants(effects: &[Effect]) -> bool {
+fn grants_vote(effects: &[Effect]) -> bool {
     effects.iter().any(|effect| match effect {
         Effect::Send { message: Message::Group(envelope), .. } => {
             envelope.body == Body::Voted { granted: true }
@@ -59,8 +59,12 @@
     })
 }
 
-/// Asks for a vote and returns what storage and the network got before and after the sync.
-fn ask(replica: &mut Replica, from: &MemberKey, to: &MemberKey) -> (bool, bool, Option<Persist>) {
+/// Requests a vote. Returns whether it was granted before and after the sync, and the batch for storage.
+fn request_vote(
+    replica: &mut Replica,
+    from: &MemberKey,
+    to: &MemberKey,
+) -> (bool, bool, Option<Persist>) {
     let mut out = Vec::new();
     replica.handle(Time::ZERO, vote_request(from, to), &mut out);
     let batch = persist(&out).cloned();
@@ -69,7 +73,7 @@
         let event = Event::Persisted { sequence: batch.sequence };
         replica.handle(Time::ZERO, event, &mut synced);
     }
-    (grants(&out), grants(&synced), batch)
+    (grants_vote(&out), grants_vote(&synced), batch)
 }
 
 #[test]
@@ -78,49 +82,49 @@
     let config = Config::new(c.clone(), vec![id("a"), id("b"), id("c")]);
     let mut replica = Replica::new(config.clone(), StoredState::default(), 1, Time::ZERO);
 
-    let (early, late, batch) = ask(&mut replica, &a, &c);
-    let hard = batch.and_then(|batch| batch.hard).expect("a vote to keep");
+    let (granted_before_sync, granted_after_sync, batch) = request_vote(&mut replica, &a, &c);
+    let hard = batch.and_then(|batch| batch.hard).expect("a vote to persist");
     let restored = StoredState { hard: hard.clone(), ..StoredState::default() };
     let mut kept = Replica::new(config.clone(), restored, 1, Time::ZERO);
-    let second = ask(&mut kept, &b, &c);
+    let second = request_vote(&mut kept, &b, &c);
     let mut lost = Replica::new(config, StoredState::default(), 1, Time::ZERO);
-    let broken = ask(&mut lost, &b, &c);
+    let broken = request_vote(&mut lost, &b, &c);
 
-    assert!(!early && late);
+    assert!(!granted_before_sync && granted_after_sync);
     assert_eq!(hard.vote, Some(a));
     assert!(!second.0 && !second.1);
-    assert!(broken.1, "storage that forgets the vote lets two candidates win");
+    assert!(broken.1, "storage that loses the vote lets two candidates win");
 }
 
 #[test]
-fn wiped_replica_ignores_what_its_former_self_was_asked() {
+fn wiped_replica_ignores_vote_requests_to_its_former_storage() {
     let (a, former, present) = (key("a", 1), key("c", 3), key("c", 4));
     let config = Config::new(present, vec![id("a"), id("b"), id("c")]);
     let mut replica = Replica::new(config, StoredState::default(), 1, Time::ZERO);
 
-    let (early, late, batch) = ask(&mut replica, &a, &former);
+    let (granted_before_sync, granted_after_sync, batch) = request_vote(&mut replica, &a, &former);
 
-    assert!(!early && !late);
+    assert!(!granted_before_sync && !granted_after_sync);
     assert_eq!(batch, None);
 }
 
-fn is_leader_after_cut(tune: fn(&mut Config)) -> bool {
-    let mut cluster = formed(1, DURABLE, tune);
+fn leads_after_isolation(configure: fn(&mut Config)) -> bool {
+    let mut cluster = formed_cluster(1, ALL_DURABLE, configure);
     let leader = cluster.leader().expect("a leader");
     cluster.isolate(leader);
-    cluster.run(NEW_LEADER);
+    cluster.run(ELECTION_LIMIT);
     cluster.nodes[leader].is_leader
 }
 
 #[test]
 fn cut_off_leader_steps_down() {
-    assert!(!is_leader_after_cut(|_| {}));
-    assert!(is_leader_after_cut(|config| config.check_quorum = false));
+    assert!(!leads_after_isolation(|_| {}));
+    assert!(leads_after_isolation(|config| config.check_quorum = false));
 }
 
-/// Terms before a follower is cut off and after its return.
-fn terms_around_return(tune: fn(&mut Config)) -> (Term, Term) {
-    let mut cluster = formed(2, DURABLE, tune);
+/// Terms of the leader before a follower is isolated and after its return.
+fn terms_before_and_after_return(configure: fn(&mut Config)) -> (Term, Term) {
+    let mut cluster = formed_cluster(2, ALL_DURABLE, configure);
     let leader = cluster.leader().expect("a leader");
     let follower = (leader + 1) % 3;
     let before = cluster.term(leader);
@@ -133,8 +137,9 @@
 
 #[test]
 fn returning_member_does_not_disturb_the_group() {
-    let (before, after) = terms_around_return(|_| {});
-    let (unguarded_before, unguarded_after) = terms_around_return(|config| config.pre_vote = false);
+    let (before, after) = terms_before_and_after_return(|_| {});
+    let (unguarded_before, unguarded_after) =
+        terms_before_and_after_return(|config| config.pre_vote = false);
 
     assert_eq!(before, after);
     assert!(unguarded_before < unguarded_after);
@@ -142,7 +147,7 @@
 
 #[test]
 fn group_stops_when_every_holder_of_a_commit_lost_its_storage() {
-    let mut cluster = formed(3, DURABLE, |_| {});
+    let mut cluster = formed_cluster(3, ALL_DURABLE, |_| {});
     let leader = cluster.leader().expect("a leader");
     let (holder, survivor) = ((leader + 1) % 3, (leader + 2) % 3);
     cluster.isolate(survivor);
@@ -152,17 +157,17 @@
     cluster.wipe(holder);
     cluster.heal();
 
-    let is_whole = cluster.settle(20);
+    let is_recovered = cluster.recover(20);
 
     assert_eq!(cluster.history.acknowledged(), 1);
-    assert!(!is_whole);
+    assert!(!is_recovered);
     assert_eq!(cluster.leader(), None);
     assert_eq!(cluster.membership(leader), None);
 }
 
 #[test]
-fn survivor_is_rebuilt_into_a_group_of_its_own() {
-    let mut cluster = formed(4, DURABLE, |_| {});
+fn survivor_is_rebuilt_into_a_new_group() {
+    let mut cluster = formed_cluster(4, ALL_DURABLE, |_| {});
     let leader = cluster.leader().expect("a leader");
     let (other, survivor) = ((leader + 1) % 3, (leader + 2) % 3);
     cluster.propose(leader);
@@ -171,7 +176,7 @@
     cluster.wipe(other);
     cluster.crash(survivor);
     cluster.rebuild(survivor, FormationId(77));
-    cluster.settle(5);
+    cluster.recover(5);
     let key = cluster.nodes[other].key.clone();
     let member = Member { key: key.clone(), role: MemberRole::Joining, durable: true };
 
@@ -187,9 +192,9 @@
 
 #[test]
 fn commit_includes_the_durable_voter() {
-    let mut cluster = formed(5, ONE_DISK, |_| {});
+    let mut cluster = formed_cluster(5, ONE_DURABLE, |_| {});
     cluster.isolate(0);
-    cluster.run(NEW_LEADER);
+    cluster.run(ELECTION_LIMIT);
     let leader = cluster.leader().expect("a volatile leader");
 
     cluster.propose(leader);
@@ -203,50 +208,54 @@
 }
 
 #[test]
-fn lost_disk_of_the_only_durable_voter_is_readmitted() {
-    let mut cluster = formed(6, ONE_DISK, |_| {});
+fn only_durable_voter_is_readmitted_after_it_lost_its_disk() {
+    let mut cluster = formed_cluster(6, ONE_DURABLE, |_| {});
     let leader = cluster.leader().expect("a leader");
     cluster.propose(leader);
     cluster.run(Duration::from_secs(1));
 
     cluster.wipe(0);
-    let is_whole = cluster.settle(20);
+    let is_recovered = cluster.recover(20);
 
-    assert!(is_whole);
+    assert!(is_recovered);
     assert_eq!(cluster.nodes[0].applied.len(), 1);
 }
 
 #[test]
 fn restart_of_all_volatile_voters_stops_the_group() {
-    let mut cluster = formed(7, ONE_DISK, |_| {});
+    let mut cluster = formed_cluster(7, ONE_DURABLE, |_| {});
     cluster.crash(1);
     cluster.crash(2);
 
-    let is_whole = cluster.settle(20);
+    let is_recovered = cluster.recover(20);
 
-    assert!(!is_whole);
+    assert!(!is_recovered);
     assert_eq!(cluster.leader(), None);
 }
 
 #[test]
-fn new_leader_stands_in_time() {
+fn new_leader_is_elected_in_time() {
     for seed in 0..50 {
-        let mut cluster = formed(seed, DURABLE, |_| {});
-        cluster.weather =
-            Weather { drop: 0.01, repeat: 0.0, delay: (54_000, 58_000), sync: (500, 8_000) };
+        let mut cluster = formed_cluster(seed, ALL_DURABLE, |_| {});
+        cluster.network = NetworkConditions {
+            drop: 0.01,
+            duplicate: 0.0,
+            delay_micros: (54_000, 58_000),
+            sync_delay_micros: (500, 8_000),
+        };
         cluster.run(Duration::from_secs(2));
         let leader = cluster.leader().expect("a leader");
 
         cluster.crash(leader);
-        cluster.run(NEW_LEADER);
+        cluster.run(ELECTION_LIMIT);
 
         assert!(cluster.leader().is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn leadership_is_handed_over() {
-    let mut cluster = formed(8, DURABLE, |_| {});
+fn leadership_is_transferred() {
+    let mut cluster = formed_cluster(8, ALL_DURABLE, |_| {});
     let leader = cluster.leader().expect("a leader");
 
     cluster.handle(leader, Event::TransferLeadership);
@@ -257,11 +266,11 @@
 }
 
 #[test]
-fn lagging_member_gets_a_snapshot_in_parts() {
-    let mut cluster = formed(9, DURABLE, |_| {});
+fn lagging_member_gets_a_snapshot_in_chunks() {
+    let mut cluster = formed_cluster(9, ALL_DURABLE, |_| {});
     let leader = cluster.leader().expect("a leader");
-    let late = (leader + 1) % 3;
-    cluster.isolate(late);
+    let lagging = (leader + 1) % 3;
+    cluster.isolate(lagging);
     for _ in 0..50 {
         cluster.propose(leader);
         cluster.run(Duration::from_millis(10));
@@ -273,17 +282,17 @@
     cluster.run(Duration::from_secs(3));
 
     assert_eq!(cluster.history.acknowledged(), 50);
-    assert_eq!(cluster.nodes[late].applied, cluster.nodes[leader].applied);
-    assert!(cluster.committed(late) > LogIndex(50));
+    assert_eq!(cluster.nodes[lagging].applied, cluster.nodes[leader].applied);
+    assert!(cluster.committed(lagging) > LogIndex(50));
     assert_eq!(cluster.history.failures, Vec::<String>::new());
 }
 
 #[test]
-fn snapshot_under_way_is_not_replaced() {
-    let mut cluster = formed(10, DURABLE, |config| config.chunk_bytes = 8);
+fn snapshot_in_transfer_is_not_replaced() {
+    let mut cluster = formed_cluster(10, ALL_DURABLE, |config| config.chunk_bytes = 8);
     let leader = cluster.leader().expect("a leader");
-    let late = (leader + 1) % 3;
-    cluster.isolate(late);
+    let lagging = (leader + 1) % 3;
+    cluster.isolate(lagging);
     for _ in 0..100 {
         cluster.propose(leader);
         cluster.run(Duration::from_millis(10));
@@ -298,7 +307,7 @@
     }
     cluster.run(Duration::from_secs(1));
 
-    assert_eq!(cluster.nodes[late].applied.len(), 200);
+    assert_eq!(cluster.nodes[lagging].applied.len(), 200);
 }
 
 fn hello(from: &MemberKey, heard: Option<StorageId>) -> Event {
@@ -314,7 +323,7 @@
 }
 
 #[test]
-fn group_is_not_formed_on_an_old_introduction() {
+fn group_is_not_formed_on_an_outdated_hello() {
     let (a, b) = (key("a", 1), key("b", 2));
     let config = Config::new(a.clone(), vec![id("a"), id("b")]);
     let mut replica = Replica::new(config, StoredState::default(), 1, Time::ZERO);
@@ -331,8 +340,8 @@
 }
 
 #[test]
-fn leader_change_in_a_founding_leaves_it_the_first_and_a_rebuild_does_not() {
-    let mut cluster = formed(7, DURABLE, |_| {});
+fn home_group_stays_the_first_after_a_leader_change_but_not_after_a_rebuild() {
+    let mut cluster = formed_cluster(7, ALL_DURABLE, |_| {});
     let mut configuration = ConfigurationGroup::default();
     let note = note(0, vec![region("riga", &["riga-a"])]).try_into().expect("a note");
     configuration.apply(Command::Apply(note));
@@ -344,7 +353,7 @@
 
     let first = found(&cluster, leader);
     cluster.crash(leader);
-    cluster.run(NEW_LEADER);
+    cluster.run(ELECTION_LIMIT);
     let next = cluster.leader().expect("another leader");
     let second = found(&cluster, next);
     cluster.crash(next);
--- a/crates/medlarlug-core/tests/testsuite/replication/histories.rs
+++ b/crates/medlarlug-core/tests/testsuite/replication/histories.rs
@@ -1,16 +1,16 @@
-//! Seeded histories under faults, checked afterwards; and the same with a guard broken.
+//! Randomised histories with faults, checked afterwards, and the same with a broken safeguard, which
+//! the checks have to detect.
 
 use std::{thread, time::Duration};
 
 use medlarlug_core::replication::{Change, FormationId, Member, MemberRole};
 use rand::RngExt;
 
-use super::cluster::{Cluster, FAIR, Fault, ROUGH};
+use super::cluster::{Cluster, Fault, RELIABLE, UNRELIABLE};
 
-/// Failures that are shown at most.
-const SHOWN: usize = 8;
+const MAX_SHOWN_FAILURES: usize = 8;
 
-const SHAPES: [&[bool]; 5] = [
+const DURABLE_FOUNDERS: [&[bool]; 5] = [
     &[true, true, true],
     &[true, true, true, true, true],
     &[true, false, false],
@@ -19,46 +19,47 @@
 ];
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Losses {
-    /// Storage is lost only while the group is whole, the next one right after.
+enum StorageLoss {
+    /// Storage is lost only while the group is recovered; a second loss may follow as soon as it has
+    /// recovered again.
     Repaired,
-    /// Storage is lost at any moment, but never at the first founder.
-    Any,
+    /// Storage is lost at any time, but never at the first founder.
+    AnyTime,
 }
 
 #[derive(Debug, Default)]
-struct Verdict {
+struct RunResult {
     failures: Vec<String>,
     acknowledged: usize,
     reads: usize,
 }
 
-fn run_history(seed: u64, losses: Losses, fault: Fault) -> Verdict {
-    let shape = SHAPES[seed as usize % SHAPES.len()];
-    let mut cluster = Cluster::new(seed, shape, fault, |_| {});
-    if !cluster.settle(10) {
+fn run_history(seed: u64, loss: StorageLoss, fault: Fault) -> RunResult {
+    let durable_founders = DURABLE_FOUNDERS[seed as usize % DURABLE_FOUNDERS.len()];
+    let mut cluster = Cluster::new(seed, durable_founders, fault, |_| {});
+    if !cluster.recover(10) {
         cluster.history.failures.push("the group did not form".to_owned());
     }
     for _ in 0..60 {
-        inject(&mut cluster, losses);
-        use_group(&mut cluster);
+        inject_fault(&mut cluster, loss);
+        send_requests(&mut cluster);
     }
-    let is_whole = cluster.settle(20);
-    finish(&mut cluster, is_whole, losses);
-    Verdict {
+    let is_recovered = cluster.recover(20);
+    check_recovery(&mut cluster, is_recovered, loss);
+    RunResult {
         acknowledged: cluster.history.acknowledged(),
         reads: cluster.history.reads_done,
         failures: cluster.history.failures,
     }
 }
 
-/// Faults, then the loss of all voters but one, from which the group is rebuilt and used again.
-fn run_rebuild(seed: u64) -> Verdict {
-    let mut cluster = Cluster::new(seed, SHAPES[seed as usize % 2], Fault::None, |_| {});
-    cluster.settle(10);
+/// Injects faults, then the loss of all voters but one, and rebuilds the group from that one.
+fn run_rebuild(seed: u64) -> RunResult {
+    let mut cluster = Cluster::new(seed, DURABLE_FOUNDERS[seed as usize % 2], Fault::None, |_| {});
+    cluster.recover(10);
     for _ in 0..15 {
-        inject(&mut cluster, Losses::Any);
-        use_group(&mut cluster);
+        inject_fault(&mut cluster, StorageLoss::AnyTime);
+        send_requests(&mut cluster);
     }
     let survivor = 0;
     let applied = cluster.nodes[survivor].applied.clone();
@@ -70,20 +71,20 @@
     }
     cluster.heal();
     cluster.rebuild(survivor, FormationId(seed + 1));
-    let is_whole = cluster.settle(20);
-    finish(&mut cluster, is_whole, Losses::Repaired);
+    let is_recovered = cluster.recover(20);
+    check_recovery(&mut cluster, is_recovered, StorageLoss::Repaired);
     let failures = &mut cluster.history.failures;
     if !cluster.nodes[survivor].applied.starts_with(&applied) {
-        failures.push("what the survivor had applied did not stay".to_owned());
+        failures.push("the rebuilt group lacks entries that the survivor had applied".to_owned());
     }
-    Verdict {
+    RunResult {
         acknowledged: cluster.history.acknowledged(),
         reads: cluster.history.reads_done,
         failures: cluster.history.failures,
     }
 }
 
-fn use_group(cluster: &mut Cluster) {
+fn send_requests(cluster: &mut Cluster) {
     for _ in 0..3 {
         let any = cluster.rng.random_range(0..cluster.founder_count());
         let node = match cluster.rng.random_bool(0.6) {
@@ -99,22 +100,22 @@
     cluster.run(Duration::from_millis(wait));
 }
 
-fn inject(cluster: &mut Cluster, losses: Losses) {
+fn inject_fault(cluster: &mut Cluster, loss: StorageLoss) {
     let count = cluster.founder_count();
     let node = cluster.rng.random_range(0..count);
     let other = cluster.rng.random_range(0..count);
     match cluster.rng.random_range(0..14) {
-        0 => cluster.weather = ROUGH,
-        1 => cluster.weather = FAIR,
-        2 => cluster.cut(node, other),
+        0 => cluster.network = UNRELIABLE,
+        1 => cluster.network = RELIABLE,
+        2 => cluster.block_link(node, other),
         3 => cluster.isolate(node),
         4 | 5 => cluster.heal(),
-        6 => crash(cluster, node, losses),
+        6 => crash(cluster, node, loss),
         7 => cluster.start(node),
         8 => cluster.freeze(node),
         9 => cluster.thaw(node),
         10 => cluster.compact(node),
-        11 => lose_storage(cluster, node, losses),
+        11 => lose_storage(cluster, node, loss),
         12 => change_spare(cluster),
         _ => {
             if let Some(leader) = cluster.leader() {
@@ -124,39 +125,39 @@
     }
 }
 
-/// A crash of a volatile voter is a loss of storage.
-fn crash(cluster: &mut Cluster, node: usize, losses: Losses) {
+/// Crashes a node; for a volatile voter, that is a loss of storage.
+fn crash(cluster: &mut Cluster, node: usize, loss: StorageLoss) {
     match cluster.nodes[node].durable {
         true => cluster.crash(node),
-        false => lose_storage(cluster, node, losses),
+        false => lose_storage(cluster, node, loss),
     }
 }
 
-fn lose_storage(cluster: &mut Cluster, node: usize, losses: Losses) {
-    match losses {
-        Losses::Any if node == 0 => {}
-        Losses::Any => {
+fn lose_storage(cluster: &mut Cluster, node: usize, loss: StorageLoss) {
+    match loss {
+        StorageLoss::AnyTime if node == 0 => {}
+        StorageLoss::AnyTime => {
             cluster.wipe(node);
             cluster.start(node);
         }
-        Losses::Repaired => {
-            if !cluster.settle(20) {
+        StorageLoss::Repaired => {
+            if !cluster.recover(20) {
                 return;
             }
             cluster.wipe(node);
             cluster.start(node);
-            let is_second = cluster.settle(20) && cluster.rng.random_bool(0.5);
+            let is_second = cluster.recover(20) && cluster.rng.random_bool(0.5);
             if is_second {
                 let next = (node + 1) % cluster.founder_count();
                 cluster.wipe(next);
                 cluster.start(next);
-                cluster.settle(20);
+                cluster.recover(20);
             }
         }
     }
 }
 
-/// Adds the spare as a learner, promotes or removes it.
+/// Adds the spare instance as a learner, promotes it or removes it.
 fn change_spare(cluster: &mut Cluster) {
     let spare = cluster.founder_count();
     let Some(leader) = cluster.leader() else {
@@ -172,9 +173,9 @@
     cluster.change(leader, change);
 }
 
-fn finish(cluster: &mut Cluster, is_whole: bool, losses: Losses) {
-    if !is_whole {
-        if losses == Losses::Repaired {
+fn check_recovery(cluster: &mut Cluster, is_recovered: bool, loss: StorageLoss) {
+    if !is_recovered {
+        if loss == StorageLoss::Repaired {
             cluster.history.failures.push("the group did not recover".to_owned());
         }
         return;
@@ -198,18 +199,22 @@
     }
 }
 
-/// Histories of a run; `HISTORY_SEEDS` asks for another number.
+/// Number of histories in a run; the environment variable `HISTORY_SEEDS` overrides it.
 fn seed_count() -> u64 {
     let asked = std::env::var("HISTORY_SEEDS").ok().and_then(|text| text.parse().ok());
     asked.unwrap_or(300)
 }
 
-/// Runs the seeds on all processors and returns the failures by seed, sorted.
-fn run_seeds(count: u64, losses: Losses, fault: Fault) -> (Vec<(u64, String)>, usize, usize) {
-    run_each(count, |seed| run_history(seed, losses, fault))
+/// Runs the seeds on all processors. Returns the first failure of each failed seed, sorted by seed,
+/// and the numbers of acknowledged writes and of reads.
+fn run_seeds(count: u64, loss: StorageLoss, fault: Fault) -> (Vec<(u64, String)>, usize, usize) {
+    run_each(count, |seed| run_history(seed, loss, fault))
 }
 
-fn run_each(count: u64, run: impl Fn(u64) -> Verdict + Sync) -> (Vec<(u64, String)>, usize, usize) {
+fn run_each(
+    count: u64,
+    run: impl Fn(u64) -> RunResult + Sync,
+) -> (Vec<(u64, String)>, usize, usize) {
     let history = &run;
     let workers = thread::available_parallelism().map_or(1, |n| n.get() as u64);
     let run = |worker: u64| {
@@ -217,37 +222,39 @@
         let run = |seed| (seed, history(seed));
         seeds.map(run).collect::<Vec<_>>()
     };
-    let verdicts: Vec<(u64, Verdict)> = thread::scope(|scope| {
+    let results: Vec<(u64, RunResult)> = thread::scope(|scope| {
         let handles: Vec<_> = (0..workers).map(|w| scope.spawn(move || run(w))).collect();
         handles.into_iter().flat_map(|handle| handle.join().expect("a history")).collect()
     });
-    let acknowledged = verdicts.iter().map(|(_, verdict)| verdict.acknowledged).sum();
-    let reads = verdicts.iter().map(|(_, verdict)| verdict.reads).sum();
-    let first = |(seed, verdict): (u64, Verdict)| {
-        verdict.failures.into_iter().next().map(|failure| (seed, failure))
+    let acknowledged = results.iter().map(|(_, result)| result.acknowledged).sum();
+    let reads = results.iter().map(|(_, result)| result.reads).sum();
+    let first = |(seed, result): (u64, RunResult)| {
+        result.failures.into_iter().next().map(|failure| (seed, failure))
     };
-    let mut failures: Vec<_> = verdicts.into_iter().filter_map(first).collect();
+    let mut failures: Vec<_> = results.into_iter().filter_map(first).collect();
     failures.sort();
-    failures.truncate(SHOWN);
+    failures.truncate(MAX_SHOWN_FAILURES);
     (failures, acknowledged, reads)
 }
 
 #[test]
 fn histories_with_repaired_losses() {
-    let (failures, acknowledged, reads) = run_seeds(seed_count(), Losses::Repaired, Fault::None);
+    let (failures, acknowledged, reads) =
+        run_seeds(seed_count(), StorageLoss::Repaired, Fault::None);
 
     println!("{acknowledged} acknowledged writes, {reads} reads");
     assert_eq!(failures, []);
-    assert!(acknowledged > 1_000 && reads > 1_000, "the histories are idle");
+    assert!(acknowledged > 1_000 && reads > 1_000, "too few requests");
 }
 
 #[test]
 fn histories_with_any_losses() {
-    let (failures, acknowledged, reads) = run_seeds(seed_count(), Losses::Any, Fault::None);
+    let (failures, acknowledged, reads) =
+        run_seeds(seed_count(), StorageLoss::AnyTime, Fault::None);
 
     println!("{acknowledged} acknowledged writes, {reads} reads");
     assert_eq!(failures, []);
-    assert!(acknowledged > 1_000, "the histories are idle");
+    assert!(acknowledged > 1_000, "too few requests");
 }
 
 #[test]
@@ -256,19 +263,19 @@
 
     println!("{acknowledged} acknowledged writes, {reads} reads");
     assert_eq!(failures, []);
-    assert!(acknowledged > 1_000 && reads > 1_000, "the histories are idle");
+    assert!(acknowledged > 1_000 && reads > 1_000, "too few requests");
 }
 
 #[test]
-fn broken_guards_are_found() {
+fn broken_safeguards_are_detected() {
     for fault in [Fault::EarlySync, Fault::KeptStorageId, Fault::LocalRead] {
-        let (failures, _, _) = run_seeds(100, Losses::Any, fault);
+        let (failures, _, _) = run_seeds(100, StorageLoss::AnyTime, fault);
 
         println!(
             "{fault:?}: {} of 100 histories fail, first {:?}",
             failures.len(),
             failures.first()
         );
-        assert!(!failures.is_empty(), "{fault:?} is not found");
+        assert!(!failures.is_empty(), "{fault:?} is not detected");
     }
 }
--- a/crates/medlarlug-core/tests/testsuite/replication/mod.rs
+++ b/crates/medlarlug-core/tests/testsuite/replication/mod.rs
@@ -1,4 +1,4 @@
-//! Seeded histories and focused failures of the replication core.
+//! Replication core: randomised histories from seeds, and tests of single failures.
 
 mod cluster;
 mod failures;
--- a/crates/medlarlug-core/tests/testsuite/replication/open.rs
+++ b/crates/medlarlug-core/tests/testsuite/replication/open.rs
@@ -1,4 +1,4 @@
-//! Open groups: strangers are let in and take the votes of those that are gone.
+//! Open groups: instances that are not members are admitted and replace unresponsive voters.
 
 use std::time::Duration;
 
@@ -7,24 +7,24 @@
 
 use super::cluster::{Cluster, Fault};
 
-/// Time in which a stranger is let in and has caught up.
-const LET_IN: Duration = Duration::from_secs(3);
-/// Time in which the vote of a silent member has gone to another one.
-const REPLACED: Duration = Duration::from_secs(6);
+/// Time within which an instance is admitted and has caught up.
+const ADMISSION_LIMIT: Duration = Duration::from_secs(3);
+/// Time within which an unresponsive voter is replaced.
+const REPLACEMENT_LIMIT: Duration = Duration::from_secs(6);
 
-/// Three founders and a stranger, in a group that is open or not.
+/// Creates a group of three founders, open or not, and one instance that is not a founder.
 fn group(seed: u64, is_open: bool) -> Cluster {
-    let tune: fn(&mut medlarlug_core::replication::Config) = match is_open {
+    let configure: fn(&mut medlarlug_core::replication::Config) = match is_open {
         true => |config| config.target_voters = Some(3),
         false => |_| {},
     };
-    let mut cluster = Cluster::new(seed, &[true, true, true], Fault::None, tune);
-    assert!(cluster.settle(10));
-    cluster.run(LET_IN);
+    let mut cluster = Cluster::new(seed, &[true, true, true], Fault::None, configure);
+    assert!(cluster.recover(10));
+    cluster.run(ADMISSION_LIMIT);
     cluster
 }
 
-/// The part of a node in the membership that the leader holds.
+/// Role of a node in the leader's membership.
 fn role(cluster: &Cluster, node: usize) -> Option<MemberRole> {
     let members = cluster.membership(cluster.leader()?)?;
     members.get(&cluster.nodes[node].key).map(|member| member.role)
@@ -39,71 +39,71 @@
     (cluster.leader().expect("a leader") + 1) % 3
 }
 
-const STRANGER: usize = 3;
+const NON_MEMBER: usize = 3;
 
 #[test]
-fn stranger_is_let_in_without_a_vote() {
-    assert_eq!(role(&group(1, true), STRANGER), Some(MemberRole::Learner));
+fn non_member_is_admitted_without_a_vote() {
+    assert_eq!(role(&group(1, true), NON_MEMBER), Some(MemberRole::Learner));
 }
 
 #[test]
-fn closed_group_lets_no_stranger_in() {
-    assert_eq!(role(&group(1, false), STRANGER), None);
+fn closed_group_does_not_admit_a_non_member() {
+    assert_eq!(role(&group(1, false), NON_MEMBER), None);
 }
 
 #[test]
-fn vote_of_a_silent_member_goes_to_the_stranger() {
+fn learner_replaces_an_unresponsive_voter() {
     let mut cluster = group(2, true);
     let lost = follower(&cluster);
 
     cluster.crash(lost);
-    cluster.run(REPLACED);
+    cluster.run(REPLACEMENT_LIMIT);
 
-    assert_eq!(role(&cluster, STRANGER), Some(MemberRole::Voter));
+    assert_eq!(role(&cluster, NON_MEMBER), Some(MemberRole::Voter));
     assert_eq!((role(&cluster, lost), voters(&cluster)), (None, 3));
 }
 
 #[test]
-fn vote_of_the_leader_goes_to_the_stranger_as_well() {
+fn learner_replaces_a_crashed_leader() {
     let mut cluster = group(3, true);
     let lost = cluster.leader().expect("a leader");
 
     cluster.crash(lost);
-    cluster.run(REPLACED);
+    cluster.run(REPLACEMENT_LIMIT);
 
-    assert_eq!(role(&cluster, STRANGER), Some(MemberRole::Voter));
+    assert_eq!(role(&cluster, NON_MEMBER), Some(MemberRole::Voter));
     assert_eq!(voters(&cluster), 3);
 }
 
 #[test]
-fn member_that_lost_its_vote_returns_without_one() {
+fn replaced_voter_returns_without_a_vote() {
     let mut cluster = group(4, true);
     let lost = follower(&cluster);
     cluster.crash(lost);
-    cluster.run(REPLACED);
+    cluster.run(REPLACEMENT_LIMIT);
 
     cluster.start(lost);
-    cluster.run(LET_IN);
+    cluster.run(ADMISSION_LIMIT);
 
     assert_eq!((role(&cluster, lost), voters(&cluster)), (Some(MemberRole::Learner), 3));
 }
 
 #[test]
-fn short_silence_changes_no_vote() {
+fn short_freeze_changes_no_vote() {
     let mut cluster = group(5, true);
     let frozen = follower(&cluster);
 
     cluster.freeze(frozen);
     cluster.run(Duration::from_millis(1_500));
     cluster.thaw(frozen);
-    cluster.run(LET_IN);
+    cluster.run(ADMISSION_LIMIT);
 
     assert_eq!(role(&cluster, frozen), Some(MemberRole::Voter));
-    assert_eq!(role(&cluster, STRANGER), Some(MemberRole::Learner));
+    assert_eq!(role(&cluster, NON_MEMBER), Some(MemberRole::Learner));
 }
 
-/// One instance at a time is down, wiped, frozen or cut off while changes are made; nothing
-/// acknowledged is lost, and the group goes on.
+/// One instance at a time is stopped, wiped, frozen or isolated during writes. No acknowledged write
+/// may be lost, and the group has to accept writes afterwards.
 #[test]
 fn histories_of_an_open_group() {
     for seed in 0..150 {
@@ -126,15 +126,15 @@
             cluster.heal();
             cluster.thaw(node);
             cluster.start(node);
-            cluster.run(REPLACED);
+            cluster.run(REPLACEMENT_LIMIT);
         }
 
         let before = cluster.history.acknowledged();
         let leader = cluster.leader().unwrap_or_else(|| panic!("seed {seed}: no leader"));
         cluster.propose(leader);
-        cluster.run(LET_IN);
+        cluster.run(ADMISSION_LIMIT);
 
-        assert!(cluster.history.acknowledged() > before, "seed {seed}: no change is acknowledged");
+        assert!(cluster.history.acknowledged() > before, "seed {seed}: no write is acknowledged");
         assert_eq!(voters(&cluster), 3, "seed {seed}");
         let applied = cluster.nodes[leader].applied.clone();
         cluster.history.check_final(&applied);
