--- a/crates/medlarlug-core/tests/testsuite/directory.rs
+++ b/crates/medlarlug-core/tests/testsuite/directory.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn near_instances_come_first() {
+fn nearest_instances_are_listed_first() {
     let entries = vec![
         view("far", "kochi-a", "kochi", 0),
         view("near", "riga-b", "riga", 5),
@@ -45,8 +45,9 @@
     assert_eq!(alone.entries, [id("new"), id("lone")]);
 }
 
-/// Callers follow the directory, which sees loads that are up to half a second old.
-fn busiest_over_mean(seed: u64) -> f64 {
+/// Highest ratio of the busiest instance's load to the mean, for callers that follow the directory. The
+/// directory uses loads that are up to half a second old.
+fn max_load_over_mean(seed: u64) -> f64 {
     const ENTRIES: usize = 8;
     const CALLERS: usize = 200;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -84,9 +85,9 @@
 }
 
 #[test]
-fn instances_stay_level_without_a_balancer() {
+fn load_stays_balanced_without_a_load_balancer() {
     for seed in 0..20 {
-        let ratio = busiest_over_mean(seed);
+        let ratio = max_load_over_mean(seed);
         println!("seed {seed}: busiest {ratio:.2} times the mean");
         assert!(ratio <= 1.25, "seed {seed}: busiest {ratio} times the mean");
     }
--- a/crates/medlarlug-core/tests/testsuite/drain.rs
+++ b/crates/medlarlug-core/tests/testsuite/drain.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn deadline_stops_the_instance_and_counts_what_it_cuts() {
+fn deadline_stops_the_instance_and_counts_aborted_requests() {
     let draining = serving(2).begin(Time::ZERO, Duration::from_secs(30));
 
     let cause = draining.stop_cause(Time::from_millis(30_000));
--- a/crates/medlarlug-core/tests/testsuite/fact_log.rs
+++ b/crates/medlarlug-core/tests/testsuite/fact_log.rs
@@ -1,4 +1,4 @@
-//! What is passed on about contents that crash upstreams.
+//! The log of facts about contents that crash upstreams, and which facts are forwarded or stored.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     Fingerprint::of(&number.to_be_bytes())
 }
 
-fn lost(upstream: u32, contents: std::ops::Range<u32>) -> Fact {
+fn crashed(upstream: u32, contents: std::ops::Range<u32>) -> Fact {
     let mut in_flight: Vec<Fingerprint> = contents.map(content).collect();
     in_flight.sort();
     let key = CrashId { upstream: id(&format!("engine-{upstream}")), incarnation: Incarnation(1) };
@@ -22,44 +22,44 @@
 }
 
 #[test]
-fn fact_is_told_with_the_age_that_it_has_by_then() {
+fn fact_is_sent_with_its_current_age() {
     let mut log = FactLog::default();
-    log.apply(Time::ZERO, &lost(1, 0..1));
+    log.apply(Time::ZERO, &crashed(1, 0..1));
 
-    let told = log.since(Time::ZERO + Duration::from_secs(3), 0);
+    let sent = log.since(Time::ZERO + Duration::from_secs(3), 0);
 
-    assert_eq!(told, [lost(1, 0..1).aged_by(Duration::from_secs(3))]);
+    assert_eq!(sent, [crashed(1, 0..1).aged_by(Duration::from_secs(3))]);
 }
 
 #[test]
-fn receiver_that_lacks_dropped_facts_gets_all_that_are_left() {
+fn receiver_that_lacks_dropped_facts_gets_all_remaining_ones() {
     let mut log = FactLog::default();
     let each = 100;
-    let facts = MAX_LOGGED_CONTENTS as u32 / each + 5;
-    for upstream in 0..facts {
-        log.apply(Time::ZERO, &lost(upstream, upstream * each..(upstream + 1) * each));
+    let count = MAX_LOGGED_CONTENTS as u32 / each + 5;
+    for upstream in 0..count {
+        log.apply(Time::ZERO, &crashed(upstream, upstream * each..(upstream + 1) * each));
     }
 
-    let told = log.since(Time::ZERO, 0);
+    let sent = log.since(Time::ZERO, 0);
 
-    assert_eq!(log.end(), u64::from(facts));
-    assert_eq!(told.len(), MAX_LOGGED_CONTENTS / each as usize);
-    assert_eq!(told.last(), Some(&lost(facts - 1, (facts - 1) * each..facts * each)));
+    assert_eq!(log.end(), u64::from(count));
+    assert_eq!(sent.len(), MAX_LOGGED_CONTENTS / each as usize);
+    assert_eq!(sent.last(), Some(&crashed(count - 1, (count - 1) * each..count * each)));
 }
 
 #[test]
-fn repeated_losses_name_only_contents_that_were_lost_more_than_once() {
+fn repeated_crashes_name_only_contents_with_more_than_one_crash() {
     let mut ledger = CrashLedger::default();
-    ledger.apply_all(Time::ZERO, &[lost(1, 0..9), lost(2, 8..12), lost(3, 20..25)]);
+    ledger.apply_all(Time::ZERO, &[crashed(1, 0..9), crashed(2, 8..12), crashed(3, 20..25)]);
 
-    let kept = ledger.repeated_crashes(Time::ZERO);
+    let repeated = ledger.repeated_crashes(Time::ZERO);
 
-    assert_eq!(kept, [lost(1, 8..9), lost(2, 8..9)]);
+    assert_eq!(repeated, [crashed(1, 8..9), crashed(2, 8..9)]);
 }
 
 #[test]
-fn facts_that_arrive_together_count_like_facts_that_arrive_one_by_one() {
-    let facts = [lost(1, 0..9), lost(2, 8..12), lost(3, 8..9)];
+fn facts_applied_together_give_the_same_ledger_as_facts_applied_one_by_one() {
+    let facts = [crashed(1, 0..9), crashed(2, 8..12), crashed(3, 8..9)];
     let mut together = CrashLedger::default();
     together.apply_all(Time::ZERO, &facts);
     let mut single = CrashLedger::default();
--- a/crates/medlarlug-core/tests/testsuite/follower.rs
+++ b/crates/medlarlug-core/tests/testsuite/follower.rs
@@ -1,5 +1,5 @@
-//! Followers of the configuration: revisions only rise, and no rule is called in force everywhere
-//! while an instance that does not know it may cross regions.
+//! Followers of the configuration: revisions only rise, and no revision is reported as in force everywhere
+//! while an instance that lacks it may cross regions.
 
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
         to: usize,
         update: Update,
     },
-    /// A save that is synced, unless the process was restarted meanwhile.
+    /// A completed save; ignored if the process has been restarted in the meantime.
     Saved {
         to: usize,
         starts: u32,
@@ -123,10 +123,10 @@
         Time::ZERO + self.real
     }
 
-    fn step(&mut self, is_quiet: bool) {
+    fn step(&mut self, is_stable: bool) {
         self.real += STEP;
         let index = self.rng.random_range(0..INSTANCES);
-        if !is_quiet {
+        if !is_stable {
             match self.rng.random_range(0..60) {
                 0 | 1 => self.commit(),
                 2 => self.restart(index),
@@ -138,7 +138,7 @@
             self.feed(index, Event::Tick);
         }
         for _ in 0..2 * INSTANCES {
-            self.deliver(is_quiet);
+            self.deliver(is_stable);
         }
     }
 
@@ -187,14 +187,14 @@
         }
     }
 
-    /// Delivers a message that need not be the oldest, unless it is lost.
-    fn deliver(&mut self, is_quiet: bool) {
+    /// Delivers a random message, unless it is lost.
+    fn deliver(&mut self, is_stable: bool) {
         if self.messages.is_empty() {
             return;
         }
         let place = self.rng.random_range(0..self.messages.len());
         let message = self.messages.swap_remove(place);
-        let is_lossy = !is_quiet && !matches!(message, Message::Saved { .. });
+        let is_lossy = !is_stable && !matches!(message, Message::Saved { .. });
         if is_lossy && self.rng.random_range(0..10) == 0 {
             return;
         }
@@ -218,14 +218,14 @@
         }
     }
 
-    /// The keeper answers those that are not cut off; instances answer each other.
+    /// The keeper responds to instances that are not cut off; instances always respond to each other.
     fn answer(&mut self, from: usize, to: &InstanceId, request: UpdateRequest) {
-        let asking = self.processes[from].name.clone();
+        let requester = self.processes[from].name.clone();
         let answer = if to.as_str() == KEEPER {
             if self.processes[from].is_cut_off {
                 return;
             }
-            self.tracker.record_confirmation(asking.clone(), id("riga-a"), request.revision);
+            self.tracker.record_confirmation(requester.clone(), id("riga-a"), request.revision);
             let revision = self.group.configuration().revision;
             UpdateResponse {
                 token: request.token,
@@ -239,7 +239,7 @@
         self.messages.push(Message::Response { to: from, answer });
     }
 
-    /// Number of revisions that are called in force everywhere.
+    /// Newest revision that is reported as in force everywhere, or 0.
     fn check(&self, seed: u64) -> u64 {
         let newest = self.group.configuration().revision.0;
         let is_everywhere =
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn follower_without_revision_serves_and_crosses_nothing() {
+fn follower_that_starts_without_a_configuration_does_not_cross_regions() {
     let follower = Follower::new(Timing::default(), Storage::Memory, 0);
 
     assert!(follower.configuration().is_none());
@@ -295,21 +295,21 @@
 }
 
 #[test]
-fn confirmation_counts_from_the_question() {
+fn age_of_a_confirmation_counts_from_the_request() {
     let timing = Timing::default();
     let saved = Configuration::new(Revision(3), Vec::new());
     let mut follower = Follower::new(timing, Storage::Disk(Some(saved)), 0);
     let mut out = Vec::new();
     follower.handle(Time::from_millis(5_000), Event::Sources(sources()), &mut out);
-    let Effect::RequestUpdate { request, .. } = &out[0] else { panic!("no question") };
+    let Effect::RequestUpdate { request, .. } = &out[0] else { panic!("no request") };
     let confirmation = Confirmation { revision: Revision(3), age: Duration::from_secs(2) };
     let answer =
         UpdateResponse { token: request.token, update: None, confirmation: Some(confirmation) };
 
     follower.handle(Time::from_millis(9_000), Event::ResponseReceived(answer), &mut out);
 
-    let asked_to_now = Duration::from_secs(9 - 5 + 2);
-    assert_eq!(follower.confirmed_age(Time::from_millis(9_000)), Some(asked_to_now));
+    let age = Duration::from_secs(9 - 5 + 2);
+    assert_eq!(follower.confirmed_age(Time::from_millis(9_000)), Some(age));
     assert!(follower.may_cross_regions(Time::from_millis(10_900)));
     assert!(!follower.may_cross_regions(Time::from_millis(11_000)));
 }
@@ -318,27 +318,29 @@
     Update::Full(Configuration::new(Revision(revision), Vec::new()))
 }
 
-fn question(follower: &mut Follower, now: Time) -> UpdateRequest {
+fn first_request(follower: &mut Follower, now: Time) -> UpdateRequest {
     let mut out = Vec::new();
     follower.handle(now, Event::Sources(sources()), &mut out);
-    let Some(Effect::RequestUpdate { request, .. }) = out.first() else { panic!("no question") };
+    let Some(Effect::RequestUpdate { request, .. }) = out.first() else { panic!("no request") };
     *request
 }
 
-/// A diskless follower that asked at `asked` and was offered revision 3, confirmed at `age`.
-fn offered(asked: Time, age: Option<Duration>) -> Follower {
+/// A follower without a disk that sent a request at `sent_at` and received revision 3, with a
+/// confirmation of age `age`, if any.
+fn follower_with_offer(sent_at: Time, age: Option<Duration>) -> Follower {
     let mut follower = Follower::new(Timing::default(), Storage::Memory, 0);
-    let token = question(&mut follower, asked).token;
+    let token = first_request(&mut follower, sent_at).token;
     let confirmation = age.map(|age| Confirmation { revision: Revision(3), age });
     let answer = UpdateResponse { token, update: Some(full(3)), confirmation };
-    follower.handle(asked, Event::ResponseReceived(answer), &mut Vec::new());
+    follower.handle(sent_at, Event::ResponseReceived(answer), &mut Vec::new());
     follower
 }
 
-/// A keeper that lags offers an old configuration, and nobody else is reachable.
+/// An instance without a disk starts while only a lagging keeper is reachable, which sends it an old
+/// configuration without a confirmation. The instance must not fall back to that revision.
 #[test]
 fn isolated_start_takes_no_revision_that_nobody_confirms() {
-    let mut follower = offered(Time::ZERO, None);
+    let mut follower = follower_with_offer(Time::ZERO, None);
 
     for seconds in [9, 10, 11, 60, 3_600] {
         follower.handle(Time::from_millis(seconds * 1_000), Event::Tick, &mut Vec::new());
@@ -348,25 +350,25 @@
 }
 
 #[test]
-fn confirmation_from_before_the_start_by_either_clock_is_no_confirmation() {
-    let asked = Time::from_millis(5_000);
-    let by_the_slower = Duration::from_secs(5).div_f64(1.0 + MAX_CLOCK_DRIFT);
+fn confirmation_from_before_the_start_by_either_clock_is_ignored() {
+    let sent_at = Time::from_millis(5_000);
+    let age_by_slower_clock = Duration::from_secs(5).div_f64(1.0 + MAX_CLOCK_DRIFT);
 
-    let before = offered(asked, Some(by_the_slower + Duration::from_millis(1)));
-    let after = offered(asked, Some(by_the_slower - Duration::from_millis(1)));
+    let before = follower_with_offer(sent_at, Some(age_by_slower_clock + Duration::from_millis(1)));
+    let after = follower_with_offer(sent_at, Some(age_by_slower_clock - Duration::from_millis(1)));
 
     assert_eq!(before.revision(), Revision(0));
     assert_eq!(after.revision(), Revision(3));
 }
 
 #[test]
-fn answer_to_a_question_of_an_earlier_start_confirms_nothing() {
+fn response_to_a_request_of_an_earlier_start_confirms_nothing() {
     let mut former = Follower::new(Timing::default(), Storage::Memory, 1 << 32);
-    let token = question(&mut former, Time::ZERO).token;
+    let token = first_request(&mut former, Time::ZERO).token;
     let confirmation = Some(Confirmation { revision: Revision(3), age: Duration::ZERO });
     let late = UpdateResponse { token, update: Some(full(3)), confirmation };
     let mut follower = Follower::new(Timing::default(), Storage::Memory, 2 << 32);
-    question(&mut follower, Time::ZERO);
+    first_request(&mut follower, Time::ZERO);
 
     follower.handle(Time::from_millis(100), Event::ResponseReceived(late), &mut Vec::new());
 
@@ -389,7 +391,7 @@
 }
 
 #[test]
-fn confirmation_of_a_newer_revision_does_not_confirm_the_own_one() {
+fn confirmation_of_a_newer_revision_does_not_confirm_an_older_one() {
     let saved = Configuration::new(Revision(3), Vec::new());
     let mut follower = Follower::new(Timing::default(), Storage::Disk(Some(saved)), 0);
     let confirmation = Confirmation { revision: Revision(4), age: Duration::ZERO };
@@ -411,7 +413,7 @@
 }
 
 #[test]
-fn first_configuration_that_is_confirmed_later_is_taken_at_once() {
+fn first_configuration_is_accepted_as_soon_as_it_is_confirmed() {
     let mut follower = Follower::new(Timing::default(), Storage::Memory, 0);
     let update = full(3);
     let mut out = Vec::new();
@@ -425,50 +427,50 @@
     assert!(follower.may_cross_regions(Time::from_millis(6)));
 }
 
-/// Questions to the voter, of 40, when every answer confirms the revision with this age.
-fn questions_to_voter(age: Option<Duration>) -> usize {
+/// Number of requests to the voter among 40, if every response confirms the revision with this age.
+fn requests_to_voter(age: Option<Duration>) -> usize {
     let saved = Configuration::new(Revision(3), Vec::new());
     let mut follower = Follower::new(Timing::default(), Storage::Disk(Some(saved)), 0);
     follower.handle(Time::ZERO, Event::Sources(Sources::default()), &mut Vec::new());
-    let mut asked = 0;
-    // The first ten answers bring the follower to where the questions are counted.
+    let mut count = 0;
+    // Requests are counted after the first ten responses, when the confirmations have taken effect.
     for second in 10..60 {
         let now = Time::from_millis(second * 1_000);
         let mut out = Vec::new();
         follower.handle(now, Event::Sources(sources()), &mut out);
         let Some(Effect::RequestUpdate { source, request }) = out.pop() else {
-            panic!("no question")
+            panic!("no request")
         };
-        asked += usize::from(second >= 20 && source.as_str() == KEEPER);
+        count += usize::from(second >= 20 && source.as_str() == KEEPER);
         let confirmation = age.map(|age| Confirmation { revision: Revision(3), age });
         let answer = UpdateResponse { token: request.token, update: None, confirmation };
         follower.handle(now, Event::ResponseReceived(answer), &mut Vec::new());
     }
-    asked
+    count
 }
 
 #[test]
-fn voter_is_asked_once_in_eight_and_every_other_time_without_fresh_confirmations() {
-    assert_eq!(questions_to_voter(Some(Duration::from_secs(1))), 5);
-    assert_eq!(questions_to_voter(None), 20);
+fn one_in_eight_requests_goes_to_a_voter_and_every_other_one_without_fresh_confirmations() {
+    assert_eq!(requests_to_voter(Some(Duration::from_secs(1))), 5);
+    assert_eq!(requests_to_voter(None), 20);
 }
 
 #[test]
-fn instances_that_start_together_ask_different_voters() {
+fn instances_that_start_together_use_different_voters() {
     let voters: Vec<InstanceId> = (0..5).map(|it| id(&format!("keeper-{it}"))).collect();
     let first = |start: u64| {
         let mut follower = Follower::new(Timing::default(), Storage::Memory, start << 20);
         let sources = Sources { voters: voters.clone(), peers: Vec::new() };
         let mut out = Vec::new();
         follower.handle(Time::ZERO, Event::Sources(sources), &mut out);
-        let Some(Effect::RequestUpdate { source, .. }) = out.pop() else { panic!("no question") };
+        let Some(Effect::RequestUpdate { source, .. }) = out.pop() else { panic!("no request") };
         source
     };
 
-    let asked: Vec<InstanceId> = (0..340).map(|it| first(1_764_720_000_000 + it)).collect();
+    let first_voters: Vec<InstanceId> = (0..340).map(|it| first(1_764_720_000_000 + it)).collect();
 
     for voter in &voters {
-        let count = asked.iter().filter(|it| *it == voter).count();
-        assert!(count <= 2 * 340 / 5, "{voter} is asked {count} times at once");
+        let count = first_voters.iter().filter(|it| *it == voter).count();
+        assert!(count <= 2 * 340 / 5, "{voter} receives {count} requests at once");
     }
 }
--- a/crates/medlarlug-core/tests/testsuite/limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/limits.rs
@@ -1,4 +1,4 @@
-//! Division of the teams' limits, against plain counters.
+//! Division of the teams' limits, checked against plain token buckets.
 
 use std::time::Duration;
 
@@ -19,10 +19,11 @@
 const RATE: f64 = 32.0;
 const BURST: f64 = 16.0;
 const STEP_MS: u64 = 10;
-const BEAT_MS: u64 = 500;
+const HEARTBEAT_MS: u64 = 500;
 const MAX_DELAY_MS: u64 = 300;
-/// Reports in a row that the links lose at most; the next one still comes within settle time.
-const MAX_LOST: u32 = 2;
+/// Maximum number of consecutive reports lost on a link, so that the next one still arrives within the
+/// settle time.
+const MAX_CONSECUTIVE_LOSSES: u32 = 2;
 
 fn limit(team: &str) -> TeamLimit {
     TeamLimit {
@@ -43,16 +44,20 @@
     limits
 }
 
-/// A settled instance, and a report of its peer, one second after its last heartbeat.
+/// A settled instance without peers, and the time of its last heartbeat.
 fn settled() -> (RateLimiter, Time) {
     let mut limits = limits(0, 1, Time::ZERO);
-    for beat in 0..6 {
-        limits.handle(Time::from_millis(beat * BEAT_MS), Event::Heartbeat, &mut Vec::new());
+    for heartbeat in 0..6 {
+        limits.handle(
+            Time::from_millis(heartbeat * HEARTBEAT_MS),
+            Event::Heartbeat,
+            &mut Vec::new(),
+        );
     }
-    (limits, Time::from_millis(5 * BEAT_MS))
+    (limits, Time::from_millis(5 * HEARTBEAT_MS))
 }
 
-fn heard(sequence: u64, base: u64, demand: f64) -> Event {
+fn report(sequence: u64, base: u64, demand: f64) -> Event {
     let entry = DemandEntry { team: TeamKey::of(&id("survey")), level: DemandLevel::of(demand) };
     let report = DemandReport {
         from: instance(1),
@@ -64,21 +69,21 @@
     Event::ReportReceived { report, age: Duration::ZERO }
 }
 
-/// The plain counter: a leaky bucket over all admitted requests of one side.
-struct Meter {
+/// Reference: one leaky bucket over all requests that one side of a partition admits.
+struct LeakyBucket {
     level: f64,
-    seen: Time,
+    updated_at: Time,
     bound: f64,
 }
 
-impl Meter {
-    fn new(now: Time, instances: usize) -> Meter {
-        Meter { level: 0.0, seen: now, bound: BURST + instances as f64 }
+impl LeakyBucket {
+    fn new(now: Time, instances: usize) -> LeakyBucket {
+        LeakyBucket { level: 0.0, updated_at: now, bound: BURST + instances as f64 }
     }
 
     fn count(&mut self, now: Time) {
-        self.level = (self.level - RATE * (now - self.seen).as_secs_f64()).max(0.0) + 1.0;
-        self.seen = now;
+        self.level = (self.level - RATE * (now - self.updated_at).as_secs_f64()).max(0.0) + 1.0;
+        self.updated_at = now;
         assert!(self.level <= self.bound + 1e-6, "{} above {} at {now}", self.level, self.bound);
     }
 
@@ -93,7 +98,7 @@
     now: Time,
     nodes: Vec<Option<RateLimiter>>,
     sides: Vec<usize>,
-    mail: Vec<(Time, usize, usize, Event, Time)>,
+    messages: Vec<(Time, usize, usize, Event, Time)>,
     lost: Vec<u32>,
     demand: Vec<f64>,
     team: TeamId,
@@ -106,19 +111,19 @@
             now: Time::ZERO,
             nodes: (0..count).map(|it| Some(limits(it, 1, Time::ZERO))).collect(),
             sides: vec![0; count],
-            mail: Vec::new(),
+            messages: Vec::new(),
             lost: vec![0; count * count],
             demand: vec![0.0; count],
             team: id("survey"),
         }
     }
 
-    /// Passes one step; `admitted` is told the instance of each admitted request.
+    /// Simulates one step; calls `admitted` with the time and the instance of each admitted request.
     fn step(&mut self, mut admitted: impl FnMut(Time, usize)) {
         self.now = self.now + Duration::from_millis(STEP_MS);
         self.deliver();
         for number in 0..self.nodes.len() {
-            if (self.now.as_micros() / 1_000 + 70 * number as u64).is_multiple_of(BEAT_MS) {
+            if (self.now.as_micros() / 1_000 + 70 * number as u64).is_multiple_of(HEARTBEAT_MS) {
                 self.handle(number, Event::Heartbeat);
             }
             let chance = self.demand[number] * STEP_MS as f64 / 1_000.0;
@@ -136,8 +141,9 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.mail).into_iter().partition(|it| it.0 <= now);
-        self.mail = later;
+        let (due, later) =
+            std::mem::take(&mut self.messages).into_iter().partition(|it| it.0 <= now);
+        self.messages = later;
         for (_, from, to, event, sent) in due {
             let event = match event {
                 Event::ReportReceived { report, .. } => {
@@ -162,7 +168,7 @@
                 Effect::Broadcast(report) => {
                     for to in (0..self.nodes.len()).filter(|&it| it != number) {
                         let report = report.clone();
-                        self.post(
+                        self.send(
                             number,
                             to,
                             Event::ReportReceived { report, age: Duration::ZERO },
@@ -171,25 +177,25 @@
                 }
                 Effect::RequestResync(peer) => {
                     let to = (0..self.nodes.len()).find(|&it| instance(it) == peer).unwrap();
-                    self.post(number, to, Event::ResyncRequested(instance(number)));
+                    self.send(number, to, Event::ResyncRequested(instance(number)));
                 }
                 Effect::Send { to: peer, report } => {
                     let to = (0..self.nodes.len()).find(|&it| instance(it) == peer).unwrap();
-                    self.post(number, to, Event::ReportReceived { report, age: Duration::ZERO });
+                    self.send(number, to, Event::ReportReceived { report, age: Duration::ZERO });
                 }
             }
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, event: Event) {
+    fn send(&mut self, from: usize, to: usize, event: Event) {
         let lost = &mut self.lost[from * self.nodes.len() + to];
-        if *lost < MAX_LOST && self.random.random_bool(0.2) {
+        if *lost < MAX_CONSECUTIVE_LOSSES && self.random.random_bool(0.2) {
             *lost += 1;
             return;
         }
         *lost = 0;
         let delay = Duration::from_millis(self.random.random_range(0..MAX_DELAY_MS));
-        self.mail.push((self.now + delay, from, to, event, self.now));
+        self.messages.push((self.now + delay, from, to, event, self.now));
     }
 
     fn change_demand(&mut self) {
@@ -201,7 +207,7 @@
 }
 
 #[test]
-fn lone_instance_decides_as_a_plain_counter() {
+fn single_instance_decides_like_a_token_bucket() {
     for seed in 0..200 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut limits = limits(0, 1, Time::ZERO);
@@ -232,27 +238,27 @@
 }
 
 #[test]
-fn total_holds_while_demand_moves_and_reports_are_lost() {
+fn limit_holds_in_total_while_demand_changes_and_reports_are_lost() {
     for seed in 0..60 {
         let mut region = Region::new(seed, 5);
         (0..400).for_each(|_| region.step(|_, _| {}));
-        let mut meter = Meter::new(region.now, 5);
+        let mut bucket = LeakyBucket::new(region.now, 5);
 
         for step in 0..2_000 {
             if step % 150 == 0 {
                 region.change_demand();
             }
-            region.step(|now, _| meter.count(now));
+            region.step(|now, _| bucket.count(now));
         }
     }
 }
 
 #[test]
-fn total_holds_within_the_stated_bound_under_crashes_and_restarts() {
+fn limit_holds_in_total_within_the_documented_bound_over_crashes_and_restarts() {
     for seed in 100..160 {
         let mut region = Region::new(seed, 5);
-        let mut meter = Meter::new(region.now, 5);
-        (0..5).for_each(|_| meter.allow_start());
+        let mut bucket = LeakyBucket::new(region.now, 5);
+        (0..5).for_each(|_| bucket.allow_start());
 
         for step in 0..2_000 {
             if step % 150 == 0 {
@@ -261,10 +267,10 @@
                 let is_back = region.nodes[number].is_none();
                 region.nodes[number] = is_back.then(|| limits(number, 2 + step, region.now));
                 if is_back {
-                    meter.allow_start();
+                    bucket.allow_start();
                 }
             }
-            region.step(|now, _| meter.count(now));
+            region.step(|now, _| bucket.count(now));
         }
     }
 }
@@ -277,19 +283,19 @@
         let cut = region.random.random_range(1..6);
         region.sides = (0..6).map(|it| usize::from(it < cut)).collect();
         let sides = region.sides.clone();
-        let mut meters = [Meter::new(region.now, 6), Meter::new(region.now, 6)];
+        let mut buckets = [LeakyBucket::new(region.now, 6), LeakyBucket::new(region.now, 6)];
 
         for step in 0..1_200 {
             if step % 150 == 0 {
                 region.change_demand();
             }
-            region.step(|now, number| meters[sides[number]].count(now));
+            region.step(|now, number| buckets[sides[number]].count(now));
         }
         region.sides = vec![0; 6];
         (0..200).for_each(|_| region.step(|_, _| {}));
-        let mut meter = Meter::new(region.now, 6);
+        let mut bucket = LeakyBucket::new(region.now, 6);
         for _ in 0..600 {
-            region.step(|now, _| meter.count(now));
+            region.step(|now, _| bucket.count(now));
         }
     }
 }
@@ -308,7 +314,7 @@
 }
 
 #[test]
-fn unused_share_of_a_lost_instance_is_taken_over() {
+fn share_of_a_crashed_instance_is_taken_over() {
     let mut region = Region::new(8, 2);
     region.demand = vec![4.0 * RATE; 2];
     (0..400).for_each(|_| region.step(|_, _| {}));
@@ -320,7 +326,7 @@
 }
 
 #[test]
-fn instance_that_stood_still_joins_anew() {
+fn stalled_instance_joins_again() {
     let mut region = Region::new(9, 3);
     (0..400).for_each(|_| region.step(|_, _| {}));
     let mut node = region.nodes[0].take().unwrap();
@@ -333,7 +339,7 @@
 }
 
 #[test]
-fn unknown_team_is_refused_with_the_reason() {
+fn unknown_team_and_missing_configuration_have_their_own_reasons() {
     let mut known = limits(0, 1, Time::ZERO);
     let mut empty = RateLimiter::new(instance(1), Incarnation(1), LimitPolicy::default());
 
@@ -345,7 +351,7 @@
 }
 
 #[test]
-fn team_withdrawn_and_added_again_is_counted_from_zero_by_peers() {
+fn removed_team_that_is_added_again_is_counted_from_zero_by_peers() {
     let mut region = Region::new(10, 2);
     region.demand = vec![RATE, RATE];
     (0..600).for_each(|_| region.step(|_, _| {}));
@@ -369,10 +375,10 @@
     limits.handle(Time::ZERO, Event::Configured(teams), &mut out);
     limits.handle(Time::ZERO, Event::Heartbeat, &mut out);
 
-    for beat in 1..60 {
-        let now = Time::from_millis(beat * 1_000);
+    for heartbeat in 1..60 {
+        let now = Time::from_millis(heartbeat * 1_000);
         for name in &names {
-            for _ in 0..beat % 7 {
+            for _ in 0..heartbeat % 7 {
                 let _ = limits.admit(now, name);
             }
         }
@@ -392,15 +398,15 @@
 }
 
 #[test]
-fn peer_with_missing_reports_counts_with_the_largest_weight_until_it_resends() {
+fn peer_with_missing_reports_counts_with_the_largest_weight_until_it_resyncs() {
     let (mut limits, now) = settled();
-    limits.handle(now, heard(1, 1, 0.0), &mut Vec::new());
+    limits.handle(now, report(1, 1, 0.0), &mut Vec::new());
     let known = limits.share(&id("survey")).unwrap();
     let mut out = Vec::new();
 
-    limits.handle(now, heard(6, 1, 0.0), &mut out);
+    limits.handle(now, report(6, 1, 0.0), &mut out);
     let missing = limits.share(&id("survey")).unwrap();
-    limits.handle(now, heard(6, 6, 0.0), &mut Vec::new());
+    limits.handle(now, report(6, 6, 0.0), &mut Vec::new());
     let again = limits.share(&id("survey")).unwrap();
 
     assert_matches!(&out[..], [Effect::RequestResync(peer)] if *peer == instance(1));
@@ -409,25 +415,25 @@
 }
 
 #[test]
-fn missed_full_report_is_a_gap() {
+fn missed_full_report_causes_a_resync() {
     let (mut limits, now) = settled();
-    limits.handle(now, heard(1, 1, 0.0), &mut Vec::new());
+    limits.handle(now, report(1, 1, 0.0), &mut Vec::new());
     let mut out = Vec::new();
 
-    limits.handle(now, heard(3, 2, 0.0), &mut out);
+    limits.handle(now, report(3, 2, 0.0), &mut out);
 
     assert_matches!(&out[..], [Effect::RequestResync(_)]);
 }
 
-/// Whether each of the next heartbeats of a settled instance brings a report.
-fn reports_in(limits: &mut RateLimiter, from: Time, beats: u64) -> Vec<bool> {
-    let is_sent = |beat: u64| {
+/// Whether each of the next `heartbeats` of an instance sends a report.
+fn reports_in(limits: &mut RateLimiter, from: Time, heartbeats: u64) -> Vec<bool> {
+    let is_sent = |heartbeat: u64| {
         let mut out = Vec::new();
-        let now = from + Duration::from_millis(beat * BEAT_MS);
+        let now = from + Duration::from_millis(heartbeat * HEARTBEAT_MS);
         limits.handle(now, Event::Heartbeat, &mut out);
         out.iter().any(|it| matches!(it, Effect::Broadcast(_)))
     };
-    (1..=beats).map(is_sent).collect()
+    (1..=heartbeats).map(is_sent).collect()
 }
 
 #[test]
@@ -435,16 +441,16 @@
     let (mut limits, now) = settled();
     let lifetime = LimitPolicy::default().peer_lifetime.as_millis() as u64;
 
-    let sent = reports_in(&mut limits, now, 10 * lifetime / BEAT_MS);
+    let sent = reports_in(&mut limits, now, 10 * lifetime / HEARTBEAT_MS);
 
     let reports = sent.iter().filter(|it| **it).count();
     assert!((30..=40).contains(&reports), "{reports} in ten lifetimes");
 }
 
 #[test]
-fn new_peer_is_answered_at_the_next_heartbeats() {
+fn new_peer_is_sent_reports_at_the_next_heartbeats() {
     let (mut limits, now) = settled();
-    limits.handle(now, heard(1, 1, 0.0), &mut Vec::new());
+    limits.handle(now, report(1, 1, 0.0), &mut Vec::new());
 
     let sent = reports_in(&mut limits, now, 3);
 
@@ -452,10 +458,10 @@
 }
 
 #[test]
-fn lowered_share_takes_tokens_away_at_once() {
+fn lowered_share_drops_excess_tokens_at_once() {
     let (mut limits, now) = settled();
-    let now = now + Duration::from_millis(BEAT_MS);
-    limits.handle(now, heard(1, 1, 4.0 * RATE), &mut Vec::new());
+    let now = now + Duration::from_millis(HEARTBEAT_MS);
+    limits.handle(now, report(1, 1, 4.0 * RATE), &mut Vec::new());
 
     let admitted = (0..16).filter(|_| limits.admit(now, &id("survey")).is_ok()).count();
 
@@ -463,14 +469,18 @@
 }
 
 #[test]
-fn newcomer_has_its_starting_share_until_its_reports_are_settled() {
+fn new_instance_has_the_initial_share_until_its_reports_are_settled() {
     let mut limits = limits(0, 1, Time::ZERO);
-    limits.handle(Time::ZERO, heard(1, 1, 4.0 * RATE), &mut Vec::new());
+    limits.handle(Time::ZERO, report(1, 1, 4.0 * RATE), &mut Vec::new());
     let settle = LimitPolicy::default().settle_time.as_millis() as u64;
     let mut shares = Vec::new();
 
-    for beat in 0..=settle / BEAT_MS {
-        limits.handle(Time::from_millis(beat * BEAT_MS), Event::Heartbeat, &mut Vec::new());
+    for heartbeat in 0..=settle / HEARTBEAT_MS {
+        limits.handle(
+            Time::from_millis(heartbeat * HEARTBEAT_MS),
+            Event::Heartbeat,
+            &mut Vec::new(),
+        );
         shares.push(limits.share(&id("survey")).unwrap());
     }
 
@@ -480,10 +490,10 @@
 }
 
 #[test]
-fn newcomer_among_many_has_the_equal_part() {
+fn new_instance_among_many_has_an_equal_share() {
     let mut limits = limits(0, 1, Time::ZERO);
     for number in 1..16 {
-        let Event::ReportReceived { mut report, age } = heard(1, 1, 0.0) else {
+        let Event::ReportReceived { mut report, age } = report(1, 1, 0.0) else {
             unreachable!("a report")
         };
         report.from = instance(number);
--- a/crates/medlarlug-core/tests/testsuite/retry.rs
+++ b/crates/medlarlug-core/tests/testsuite/retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget and the decision to try again.
+//! The retry budget and the retry decision.
 
 use std::time::Duration;
 
@@ -26,21 +26,21 @@
     budget
 }
 
-/// Attempts at one request, until it is answered or given up.
+/// Number of attempts for one request until it is answered or given up.
 fn attempt_until_end(
     random: &mut ChaCha8Rng,
-    health: f64,
+    success_rate: f64,
     budget: &mut RetryBudget,
-    spread: &mut RetryJitter,
+    jitter: &mut RetryJitter,
 ) -> u32 {
     let mut state = attempts(true, false);
     for sent in 1.. {
-        if random.random_bool(health) {
+        if random.random_bool(success_rate) {
             budget.record_success();
             return sent;
         }
         let failure = FAILURES[random.random_range(0..FAILURES.len())];
-        if matches!(state.decide(Time::ZERO, failure, budget, spread), Decision::GiveUp(_)) {
+        if matches!(state.decide(Time::ZERO, failure, budget, jitter), Decision::GiveUp(_)) {
             return sent;
         }
     }
@@ -48,17 +48,17 @@
 }
 
 #[test]
-fn attempts_stay_within_1_1_times_any_100_requests_through_failure_and_return() {
+fn attempts_stay_within_1_1_times_any_100_requests_through_failure_and_recovery() {
     for seed in 0..500 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let (mut budget, mut spread) = (RetryBudget::default(), RetryJitter::new(seed));
+        let (mut budget, mut jitter) = (RetryBudget::default(), RetryJitter::new(seed));
         let mut sent: Vec<u32> = Vec::new();
 
         for phase in 0..6 {
-            let health = if phase % 2 == 0 { random.random_range(0.5..1.0) } else { 0.0 };
-            let one = |_| attempt_until_end(&mut random, health, &mut budget, &mut spread);
+            let success_rate = if phase % 2 == 0 { random.random_range(0.5..1.0) } else { 0.0 };
+            let one = |_| attempt_until_end(&mut random, success_rate, &mut budget, &mut jitter);
             sent.extend((0..200).map(one));
-            if health == 0.0 {
+            if success_rate == 0.0 {
                 let failed: u32 = sent[sent.len() - 200..].iter().sum();
                 assert!(failed <= 200 + MAX_STORED_RETRIES, "seed {seed}");
             }
@@ -73,26 +73,26 @@
 
 #[test]
 fn first_failure_after_the_start_is_retried() {
-    let (mut budget, mut spread) = (RetryBudget::default(), RetryJitter::new(1));
+    let (mut budget, mut jitter) = (RetryBudget::default(), RetryJitter::new(1));
 
     let decision =
-        attempts(true, false).decide(Time::ZERO, Failure::Lost, &mut budget, &mut spread);
+        attempts(true, false).decide(Time::ZERO, Failure::Lost, &mut budget, &mut jitter);
 
     assert_eq!(decision, Decision::RetryInZone);
 }
 
 #[test]
-fn work_that_may_have_run_is_repeated_only_if_idempotent() {
+fn request_that_may_have_run_is_retried_only_if_idempotent() {
     for seed in 0..2_000 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut state = attempts(random.random(), random.random());
-        let (mut budget, mut spread) = (full_budget(), RetryJitter::new(seed));
-        let (mut may_have_run, mut crossings) = (false, 0);
+        let (mut budget, mut jitter) = (full_budget(), RetryJitter::new(seed));
+        let (mut may_have_run, mut forwards) = (false, 0);
         for made in 1.. {
             let failure = FAILURES[random.random_range(0..FAILURES.len())];
             may_have_run |= matches!(failure, Failure::Lost | Failure::Error);
 
-            match state.decide(Time::ZERO, failure, &mut budget, &mut spread) {
+            match state.decide(Time::ZERO, failure, &mut budget, &mut jitter) {
                 Decision::GiveUp(refusal) => {
                     let expected = match (may_have_run, state.idempotent) {
                         (false, _) => Outcome::NotRun,
@@ -103,9 +103,9 @@
                     break;
                 }
                 decision => {
-                    crossings += u32::from(decision == Decision::RetryInOtherZone);
+                    forwards += u32::from(decision == Decision::RetryInOtherZone);
                     assert!(state.idempotent || !may_have_run, "seed {seed}");
-                    assert!(crossings <= u32::from(!state.forwarded), "seed {seed}");
+                    assert!(forwards <= u32::from(!state.forwarded), "seed {seed}");
                     assert!(made < MAX_ATTEMPTS, "seed {seed}");
                 }
             }
@@ -115,10 +115,10 @@
 
 #[test]
 fn attempt_that_would_miss_the_deadline_is_not_made() {
-    let (mut budget, mut spread) = (full_budget(), RetryJitter::new(1));
+    let (mut budget, mut jitter) = (full_budget(), RetryJitter::new(1));
     let late = Time::from_millis(1_900);
 
-    let decision = attempts(true, false).decide(late, Failure::NotSent, &mut budget, &mut spread);
+    let decision = attempts(true, false).decide(late, Failure::NotSent, &mut budget, &mut jitter);
 
     assert_matches!(decision, Decision::GiveUp(it) if it.reason == Reason::NotStarted);
     assert_eq!(budget.remaining(), MAX_STORED_RETRIES);
@@ -137,11 +137,11 @@
 }
 
 #[test]
-fn times_to_come_back_are_spread() {
-    let mut spread = RetryJitter::new(3);
+fn retry_delays_have_jitter() {
+    let mut jitter = RetryJitter::new(3);
 
     let mut waits: Vec<Duration> =
-        (0..100).map(|_| spread.apply(Duration::from_secs(10))).collect();
+        (0..100).map(|_| jitter.apply(Duration::from_secs(10))).collect();
     waits.sort_unstable();
     waits.dedup();
 
--- a/crates/medlarlug-core/tests/testsuite/stream.rs
+++ b/crates/medlarlug-core/tests/testsuite/stream.rs
@@ -1,4 +1,4 @@
-//! Streams: every delivered answer is whole or explicitly failed.
+//! Streams: every delivered answer is complete or explicitly failed.
 
 use std::time::Duration;
 
@@ -24,33 +24,39 @@
     StreamTracker::new(request(7), policy, Time::ZERO)
 }
 
-fn arrives(tracker: &mut StreamTracker, millis: u64, connection: u32, chunk: Chunk) -> Vec<Effect> {
+fn receive_chunk(
+    tracker: &mut StreamTracker,
+    millis: u64,
+    connection: u32,
+    chunk: Chunk,
+) -> Vec<Effect> {
     let mut out = Vec::new();
     let connection = ConnectionNumber(connection);
     tracker.handle(Time::from_millis(millis), Event::Chunk { connection, chunk }, &mut out);
     out
 }
 
-fn handles(tracker: &mut StreamTracker, millis: u64, event: Event) -> Vec<Effect> {
+fn handle(tracker: &mut StreamTracker, millis: u64, event: Event) -> Vec<Effect> {
     let mut out = Vec::new();
     tracker.handle(Time::from_millis(millis), event, &mut out);
     out
 }
 
-/// A caller and its upstreams: every connection brings the same answer from its own base.
-struct Trial {
+/// A caller and its upstreams: every connection delivers the same answer from its own start.
+struct Simulation {
     random: ChaCha8Rng,
     answer: Vec<u8>,
     policy: StreamPolicy,
     tracker: StreamTracker,
-    /// Start of the upstream's answer and next offset in it, by connection.
+    /// For each connection, the start of the upstream's answer within the whole one and the next offset
+    /// in it.
     connections: Vec<(usize, usize)>,
-    got: Vec<u8>,
+    received: Vec<u8>,
     ends: Vec<Effect>,
 }
 
-impl Trial {
-    fn new(seed: u64) -> Trial {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let length = random.random_range(1..200);
         let policy = StreamPolicy {
@@ -59,13 +65,13 @@
             idempotent: random.random_bool(0.8),
             ..StreamPolicy::default()
         };
-        Trial {
+        Simulation {
             answer: (0..length).map(|_| random.random()).collect(),
             tracker: tracker(policy.clone()),
             policy,
             random,
             connections: vec![(0, 0)],
-            got: Vec::new(),
+            received: Vec::new(),
             ends: Vec::new(),
         }
     }
@@ -75,32 +81,35 @@
         while self.ends.is_empty() {
             now += 1;
             match self.random.random_range(0..40) {
-                0 => self.feed(now, Event::ConnectionLost { connection: self.last() }),
+                0 => {
+                    self.feed(now, Event::ConnectionLost { connection: self.current_connection() })
+                }
                 1 => {
                     now += 11_000;
                     self.feed(now, Event::Tick);
                 }
-                2 => self.feed(now, Event::ResumeRefused { connection: self.last() }),
-                3 => self.crossed(now),
-                _ => self.piece(now),
+                2 => self.feed(now, Event::ResumeRefused { connection: self.current_connection() }),
+                3 => self.send_foreign_chunk(now),
+                _ => self.send_chunk(now),
             }
         }
-        self.piece(now);
-        self.feed(now, Event::ConnectionLost { connection: self.last() });
+        self.send_chunk(now);
+        self.feed(now, Event::ConnectionLost { connection: self.current_connection() });
     }
 
-    fn last(&self) -> ConnectionNumber {
+    fn current_connection(&self) -> ConnectionNumber {
         ConnectionNumber(self.connections.len() as u32 - 1)
     }
 
-    fn crossed(&mut self, now: u64) {
+    fn send_foreign_chunk(&mut self, now: u64) {
         let chunk = Chunk { request: request(8), offset: 0, length: 250, terminal: true };
-        let connection = self.last();
+        let connection = self.current_connection();
         self.feed_chunk(now, connection, chunk, vec![0; 250]);
     }
 
-    /// The next piece of some connection; some are lost, come twice or begin too early.
-    fn piece(&mut self, now: u64) {
+    /// Sends the next chunk on some connection; some chunks are lost, sent twice or overlap the
+    /// previous one.
+    fn send_chunk(&mut self, now: u64) {
         let number = match self.random.random_bool(0.2) {
             true => self.random.random_range(0..self.connections.len()),
             false => self.connections.len() - 1,
@@ -120,12 +129,12 @@
     }
 
     fn feed_chunk(&mut self, now: u64, connection: ConnectionNumber, chunk: Chunk, bytes: Vec<u8>) {
-        let effects = arrives(&mut self.tracker, now, connection.0, chunk);
+        let effects = receive_chunk(&mut self.tracker, now, connection.0, chunk);
         self.apply(effects, &bytes);
     }
 
     fn feed(&mut self, now: u64, event: Event) {
-        let effects = handles(&mut self.tracker, now, event);
+        let effects = handle(&mut self.tracker, now, event);
         self.apply(effects, &[]);
     }
 
@@ -134,16 +143,17 @@
             assert!(self.ends.is_empty(), "{effect:?} after the end");
             match effect {
                 Effect::Deliver { skip, length } => {
-                    self.got.extend_from_slice(&bytes[skip as usize..(skip + length) as usize]);
+                    self.received
+                        .extend_from_slice(&bytes[skip as usize..(skip + length) as usize]);
                 }
                 Effect::Resume { offset, .. } => {
                     let (base, _) = self.connections[self.connections.len() - 1];
                     assert!(self.policy.resumable);
-                    assert_eq!(base + offset as usize, self.got.len());
+                    assert_eq!(base + offset as usize, self.received.len());
                     self.connections.push((base, offset as usize));
                 }
                 Effect::Restart { .. } => {
-                    assert!(self.policy.idempotent && self.got.is_empty());
+                    assert!(self.policy.idempotent && self.received.is_empty());
                     self.connections.push((0, 0));
                 }
                 Effect::Continue { offset, .. } => {
@@ -161,36 +171,36 @@
 fn every_answer_is_whole_or_explicitly_failed() {
     let (mut whole, mut failed) = (0, 0);
     for seed in 0..10_000 {
-        let mut trial = Trial::new(seed);
+        let mut simulation = Simulation::new(seed);
 
-        trial.run();
+        simulation.run();
 
-        match trial.ends[..] {
+        match simulation.ends[..] {
             [Effect::Complete] => {
-                assert_eq!(trial.got, trial.answer, "seed {seed}");
+                assert_eq!(simulation.received, simulation.answer, "seed {seed}");
                 whole += 1;
             }
             [Effect::Fail(refusal)] => {
                 let expected =
-                    if trial.policy.idempotent { Outcome::Failed } else { Outcome::Unknown };
+                    if simulation.policy.idempotent { Outcome::Failed } else { Outcome::Unknown };
                 assert_eq!(refusal.outcome, expected, "seed {seed}");
-                assert!(trial.answer.starts_with(&trial.got), "seed {seed}");
+                assert!(simulation.answer.starts_with(&simulation.received), "seed {seed}");
                 failed += 1;
             }
-            _ => panic!("seed {seed}: {:?}", trial.ends),
+            _ => panic!("seed {seed}: {:?}", simulation.ends),
         }
     }
     assert!(whole > 1_000 && failed > 1_000, "{whole} whole, {failed} failed");
 }
 
 #[test]
-fn end_of_connection_without_terminal_event_is_no_end_of_answer() {
+fn end_of_connection_without_terminal_event_does_not_complete_the_answer() {
     let policy = StreamPolicy { resumable: false, ..StreamPolicy::default() };
     let mut tracker = tracker(policy);
-    arrives(&mut tracker, 1, 0, chunk(0, 10, false));
+    receive_chunk(&mut tracker, 1, 0, chunk(0, 10, false));
 
     let connection = ConnectionNumber(0);
-    let out = handles(&mut tracker, 2, Event::ConnectionLost { connection });
+    let out = handle(&mut tracker, 2, Event::ConnectionLost { connection });
 
     assert!(matches!(
         out[..],
@@ -199,19 +209,19 @@
 }
 
 #[test]
-fn silent_connection_is_replaced_and_its_late_chunks_are_dropped() {
+fn unresponsive_connection_is_replaced_and_its_late_chunks_are_dropped() {
     let mut tracker = tracker(StreamPolicy::default());
-    arrives(&mut tracker, 1, 0, chunk(0, 10, false));
+    receive_chunk(&mut tracker, 1, 0, chunk(0, 10, false));
 
-    let early = handles(&mut tracker, 2_000, Event::Tick);
-    let silent = handles(&mut tracker, 2_001, Event::Tick);
-    let late = arrives(&mut tracker, 2_002, 0, chunk(10, 10, true));
-    let resumed = arrives(&mut tracker, 2_003, 1, chunk(10, 10, true));
+    let early = handle(&mut tracker, 2_000, Event::Tick);
+    let timed_out = handle(&mut tracker, 2_001, Event::Tick);
+    let late = receive_chunk(&mut tracker, 2_002, 0, chunk(10, 10, true));
+    let resumed = receive_chunk(&mut tracker, 2_003, 1, chunk(10, 10, true));
 
     let (old, new) = (ConnectionNumber(0), ConnectionNumber(1));
     assert_eq!(early, []);
     assert_eq!(
-        silent,
+        timed_out,
         [Effect::Close { connection: old }, Effect::Resume { connection: new, offset: 10 }]
     );
     assert_eq!(late, []);
@@ -220,11 +230,11 @@
 }
 
 #[test]
-fn crossed_answer_is_dropped_and_counted() {
+fn answer_to_another_request_is_dropped_and_counted() {
     let mut tracker = tracker(StreamPolicy::default());
     let foreign = Chunk { request: request(8), ..chunk(0, 10, true) };
 
-    let out = arrives(&mut tracker, 1, 0, foreign);
+    let out = receive_chunk(&mut tracker, 1, 0, foreign);
 
     assert_eq!(out, []);
     assert_eq!(tracker.counters().wrong_request, 1);
@@ -232,11 +242,11 @@
 }
 
 #[test]
-fn upstream_is_cancelled_when_the_caller_goes() {
+fn upstream_is_cancelled_when_the_caller_disconnects() {
     let mut tracker = tracker(StreamPolicy::default());
 
-    let first = handles(&mut tracker, 1, Event::CallerDisconnected);
-    let second = handles(&mut tracker, 2, Event::CallerDisconnected);
+    let first = handle(&mut tracker, 1, Event::CallerDisconnected);
+    let second = handle(&mut tracker, 2, Event::CallerDisconnected);
 
     let connection = ConnectionNumber(0);
     assert_eq!(first, [Effect::Close { connection }, Effect::CancelUpstream { connection }]);
@@ -244,7 +254,7 @@
 }
 
 #[test]
-fn first_byte_has_its_own_limit() {
+fn first_byte_has_its_own_timeout() {
     let policy =
         StreamPolicy { first_byte_timeout: Duration::from_secs(9), ..StreamPolicy::default() };
     let tracker = tracker(policy);
@@ -252,8 +262,8 @@
     assert_eq!(tracker.timeout_at(), Time::from_millis(9_000));
 }
 
-/// Feeds ticks at the moments when the tracker calls for them; gives those moments, in seconds.
-fn silences(tracker: &mut StreamTracker) -> Vec<u64> {
+/// Handles a tick at each time-out until the stream ends; returns the times, in seconds.
+fn timeouts(tracker: &mut StreamTracker) -> Vec<u64> {
     let mut moments = Vec::new();
     while !tracker.is_ended() {
         let moment = tracker.timeout_at();
@@ -264,25 +274,25 @@
 }
 
 #[test]
-fn slow_upstream_has_twice_the_time_on_each_further_connection() {
+fn timeout_doubles_with_each_fruitless_connection() {
     let policy =
         StreamPolicy { first_byte_timeout: Duration::from_secs(2), ..StreamPolicy::default() };
     let mut tracker = tracker(policy);
 
-    let moments = silences(&mut tracker);
+    let moments = timeouts(&mut tracker);
 
     assert_eq!(moments, [2, 6, 14, 30]);
 }
 
 #[test]
-fn stream_that_goes_on_may_replace_any_number_of_connections() {
+fn stream_that_progresses_may_replace_any_number_of_connections() {
     let mut tracker = tracker(StreamPolicy::default());
 
     for number in 0..20 {
         let millis = u64::from(number) * 10;
-        arrives(&mut tracker, millis, number, chunk(u64::from(number), 1, false));
+        receive_chunk(&mut tracker, millis, number, chunk(u64::from(number), 1, false));
         let connection = ConnectionNumber(number);
-        handles(&mut tracker, millis + 1, Event::ConnectionLost { connection });
+        handle(&mut tracker, millis + 1, Event::ConnectionLost { connection });
     }
 
     assert!(!tracker.is_ended());
--- a/crates/medlarlug-core/tests/testsuite/suspects.rs
+++ b/crates/medlarlug-core/tests/testsuite/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that crash upstreams: the bound on crashes, and the clearing of the others.
+//! Requests that crash upstreams: the bound on crashes, and the clearance of other contents.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     CrashId { upstream: id(&format!("engine-{upstream}")), incarnation: Incarnation(1) }
 }
 
-fn lost(upstream: u32, contents: &[u32]) -> Fact {
+fn crashed(upstream: u32, contents: &[u32]) -> Fact {
     let mut in_flight: Vec<Fingerprint> = contents.iter().map(|it| content(*it)).collect();
     in_flight.sort();
     Fact::Crashed(CrashReport {
@@ -52,37 +52,37 @@
     matches!(ledger.status(Time::ZERO, content(number)), ContentStatus::Quarantined { .. })
 }
 
-/// Entry instances that route over shared upstreams, with callers who send what was lost again.
-struct Trial {
+/// Entry instances that route to shared upstreams, with callers who retry requests that a crash
+/// interrupted.
+struct Simulation {
     random: ChaCha8Rng,
     now: Time,
     entries: Vec<SuspectTracker>,
     /// Current incarnation of each upstream.
     upstreams: Vec<u64>,
-    /// Content, request, entry and upstream of each request in flight, and whether all other
-    /// requests in flight there have to end first.
+    /// Content, request, entry and upstream of each request in flight.
     in_flight: Vec<(u32, RequestId, usize, usize)>,
     waiting: Vec<(u32, usize)>,
-    mail: Vec<Event>,
+    messages: Vec<Event>,
     sequence: u64,
     crashes: usize,
-    done: Vec<u32>,
+    completed: Vec<u32>,
     refused: Vec<u32>,
 }
 
-impl Trial {
-    fn new(seed: u64, entries: usize, upstreams: usize) -> Trial {
-        Trial {
+impl Simulation {
+    fn new(seed: u64, entries: usize, upstreams: usize) -> Simulation {
+        Simulation {
             random: ChaCha8Rng::seed_from_u64(seed),
             now: Time::ZERO,
             entries: vec![SuspectTracker::default(); entries],
             upstreams: vec![1; upstreams],
             in_flight: Vec::new(),
             waiting: Vec::new(),
-            mail: Vec::new(),
+            messages: Vec::new(),
             sequence: 0,
             crashes: 0,
-            done: Vec::new(),
+            completed: Vec::new(),
             refused: Vec::new(),
         }
     }
@@ -96,7 +96,7 @@
         self.entries[entry].handle(self.now, event, &mut out);
         for effect in out {
             match effect {
-                Effect::Publish(fact) => self.mail.push(Event::FactReceived(fact)),
+                Effect::Publish(fact) => self.messages.push(Event::FactReceived(fact)),
                 Effect::Reserve { .. } | Effect::ReleaseReservation { .. } => {
                     self.reserve(entry, effect)
                 }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Reservations come before anything else is sent.
+    /// Reservations are delivered before any other request is sent.
     fn reserve(&mut self, from: usize, effect: Effect) {
         for entry in (0..self.entries.len()).filter(|&it| it != from) {
             let event = match effect.clone() {
@@ -121,28 +121,28 @@
         }
     }
 
-    /// Facts come in any order, some of them twice.
-    fn exchange(&mut self) {
-        let mut mail = std::mem::take(&mut self.mail);
-        mail.extend(mail.clone().into_iter().step_by(2));
-        mail.shuffle(&mut self.random);
-        for event in mail {
+    /// Delivers the facts in random order, some of them twice.
+    fn deliver_facts(&mut self) {
+        let mut messages = std::mem::take(&mut self.messages);
+        messages.extend(messages.clone().into_iter().step_by(2));
+        messages.shuffle(&mut self.random);
+        for event in messages {
             (0..self.entries.len()).for_each(|entry| self.feed(entry, event.clone()));
         }
     }
 
-    /// Sends a content if an upstream is free for it.
+    /// Sends a request if its placement is allowed on some upstream; a quarantined content is refused.
     fn send(&mut self, number: u32, entry: usize) -> bool {
-        let core = &self.entries[entry];
-        if matches!(core.status(self.now, content(number)), ContentStatus::Quarantined { .. }) {
+        let tracker = &self.entries[entry];
+        if matches!(tracker.status(self.now, content(number)), ContentStatus::Quarantined { .. }) {
             self.refused.push(number);
             return true;
         }
         let is_free = |&it: &usize| {
             let upstream = self.upstream(it);
-            let is_empty = !self.in_flight.iter().any(|flight| flight.3 == it);
-            let is_clear = core.status(self.now, content(number)) == ContentStatus::Clear;
-            core.placement(self.now, content(number), &upstream) == Placement::Allowed
+            let is_empty = !self.in_flight.iter().any(|request| request.3 == it);
+            let is_clear = tracker.status(self.now, content(number)) == ContentStatus::Clear;
+            tracker.placement(self.now, content(number), &upstream) == Placement::Allowed
                 && (is_clear || is_empty)
         };
         let free: Vec<usize> = (0..self.upstreams.len()).filter(is_free).collect();
@@ -163,13 +163,13 @@
         true
     }
 
-    /// Ends a request in flight, or loses the upstream if the request crashes it.
+    /// Completes a random request in flight, or crashes its upstream if it has the crashing content.
     fn end(&mut self, crashing: u32) {
         let place = self.random.random_range(0..self.in_flight.len());
         let (number, request, entry, upstream) = self.in_flight[place].clone();
         if number != crashing {
             self.in_flight.remove(place);
-            self.done.push(number);
+            self.completed.push(number);
             self.feed(entry, Event::Completed { request });
             return;
         }
@@ -185,7 +185,7 @@
     fn run(&mut self, crashing: u32) {
         while !self.in_flight.is_empty() || !self.waiting.is_empty() {
             self.now = self.now + Duration::from_millis(10);
-            self.exchange();
+            self.deliver_facts();
             for (number, _) in std::mem::take(&mut self.waiting) {
                 let entry = self.random.random_range(0..self.entries.len());
                 if !self.send(number, entry) {
@@ -196,51 +196,55 @@
                 self.end(crashing);
             }
         }
-        self.exchange();
+        self.deliver_facts();
     }
 }
 
 #[test]
 fn crashing_content_loses_two_upstreams_and_the_others_are_cleared() {
     for seed in 0..2_000 {
-        let mut trial = Trial::new(seed, 3, 4);
-        trial.waiting = (0..12).map(|it| (it, 0)).collect();
+        let mut simulation = Simulation::new(seed, 3, 4);
+        simulation.waiting = (0..12).map(|it| (it, 0)).collect();
 
-        trial.run(5);
+        simulation.run(5);
 
-        assert_eq!(trial.crashes, 2, "seed {seed}");
-        assert_eq!(trial.refused, [5], "seed {seed}");
-        trial.done.sort();
-        assert_eq!(trial.done, [0, 1, 2, 3, 4, 6, 7, 8, 9, 10, 11], "seed {seed}");
+        assert_eq!(simulation.crashes, 2, "seed {seed}");
+        assert_eq!(simulation.refused, [5], "seed {seed}");
+        simulation.completed.sort();
+        assert_eq!(simulation.completed, [0, 1, 2, 3, 4, 6, 7, 8, 9, 10, 11], "seed {seed}");
         for (entry, number) in (0..3).flat_map(|entry| (0..12).map(move |it| (entry, it))) {
-            let standing = trial.entries[entry].status(trial.now, content(number));
+            let status = simulation.entries[entry].status(simulation.now, content(number));
             match number {
-                5 => assert_matches!(standing, ContentStatus::Quarantined { .. }, "seed {seed}"),
-                _ => assert_eq!(standing, ContentStatus::Clear, "seed {seed}, content {number}"),
+                5 => assert_matches!(status, ContentStatus::Quarantined { .. }, "seed {seed}"),
+                _ => assert_eq!(status, ContentStatus::Clear, "seed {seed}, content {number}"),
             }
         }
     }
 }
 
 #[test]
-fn overlapping_sends_add_one_loss_for_each_instance_at_most() {
+fn overlapping_requests_add_at_most_one_crash_per_instance() {
     for seed in 0..1_000 {
-        let mut trial = Trial::new(seed, 3, 8);
-        let sends = trial.random.random_range(1..5);
-        trial.waiting = (0..sends).map(|_| (5, 0)).chain((10..20).map(|it| (it, 0))).collect();
+        let mut simulation = Simulation::new(seed, 3, 8);
+        let sends = simulation.random.random_range(1..5);
+        simulation.waiting = (0..sends).map(|_| (5, 0)).chain((10..20).map(|it| (it, 0))).collect();
 
-        trial.run(5);
+        simulation.run(5);
 
-        // All first sends can be in flight at the first loss; then each of the three instances
+        // All first requests can be in flight at the first crash; afterwards each of the three instances
         // runs one at a time.
-        assert!(trial.crashes <= 2.max(sends) + 2, "seed {seed}: {} for {sends}", trial.crashes);
-        assert!(!trial.refused.iter().any(|it| *it != 5), "seed {seed}");
-        assert_eq!(trial.done.len(), 10, "seed {seed}");
+        assert!(
+            simulation.crashes <= 2.max(sends) + 2,
+            "seed {seed}: {} for {sends}",
+            simulation.crashes
+        );
+        assert!(!simulation.refused.iter().any(|it| *it != 5), "seed {seed}");
+        assert_eq!(simulation.completed.len(), 10, "seed {seed}");
     }
 }
 
 #[test]
-fn verdicts_do_not_depend_on_the_order_of_the_facts() {
+fn quarantines_do_not_depend_on_the_order_of_the_facts() {
     for seed in 0..2_000 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut facts = Vec::new();
@@ -248,7 +252,7 @@
             let upstream = random.random_range(0..4);
             let mut contents: Vec<u32> = (0..5).filter(|_| random.random_bool(0.4)).collect();
             contents.shuffle(&mut random);
-            facts.push(lost(upstream, &contents));
+            facts.push(crashed(upstream, &contents));
             if random.random_bool(0.4) {
                 facts.push(cleared(random.random_range(0..5), &[upstream]));
             }
@@ -266,24 +270,24 @@
 }
 
 #[test]
-fn known_fact_is_not_worth_handing_on() {
-    let mut ledger = ledger(&[lost(1, &[1]), cleared(1, &[1])]);
+fn known_fact_is_not_reported_as_new() {
+    let mut ledger = ledger(&[crashed(1, &[1]), cleared(1, &[1])]);
 
-    assert!(!ledger.apply(Time::from_millis(5), &lost(1, &[1])));
+    assert!(!ledger.apply(Time::from_millis(5), &crashed(1, &[1])));
     assert!(!ledger.apply(Time::from_millis(5), &cleared(1, &[1])));
 }
 
 #[test]
-fn two_losses_in_the_same_company_quarantine_nobody() {
-    let ledger = ledger(&[lost(1, &[1, 2]), lost(2, &[1, 2])]);
+fn two_crashes_with_the_same_contents_in_flight_quarantine_none() {
+    let ledger = ledger(&[crashed(1, &[1, 2]), crashed(2, &[1, 2])]);
 
     assert!(!is_quarantined(&ledger, 1) && !is_quarantined(&ledger, 2));
     assert_eq!(ledger.status(Time::ZERO, content(1)), ContentStatus::Suspect);
 }
 
 #[test]
-fn losses_that_a_quarantined_content_explains_count_against_no_other() {
-    let ledger = ledger(&[lost(1, &[1, 2, 3]), lost(2, &[1, 2]), lost(3, &[1])]);
+fn crashes_that_a_quarantined_content_explains_count_against_no_other() {
+    let ledger = ledger(&[crashed(1, &[1, 2, 3]), crashed(2, &[1, 2]), crashed(3, &[1])]);
 
     assert!(is_quarantined(&ledger, 1));
     assert_eq!(ledger.status(Time::ZERO, content(2)), ContentStatus::Clear);
@@ -291,20 +295,20 @@
 }
 
 #[test]
-fn three_losses_quarantine_in_any_company() {
-    let ledger = ledger(&[lost(1, &[1, 2]), lost(2, &[1, 3]), lost(3, &[1, 4])]);
+fn three_crashes_quarantine_whatever_else_was_in_flight() {
+    let ledger = ledger(&[crashed(1, &[1, 2]), crashed(2, &[1, 3]), crashed(3, &[1, 4])]);
 
     assert!(is_quarantined(&ledger, 1));
     assert_eq!(ledger.quarantines(Time::ZERO).len(), 1);
 }
 
 #[test]
-fn quarantine_expires_and_the_next_loss_quarantines_for_longer() {
-    let mut ledger = ledger(&[lost(1, &[1]), lost(2, &[1])]);
+fn quarantine_expires_and_the_next_crash_quarantines_for_longer() {
+    let mut ledger = ledger(&[crashed(1, &[1]), crashed(2, &[1])]);
     let end = Time::ZERO + QUARANTINE_LIFETIME;
 
     let expired = ledger.status(end, content(1));
-    ledger.apply(end, &lost(3, &[1]));
+    ledger.apply(end, &crashed(3, &[1]));
     let again = ledger.status(end, content(1));
 
     assert_eq!(expired, ContentStatus::Suspect);
@@ -312,8 +316,8 @@
 }
 
 #[test]
-fn suspect_has_its_upstream_alone() {
-    let mut core = SuspectTracker::default();
+fn suspect_has_its_upstream_to_itself() {
+    let mut tracker = SuspectTracker::default();
     let engine: UpstreamId = id("engine-9");
     let sent = |number: u32, upstream: &UpstreamId| Event::Sent {
         request: id(&format!("riga.entry-1.1.{number}")),
@@ -321,12 +325,13 @@
         upstream: upstream.clone(),
         incarnation: Incarnation(1),
     };
-    core.handle(Time::ZERO, Event::FactReceived(lost(1, &[1, 2])), &mut Vec::new());
+    tracker.handle(Time::ZERO, Event::FactReceived(crashed(1, &[1, 2])), &mut Vec::new());
     let mut out = Vec::new();
 
-    core.handle(Time::ZERO, sent(1, &engine), &mut out);
+    tracker.handle(Time::ZERO, sent(1, &engine), &mut out);
 
-    let place = |number, engine: &UpstreamId| core.placement(Time::ZERO, content(number), engine);
+    let place =
+        |number, engine: &UpstreamId| tracker.placement(Time::ZERO, content(number), engine);
     assert_matches!(&out[..], [Effect::Reserve { upstream, .. }] if *upstream == engine);
     assert_eq!(place(2, &engine), Placement::Denied);
     assert_eq!(place(3, &engine), Placement::Denied);
@@ -336,48 +341,48 @@
 
 #[test]
 fn suspect_shares_an_upstream_only_with_contents_that_are_clear() {
-    let mut core = SuspectTracker::default();
+    let mut tracker = SuspectTracker::default();
     let sent = Event::Sent {
         request: id("riga.entry-1.1.1"),
         fingerprint: content(3),
         upstream: id("engine-9"),
         incarnation: Incarnation(1),
     };
-    core.handle(Time::ZERO, sent, &mut Vec::new());
-    core.handle(Time::ZERO, Event::FactReceived(lost(1, &[1, 2])), &mut Vec::new());
+    tracker.handle(Time::ZERO, sent, &mut Vec::new());
+    tracker.handle(Time::ZERO, Event::FactReceived(crashed(1, &[1, 2])), &mut Vec::new());
 
-    assert_eq!(core.placement(Time::ZERO, content(1), &id("engine-9")), Placement::LastResort);
-    assert_eq!(core.placement(Time::ZERO, content(4), &id("engine-9")), Placement::Allowed);
+    assert_eq!(tracker.placement(Time::ZERO, content(1), &id("engine-9")), Placement::LastResort);
+    assert_eq!(tracker.placement(Time::ZERO, content(4), &id("engine-9")), Placement::Allowed);
 }
 
 #[test]
-fn reserved_upstream_takes_nothing_until_it_is_freed_or_the_reservation_ends() {
-    let (mut core, engine): (SuspectTracker, UpstreamId) =
+fn reserved_upstream_accepts_nothing_until_the_reservation_is_released_or_expires() {
+    let (mut tracker, engine): (SuspectTracker, UpstreamId) =
         (SuspectTracker::default(), id("engine-9"));
     let reserved =
         || Event::Reserved { upstream: id("engine-9"), lifetime: Duration::from_secs(5) };
     let mut out = Vec::new();
 
-    core.handle(Time::ZERO, reserved(), &mut out);
-    let held = core.placement(Time::from_millis(4_999), content(1), &engine);
-    let expired = core.placement(Time::from_millis(5_000), content(1), &engine);
-    core.handle(Time::ZERO, Event::ReservationReleased { upstream: engine.clone() }, &mut out);
-    let freed = core.placement(Time::ZERO, content(1), &engine);
+    tracker.handle(Time::ZERO, reserved(), &mut out);
+    let held = tracker.placement(Time::from_millis(4_999), content(1), &engine);
+    let expired = tracker.placement(Time::from_millis(5_000), content(1), &engine);
+    tracker.handle(Time::ZERO, Event::ReservationReleased { upstream: engine.clone() }, &mut out);
+    let freed = tracker.placement(Time::ZERO, content(1), &engine);
 
     assert_eq!((held, expired, freed), (Placement::Denied, Placement::Allowed, Placement::Allowed));
 }
 
 #[test]
-fn cleared_content_is_no_suspect_and_leaves_the_loss_to_the_others() {
-    let company = ledger(&[lost(1, &[1, 2]), lost(2, &[1, 3]), cleared(2, &[1])]);
+fn cleared_content_is_no_suspect_and_the_crash_counts_against_the_others() {
+    let ledger = ledger(&[crashed(1, &[1, 2]), crashed(2, &[1, 3]), cleared(2, &[1])]);
 
-    assert_eq!(company.status(Time::ZERO, content(2)), ContentStatus::Clear);
-    assert!(is_quarantined(&company, 1));
+    assert_eq!(ledger.status(Time::ZERO, content(2)), ContentStatus::Clear);
+    assert!(is_quarantined(&ledger, 1));
 }
 
 #[test]
-fn clearance_counts_only_for_the_losses_it_names() {
-    let ledger = ledger(&[cleared(1, &[1]), lost(1, &[1]), lost(2, &[1])]);
+fn clearance_counts_only_for_the_crashes_it_names() {
+    let ledger = ledger(&[cleared(1, &[1]), crashed(1, &[1]), crashed(2, &[1])]);
 
     assert_eq!(ledger.crashes_of(content(1)), [key(2)]);
     assert_eq!(ledger.status(Time::ZERO, content(1)), ContentStatus::Suspect);
@@ -392,45 +397,45 @@
     Event::Sent { request: request(number), fingerprint: content, upstream, incarnation }
 }
 
-/// Found by the soak: upstreams crashed together, a content that many callers send was in flight at each,
-/// and it was refused for twenty minutes.
+/// When upstreams crashed together, a content that many callers send was in flight on each of them, and was
+/// refused for twenty minutes. Found by the soak test.
 #[test]
 fn content_that_runs_elsewhere_is_not_quarantined_for_upstreams_that_crash_together() {
-    let (mut core, mut out) = (SuspectTracker::default(), Vec::new());
+    let (mut tracker, mut out) = (SuspectTracker::default(), Vec::new());
     let now = Time::from_millis(1_000);
-    core.handle(Time::ZERO, sent(1, content(7), 1), &mut out);
-    core.handle(Time::ZERO, Event::Completed { request: request(1) }, &mut out);
+    tracker.handle(Time::ZERO, sent(1, content(7), 1), &mut out);
+    tracker.handle(Time::ZERO, Event::Completed { request: request(1) }, &mut out);
     out.clear();
 
     for upstream in 1..=3 {
-        core.handle(now, Event::FactReceived(lost(upstream, &[7, 8])), &mut out);
+        tracker.handle(now, Event::FactReceived(crashed(upstream, &[7, 8])), &mut out);
     }
 
-    assert_eq!(core.status(now, content(7)), ContentStatus::Clear);
-    assert_matches!(core.status(now, content(8)), ContentStatus::Quarantined { .. });
-    let told: Vec<Effect> = (1..=3).map(|it| Effect::Publish(cleared(7, &[it]))).collect();
-    assert_eq!(out, told);
+    assert_eq!(tracker.status(now, content(7)), ContentStatus::Clear);
+    assert_matches!(tracker.status(now, content(8)), ContentStatus::Quarantined { .. });
+    let published: Vec<Effect> = (1..=3).map(|it| Effect::Publish(cleared(7, &[it]))).collect();
+    assert_eq!(out, published);
 }
 
 #[test]
-fn run_that_began_before_a_loss_clears_its_content_as_well() {
-    let (mut core, mut out) = (SuspectTracker::default(), Vec::new());
-    core.handle(Time::ZERO, sent(1, content(7), 4), &mut out);
-    core.handle(Time::ZERO, Event::FactReceived(lost(1, &[7])), &mut out);
+fn run_that_began_before_a_crash_clears_its_content() {
+    let (mut tracker, mut out) = (SuspectTracker::default(), Vec::new());
+    tracker.handle(Time::ZERO, sent(1, content(7), 4), &mut out);
+    tracker.handle(Time::ZERO, Event::FactReceived(crashed(1, &[7])), &mut out);
 
-    core.handle(Time::ZERO, Event::Completed { request: request(1) }, &mut out);
+    tracker.handle(Time::ZERO, Event::Completed { request: request(1) }, &mut out);
 
-    assert_eq!(core.status(Time::ZERO, content(7)), ContentStatus::Clear);
+    assert_eq!(tracker.status(Time::ZERO, content(7)), ContentStatus::Clear);
 }
 
 #[test]
-fn whole_run_speaks_for_its_content_for_a_minute_only() {
-    let (mut core, mut out) = (SuspectTracker::default(), Vec::new());
+fn completed_run_clears_its_content_for_one_minute_only() {
+    let (mut tracker, mut out) = (SuspectTracker::default(), Vec::new());
     let later = Time::from_millis(61_000);
-    core.handle(Time::ZERO, sent(1, content(7), 4), &mut out);
-    core.handle(Time::ZERO, Event::Completed { request: request(1) }, &mut out);
+    tracker.handle(Time::ZERO, sent(1, content(7), 4), &mut out);
+    tracker.handle(Time::ZERO, Event::Completed { request: request(1) }, &mut out);
 
-    core.handle(later, Event::FactReceived(lost(1, &[7])), &mut out);
+    tracker.handle(later, Event::FactReceived(crashed(1, &[7])), &mut out);
 
-    assert_eq!(core.status(later, content(7)), ContentStatus::Suspect);
+    assert_eq!(tracker.status(later, content(7)), ContentStatus::Suspect);
 }
--- a/crates/medlarlug-core/tests/testsuite/trials.rs
+++ b/crates/medlarlug-core/tests/testsuite/trials.rs
@@ -1,4 +1,4 @@
-//! Trials of quarantined contents, over a day with the test's own clock.
+//! Trials of quarantined contents, over one simulated day.
 
 use std::time::Duration;
 
@@ -10,29 +10,29 @@
 };
 use test_support::id;
 
-/// Time after the third crash from which on sends count.
-const CONTACT_TIME: Duration = Duration::from_secs(5);
-/// Sends that may reach upstreams after that.
-const LATE_SENDS: usize = 3;
+/// Requests later than this after the third crash count as late.
+const GRACE_PERIOD: Duration = Duration::from_secs(5);
+/// Maximum number of late requests that may reach upstreams.
+const MAX_LATE_REQUESTS: usize = 3;
 
 fn content() -> Fingerprint {
     Fingerprint::of(b"crash")
 }
 
-fn lost(upstream: usize, is_trial: bool) -> Fact {
+fn crashed(upstream: usize, is_trial: bool) -> Fact {
     let key = CrashId { upstream: id(&format!("engine-{upstream}")), incarnation: Incarnation(1) };
     let trials = if is_trial { vec![content()] } else { Vec::new() };
     Fact::Crashed(CrashReport { key, age: Duration::ZERO, in_flight: vec![content()], trials })
 }
 
-/// When a content that crashes upstreams reaches them within a day, after `first` crashes at once; each crash is
-/// noticed `lag` later.
-fn arrivals(first: usize, lag: Duration) -> Vec<Time> {
+/// When requests with a content that crashes upstreams reach them within a day, after `initial_crashes`
+/// at once. Each crash of a trial is noticed `detection_delay` later.
+fn arrivals(initial_crashes: usize, detection_delay: Duration) -> Vec<Time> {
     let mut ledger = CrashLedger::default();
     let mut now = Time::ZERO;
-    let mut arrivals = vec![now; first];
-    (0..first).for_each(|number| {
-        ledger.apply(now, &lost(number, false));
+    let mut arrivals = vec![now; initial_crashes];
+    (0..initial_crashes).for_each(|number| {
+        ledger.apply(now, &crashed(number, false));
     });
     while now < Time::ZERO + Duration::from_secs(24 * 3_600) {
         now = now + Duration::from_millis(500);
@@ -40,8 +40,8 @@
         let Some(trials) = ledger.trials(content()) else { continue };
         if trials.next_trial_at(0, None) <= now {
             arrivals.push(now);
-            now = now + lag;
-            ledger.apply(now, &lost(arrivals.len(), true));
+            now = now + detection_delay;
+            ledger.apply(now, &crashed(arrivals.len(), true));
         }
     }
     arrivals
@@ -49,21 +49,24 @@
 
 #[test]
 fn content_that_fails_its_trials_reaches_upstreams_no_more_often_in_a_day_than_is_allowed() {
-    for first in [2, 3, 6] {
-        for lag in [0, 500, 4_000, 15_000] {
-            let arrivals = arrivals(first, Duration::from_millis(lag));
-
-            let third = arrivals[2] + Duration::from_millis(lag);
-            let late = arrivals.iter().filter(|at| **at > third + CONTACT_TIME).count();
-            assert!(late <= LATE_SENDS, "{late} after {first} crashes, {lag} ms: {arrivals:?}");
+    for initial_crashes in [2, 3, 6] {
+        for detection_delay in [0, 500, 4_000, 15_000] {
+            let arrivals = arrivals(initial_crashes, Duration::from_millis(detection_delay));
+
+            let third = arrivals[2] + Duration::from_millis(detection_delay);
+            let late = arrivals.iter().filter(|at| **at > third + GRACE_PERIOD).count();
+            assert!(
+                late <= MAX_LATE_REQUESTS,
+                "{late} after {initial_crashes} crashes, {detection_delay} ms: {arrivals:?}"
+            );
         }
     }
 }
 
 #[test]
-fn whole_run_ends_the_quarantine_and_forgets_the_failed_trials() {
+fn completed_run_ends_the_quarantine_and_forgets_the_failed_trials() {
     let mut ledger = CrashLedger::default();
-    [lost(0, false), lost(1, false), lost(2, true)].iter().for_each(|fact| {
+    [crashed(0, false), crashed(1, false), crashed(2, true)].iter().for_each(|fact| {
         ledger.apply(Time::ZERO, fact);
     });
     let failed = ledger.trials(content()).unwrap().failed;
@@ -77,22 +80,22 @@
 }
 
 #[test]
-fn attempts_that_prove_nothing_are_repeated_more_and_more_rarely() {
+fn inconclusive_trials_are_retried_at_growing_intervals() {
     let mut ledger = CrashLedger::default();
-    [lost(0, false), lost(1, false)].iter().for_each(|fact| {
+    [crashed(0, false), crashed(1, false)].iter().for_each(|fact| {
         ledger.apply(Time::ZERO, fact);
     });
     let trials = ledger.trials(content()).unwrap();
 
-    let pauses: Vec<u64> = (0..7)
+    let delays: Vec<u64> = (0..7)
         .map(|attempts| (trials.next_trial_at(attempts, None) - Time::ZERO).as_secs())
         .collect();
 
-    assert_eq!(pauses, [2, 4, 8, 16, 32, 60, 60]);
+    assert_eq!(delays, [2, 4, 8, 16, 32, 60, 60]);
 }
 
 #[test]
-fn all_instances_agree_on_the_one_that_tries_a_content() {
+fn all_instances_agree_on_the_trial_instance_of_a_content() {
     let all = ["entry-1", "entry-2", "entry-3"].map(id);
     let other = ["entry-3", "entry-1", "entry-2"].map(id);
 
