--- a/crates/medlarlug-gateway/src/entry/attempt.rs
+++ b/crates/medlarlug-gateway/src/entry/attempt.rs
@@ -42,9 +42,9 @@
 /// Longest stream, in bytes: ten times the longest answer of the first deployments, which has 200
 /// events of 4 KB.
 const MAX_STREAM_BYTES: usize = 8 << 20;
-/// Rank of calls at engines whose route has a lower priority than engines know; these support ranks
-/// 0 to 9.
-const LOWEST_RANK: u8 = 9;
+/// Priority of calls at engines whose route has a lower one than engines know; these support 0 to
+/// 9.
+const LOWEST_PRIORITY: u8 = 9;
 
 /// What all attempts of a call have in common.
 pub(super) struct AttemptContext<'a> {
@@ -100,7 +100,7 @@
     /// The upstream refused the call, because it is full or leaving.
     Refused {
         /// The `Retry-After` of the refusal, if it has one.
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// A different upstream answers at the address.
     Misdirected,
@@ -152,8 +152,9 @@
                     report_at_once(&self.entry, choice);
                 }
                 CountedAt::Region(region, tokens) => {
-                    self.entry
-                        .update_forwarded_tokens(region, |unread| unread.saturating_sub(*tokens));
+                    self.entry.update_forwarded_tokens(region, |tokens_pending| {
+                        tokens_pending.saturating_sub(*tokens)
+                    });
                 }
             }
         }
@@ -174,7 +175,9 @@
                 }
             }
             CountedAt::Region(region, tokens) if !self.has_first_token => {
-                self.entry.update_forwarded_tokens(region, |unread| unread.saturating_sub(*tokens));
+                self.entry.update_forwarded_tokens(region, |tokens_pending| {
+                    tokens_pending.saturating_sub(*tokens)
+                });
             }
             CountedAt::Region(..) => {}
         }
@@ -421,7 +424,7 @@
             entry.loads.borrow_mut().record_sent(now, choice, demand, *memory);
             report_at_once(entry, choice);
             if let Some(rate) = cold_rate {
-                entry.cold.borrow_mut().record_send(now, &choice.id, *rate);
+                entry.cold_pacer.borrow_mut().record_send(now, &choice.id, *rate);
                 let instances = entry.region_entries().len();
                 let up_ms = entry.uptime().as_millis() as u64;
                 metrics::counter!(names::COLD_REQUESTS).increment(1);
@@ -435,7 +438,7 @@
         }
         Hop::Peer { region, .. } => {
             let tokens = u64::from(demand.prompt_tokens);
-            entry.update_forwarded_tokens(region, |unread| unread + tokens);
+            entry.update_forwarded_tokens(region, |tokens_pending| tokens_pending + tokens);
             CountedAt::Region(region.clone(), tokens)
         }
     };
@@ -478,8 +481,8 @@
         Hop::Upstream { choice, .. } => {
             let id = header::HeaderValue::from_str(choice.id.as_str()).ok()?;
             headers.insert(names.expected_upstream.clone(), id);
-            let rank = context.priority.min(LOWEST_RANK);
-            headers.insert(names.rank.clone(), u64::from(rank).into());
+            let priority = context.priority.min(LOWEST_PRIORITY);
+            headers.insert(names.priority.clone(), u64::from(priority).into());
         }
         Hop::Peer { .. } => {
             headers.insert(forwarded::HANDOVER_HEADER, context.forwarded.clone()?);
@@ -514,14 +517,16 @@
         }
         let Some(value) = headers.get(header::RETRY_AFTER) else { return };
         match value.to_str().unwrap_or_default().parse::<Backoff>() {
-            Ok(rest) => {
-                let spread = rand::rng().random();
-                let remaining =
-                    self.availabilities.borrow_mut().record_backoff(now, id, birth, rest, spread);
+            Ok(backoff) => {
+                let jitter = rand::rng().random();
+                let remaining = self
+                    .availabilities
+                    .borrow_mut()
+                    .record_backoff(now, id, birth, backoff, jitter);
                 if let Some(remaining) = remaining {
                     let for_ms = remaining.as_millis() as u64;
                     metrics::counter!(names::BACKOFFS).increment(1);
-                    tracing::info!(request = %call.id, upstream = %id, birth = birth.0, %rest, for_ms, "upstream requested backoff");
+                    tracing::info!(request = %call.id, upstream = %id, birth = birth.0, rest = %backoff, for_ms, "upstream requested backoff");
                 }
             }
             Err(error) => {
@@ -546,11 +551,11 @@
         return Some(Outcome::Unknown(Unknown::ForeignAnswer));
     }
     if report.is_some_and(|report| report.is_refused) {
-        return Some(Outcome::NotRun(NotRun::Refused { after: retry_after(headers) }));
+        return Some(Outcome::NotRun(NotRun::Refused { retry_after: retry_after(headers) }));
     }
     if headers.contains_key(&names.not_run) {
         record_health(entry, hop, UpstreamOutcome::Refused);
-        return Some(Outcome::NotRun(NotRun::Refused { after: retry_after(headers) }));
+        return Some(Outcome::NotRun(NotRun::Refused { retry_after: retry_after(headers) }));
     }
     if answer.status() == StatusCode::MISDIRECTED_REQUEST {
         record_health(entry, hop, UpstreamOutcome::Unreachable);
--- a/crates/medlarlug-gateway/src/entry/call.rs
+++ b/crates/medlarlug-gateway/src/entry/call.rs
@@ -93,7 +93,7 @@
     headers.remove(header::EXPECT);
     headers.remove(&names.deadline);
     headers.remove(&names.expected_upstream);
-    headers.remove(&names.rank);
+    headers.remove(&names.priority);
     headers.remove(super::forwarded::HANDOVER_HEADER);
     for name in &names.reserved {
         headers.remove(name);
--- a/crates/medlarlug-gateway/src/entry/choice.rs
+++ b/crates/medlarlug-gateway/src/entry/choice.rs
@@ -92,7 +92,7 @@
     /// Chooses the best hop for a call; `None` if there is none.
     pub(super) fn choose(&self, plan: &Plan, demand: &Demand) -> Option<Hop> {
         let Plan { table, route, service, tried, .. } = plan;
-        let own = self.settings.borrow().card.region.clone();
+        let own = self.settings.borrow().info.region.clone();
         let local = match route.may_be_served_in(&own) {
             true => self.choose_local(table, service, demand, &tried.upstreams),
             false => None,
@@ -118,7 +118,7 @@
     /// Cost of sending a call to an upstream, including the time queued for prefill.
     pub(super) fn cost(&self, choice: &Choice) -> Duration {
         match choice.is_long() {
-            true => choice.cost + self.turn_waits.borrow().expected(self.now()),
+            true => choice.cost + self.queue_waits.borrow().expected(self.now()),
             false => choice.cost,
         }
     }
@@ -161,7 +161,7 @@
             .filter(|known| self.is_usable(now, known, spec.cold_rate, &entries))
             .collect();
         let healths = self.healths.borrow();
-        let own_zone = self.settings.borrow().card.zone.clone();
+        let own_zone = self.settings.borrow().info.zone.clone();
         let is_fresh = |known: &KnownUpstream| now - known.announced_at <= ANNOUNCEMENT_LIFETIME;
         let has_fresh = usable.iter().any(|known| is_fresh(known));
         let candidates = usable.iter().filter(|known| is_fresh(known) == has_fresh);
@@ -184,7 +184,7 @@
         let observations = self.healths.borrow().observations(&known.upstream.id);
         let resumed = self.view.borrow().last_resumed(now);
         let process = ProcessTimes { started: self.started, resumed };
-        self.suspicions.borrow().is_cold(now, known, observations, process)
+        self.cold_detector.borrow().is_cold(now, known, observations, process)
     }
 
     /// The availability of an upstream according to its answers.
@@ -198,17 +198,17 @@
     pub(super) fn backoff_remaining(&self, service: &ServiceName) -> Option<Duration> {
         let now = self.now();
         let settings = self.settings.borrow();
-        let own = Some(&settings.card.region);
+        let own = Some(&settings.info.region);
         let upstreams = self.upstreams.borrow();
-        let here = upstreams.of(service).filter(|known| {
+        let in_region = upstreams.of(service).filter(|known| {
             known.upstream.state == UpstreamState::Ready
                 && settings.region_of(&known.upstream.zone) == own
         });
-        let rests = here.filter_map(|known| match self.availability(now, known) {
+        let backoffs = in_region.filter_map(|known| match self.availability(now, known) {
             Availability::BackingOff { remaining: left } => Some(left),
             Availability::Available | Availability::Leaving => None,
         });
-        rests.min()
+        backoffs.min()
     }
 
     /// Whether a request may be sent to an upstream now. Every request is checked here: first
@@ -244,8 +244,8 @@
         let settings = self.settings.borrow();
         let entries = entries.get_or_init(|| self.region_entries());
         let is_sender = self.view.borrow().is_settled(now)
-            && cold::designated_sender(&upstream.id, entries) == Some(&settings.card.id);
-        is_sender && self.cold.borrow().may_send(now, &upstream.id, cold_rate)
+            && cold::designated_sender(&upstream.id, entries) == Some(&settings.info.id);
+        is_sender && self.cold_pacer.borrow().may_send(now, &upstream.id, cold_rate)
     }
 
     /// Whether an upstream of the region accepts new requests, according to its announcements, its
@@ -254,7 +254,7 @@
         let upstream = &known.upstream;
         let settings = self.settings.borrow();
         upstream.state == UpstreamState::Ready
-            && settings.region_of(&upstream.zone) == Some(&settings.card.region)
+            && settings.region_of(&upstream.zone) == Some(&settings.info.region)
             && self.head.borrow().evacuated.binary_search(&upstream.zone).is_err()
             && self.availability(now, known) == Availability::Available
     }
@@ -276,7 +276,7 @@
         tried: &[InstanceId],
     ) -> Option<Hop> {
         let now = self.now();
-        let own = self.settings.borrow().card.region.clone();
+        let own = self.settings.borrow().info.region.clone();
         let contacts = self.contacts.borrow();
         let is_eligible = |contact: &&Contact| {
             contact.status.ready
@@ -288,15 +288,11 @@
         let waits = self.waits.borrow();
         let cost = |region: &RegionId| {
             let at = waits.binary_search_by(|it| (&it.region, &it.service).cmp(&(region, service)));
-            let told = Duration::from_millis(waits[at.ok()?].wait_ms.into());
-            let unread = self.forwarded_tokens(region);
+            let reported_wait = Duration::from_millis(waits[at.ok()?].wait_ms.into());
+            let pending_tokens = self.forwarded_tokens(region);
             let upstreams = self.upstreams_in(region, service);
             Some(remote_region::predicted_cost(
-                remote_region::RemoteService {
-                    reported_wait: told,
-                    pending_tokens: unread,
-                    upstreams,
-                },
+                remote_region::RemoteService { reported_wait, pending_tokens, upstreams },
                 demand,
             ))
         };
@@ -310,11 +306,11 @@
         let in_region: Vec<&&Contact> =
             eligible.iter().filter(|it| it.info.region == *region).collect();
         let contact = in_region[rand::rng().random_range(0..in_region.len())];
-        let card = &contact.info;
+        let info = &contact.info;
         Some(Hop::Peer {
-            id: card.id.clone(),
-            region: card.region.clone(),
-            address: card.internal,
+            id: info.id.clone(),
+            region: info.region.clone(),
+            address: info.internal,
             wait: wait + REGION_ROUND_TRIP,
         })
     }
--- a/crates/medlarlug-gateway/src/entry/crashes.rs
+++ b/crates/medlarlug-gateway/src/entry/crashes.rs
@@ -148,14 +148,14 @@
     fn runs_trial(&self, content: Fingerprint, plan: &Plan) -> bool {
         let now = self.now();
         let settings = self.settings.borrow();
-        let own = &settings.card;
+        let own = &settings.info;
         let can_try = |region: &RegionId| {
             plan.route.may_be_served_in(region) && self.upstreams_in(region, &plan.service) > 0
         };
         let contacts = self.contacts.borrow();
         let live = contacts.live_entries(now).map(|contact| &contact.info);
-        let others = live.filter(|card| card.id != own.id && can_try(&card.region));
-        let mut instances: Vec<InstanceId> = others.map(|card| card.id.clone()).collect();
+        let others = live.filter(|info| info.id != own.id && can_try(&info.region));
+        let mut instances: Vec<InstanceId> = others.map(|info| info.id.clone()).collect();
         if can_try(&own.region) {
             instances.push(own.id.clone());
         }
@@ -173,7 +173,7 @@
         let key = key(upstream, birth);
         let (region, instance) = {
             let settings = self.settings.borrow();
-            (settings.card.region.clone(), settings.card.id.clone())
+            (settings.info.region.clone(), settings.info.id.clone())
         };
         let is_trial = self.is_quarantined(content);
         let mut crashes = self.crashes.borrow_mut();
@@ -344,8 +344,8 @@
         change(suspects, now);
         for (content, _) in suspects.ledger().quarantines(now) {
             if before.binary_search_by_key(&content, |it| it.0).is_err() {
-                let losses = suspects.ledger().crashes_of(content);
-                let upstreams = losses.iter().map(|it| it.upstream.as_str());
+                let crashes = suspects.ledger().crashes_of(content);
+                let upstreams = crashes.iter().map(|it| it.upstream.as_str());
                 let upstreams = upstreams.collect::<Vec<_>>().join(",");
                 let failed = suspects.ledger().trials(content).map_or(0, |it| it.failed);
                 tracing::warn!(%content, upstreams, failed, "content quarantined");
--- a/crates/medlarlug-gateway/src/entry/limited.rs
+++ b/crates/medlarlug-gateway/src/entry/limited.rs
@@ -30,9 +30,9 @@
 use super::{Entry, call::Call, plan::Plan};
 use crate::{loads, metrics as names};
 
-/// Time between two rounds of the allotter while instances wait for permits: the time that a
+/// Time between two rounds of the allocator while instances wait for permits: the time that a
 /// datagram takes between availability zones.
-const ALLOTMENT_INTERVAL: Duration = Duration::from_millis(10);
+const ALLOCATION_INTERVAL: Duration = Duration::from_millis(10);
 /// Longest time for which a call waits for a permit: a request, its grant, and one lost datagram.
 const MAX_PERMIT_WAIT: Duration = Duration::from_millis(250);
 
@@ -45,9 +45,9 @@
 pub(crate) enum LimitMessage {
     /// An upstream has named a limit, or has stopped naming one.
     Limit { upstream: UpstreamId, birth: Birth, limit: Option<UpstreamLimit> },
-    /// Requests permits from the allotter for calls that wait at `from`.
+    /// Requests permits from the allocator for calls that wait at `from`.
     Ask { from: InstanceId, upstream: UpstreamId, birth: Birth, limit: UpstreamLimit, calls: u32 },
-    /// Permits that the allotter grants the receiver.
+    /// Permits that the allocator grants the receiver.
     Grant { upstream: UpstreamId, birth: Birth, permits: u32 },
 }
 
@@ -60,12 +60,12 @@
 }
 
 /// The limits that this instance knows, its permits, and the requests that it has received as
-/// allotter.
+/// allocator.
 #[derive(Default)]
 pub(super) struct LimitState {
     limits: RefCell<UpstreamLimits>,
     permits: RefCell<Permits>,
-    allotter: RefCell<PermitAllocator>,
+    allocator: RefCell<PermitAllocator>,
     /// Changed limits that are still to be sent to the other instances.
     updates: RefCell<Vec<LimitMessage>>,
     wake: Notify,
@@ -130,13 +130,13 @@
         birth: Birth,
         headers: &HeaderMap,
     ) {
-        let said = parse_limit(headers, &self.names.limit);
+        let header = parse_limit(headers, &self.names.limit);
         // Only an answer of the upstream itself can end a limit, not one of an intermediary.
-        if said == LimitHeader::Absent && !headers.contains_key(&self.names.signature) {
+        if header == LimitHeader::Absent && !headers.contains_key(&self.names.signature) {
             return;
         }
         let mut limits = self.limited.limits.borrow_mut();
-        if !limits.record_answer(self.now(), sent, id, birth, said) {
+        if !limits.record_answer(self.now(), sent, id, birth, header) {
             return;
         }
         let limit = limits.of(id, birth);
@@ -190,16 +190,16 @@
     /// Mean time between two permits that this instance can expect for these upstreams; `None`
     /// without any.
     pub(super) fn permit_interval(&self, limited: &[LimitedUpstream]) -> Option<Duration> {
-        let pace: f64 =
+        let rate: f64 =
             limited.iter().map(|it| PermitRate::for_allocator(it.limit).per_second()).sum();
         let instances = self.exchange.instances() as f64;
-        (!limited.is_empty()).then(|| Duration::from_secs_f64(instances / pace))
+        (!limited.is_empty()).then(|| Duration::from_secs_f64(instances / rate))
     }
 
     /// The upstreams of the own region that the call could be sent to if a permit were available.
     pub(super) fn limited_upstreams(&self, plan: &Plan) -> Vec<LimitedUpstream> {
         let limits = self.limited.limits.borrow();
-        if limits.is_empty() || !plan.route.may_be_served_in(&self.settings.borrow().card.region) {
+        if limits.is_empty() || !plan.route.may_be_served_in(&self.settings.borrow().info.region) {
             return Vec::new();
         }
         let Some(spec) = plan.table.service(&plan.service) else { return Vec::new() };
@@ -231,16 +231,16 @@
                 self.limited.limits.borrow_mut().apply_update(now, &upstream, birth, limit);
             }
             LimitMessage::Ask { from, upstream, birth, limit, calls } => {
-                if !self.allots(now, &upstream) {
-                    tracing::debug!(%upstream, %from, "permit request ignored; this instance is not the allotter");
+                if !self.allocates(now, &upstream) {
+                    tracing::debug!(%upstream, %from, "permit request ignored; this instance is not the allocator");
                     return;
                 }
                 let own = self.limited.limits.borrow().of(&upstream, birth);
                 let limit = own.map_or(limit, |own| if own < limit { own } else { limit });
-                let want = PermitRequest { from, upstream, birth, calls };
-                self.limited.allotter.borrow_mut().request(
+                let permit_request = PermitRequest { from, upstream, birth, calls };
+                self.limited.allocator.borrow_mut().request(
                     now,
-                    want,
+                    permit_request,
                     PermitRate::for_allocator(limit),
                     0.0,
                 );
@@ -253,56 +253,60 @@
     }
 
     /// Whether this instance grants the permits for an upstream.
-    fn allots(&self, now: Time, upstream: &UpstreamId) -> bool {
+    fn allocates(&self, now: Time, upstream: &UpstreamId) -> bool {
         let entries = self.region_entries();
         self.view.borrow().is_settled(now)
             && cold::designated_sender(upstream, &entries) == Some(&self.id())
     }
 
-    /// Requests the permits that calls wait for: at this instance's own allotter, or by the
+    /// Requests the permits that calls wait for: at this instance's own allocator, or by the
     /// returned messages at the allotters of other instances. Also returns whether permits are
     /// still wanted.
     fn ask_for_permits(&self, now: Time) -> (Vec<(InstanceId, LimitMessage)>, bool) {
-        let (wants, has_more) = self.limited.permits.borrow_mut().due_requests(now, &self.id());
-        if wants.is_empty() {
+        let (permit_requests, has_more) =
+            self.limited.permits.borrow_mut().due_requests(now, &self.id());
+        if permit_requests.is_empty() {
             return (Vec::new(), has_more);
         }
         let entries = self.region_entries();
         let is_settled = self.view.borrow().is_settled(now);
-        let mut questions = Vec::new();
-        for want in wants {
-            let Some(limit) = self.limited.limits.borrow().of(&want.upstream, want.birth) else {
+        let mut messages = Vec::new();
+        for permit_request in permit_requests {
+            let Some(limit) =
+                self.limited.limits.borrow().of(&permit_request.upstream, permit_request.birth)
+            else {
                 continue;
             };
-            let allotter = cold::designated_sender(&want.upstream, &entries).filter(|_| is_settled);
-            match allotter {
-                Some(other) if *other != want.from => {
-                    let PermitRequest { from, upstream, birth, calls } = want;
-                    let ask = LimitMessage::Ask { from, upstream, birth, limit, calls };
-                    questions.push((other.clone(), ask));
+            let allocator =
+                cold::designated_sender(&permit_request.upstream, &entries).filter(|_| is_settled);
+            match allocator {
+                Some(other) if *other != permit_request.from => {
+                    let PermitRequest { from, upstream, birth, calls } = permit_request;
+                    let message = LimitMessage::Ask { from, upstream, birth, limit, calls };
+                    messages.push((other.clone(), message));
                 }
                 Some(_) => {
-                    let pace = PermitRate::for_allocator(limit);
-                    self.limited.allotter.borrow_mut().request(now, want, pace, 0.0);
+                    let rate = PermitRate::for_allocator(limit);
+                    self.limited.allocator.borrow_mut().request(now, permit_request, rate, 0.0);
                 }
                 None => {
-                    let pace =
+                    let rate =
                         PermitRate::for_isolated(limit, self.contacts.borrow().peak_entries());
                     let saved = rand::rng().random();
-                    self.limited.allotter.borrow_mut().request(now, want, pace, saved);
+                    self.limited.allocator.borrow_mut().request(now, permit_request, rate, saved);
                 }
             }
         }
-        (questions, has_more)
+        (messages, has_more)
     }
 
     /// Runs one round. Returns the messages to send with their receivers, and whether another round
     /// is due.
-    fn allotment_round(&self) -> (Vec<(SocketAddr, LimitMessage)>, bool) {
+    fn allocation_round(&self) -> (Vec<(SocketAddr, LimitMessage)>, bool) {
         let now = self.now();
         let (mut messages, has_more) = self.ask_for_permits(now);
         let own = self.id();
-        for grant in self.limited.allotter.borrow_mut().grant(now) {
+        for grant in self.limited.allocator.borrow_mut().grant(now) {
             let PermitGrant { to, upstream, birth, permits } = grant;
             tracing::debug!(%upstream, instance = %to, permits, "permits granted");
             if to == own {
@@ -312,7 +316,7 @@
             }
         }
         let updates = std::mem::take(&mut *self.limited.updates.borrow_mut());
-        let has_more = has_more || self.limited.allotter.borrow().has_waiters();
+        let has_more = has_more || self.limited.allocator.borrow().has_waiters();
         if messages.is_empty() && updates.is_empty() {
             return (Vec::new(), has_more);
         }
@@ -330,12 +334,12 @@
 /// Runs rounds and sends their messages for as long as the process runs.
 pub(super) async fn run(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     loop {
-        let (messages, has_more) = entry.allotment_round();
+        let (messages, has_more) = entry.allocation_round();
         messages.into_iter().for_each(|(to, message)| loads::send_limit(&socket, message, to));
         let wake = entry.limited.wake.notified();
         match has_more {
             // A time-out is no error: the next round is due then.
-            true => drop(timeout(ALLOTMENT_INTERVAL, wake).await),
+            true => drop(timeout(ALLOCATION_INTERVAL, wake).await),
             false => wake.await,
         }
     }
--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -124,13 +124,13 @@
     view: RefCell<KeeperView>,
     loads: RefCell<Loads>,
     exchange: Exchange,
-    turn_waits: RefCell<QueueWaits>,
+    queue_waits: RefCell<QueueWaits>,
     healths: RefCell<HealthTracker>,
     availabilities: RefCell<AvailabilityTracker>,
     limited: LimitState,
-    cold: RefCell<ColdSendPacer>,
+    cold_pacer: RefCell<ColdSendPacer>,
     crashes: RefCell<Crashes>,
-    suspicions: RefCell<ColdDetector>,
+    cold_detector: RefCell<ColdDetector>,
     /// Predicted waiting times of other regions, sorted by region and service.
     waits: RefCell<Vec<RegionWait>>,
     /// Predicted spare capacity of this instance, and when it was predicted.
@@ -158,7 +158,7 @@
         names: HeaderNames,
         stop: watch::Receiver<bool>,
     ) -> Result<Rc<Entry>, ServerError> {
-        let internal = http_server::listen("peers", settings.card.internal).await?;
+        let internal = http_server::listen("peers", settings.info.internal).await?;
         let clock = Clock::start_after(MAX_UPDATE_AGE);
         let entry = Rc::new(Entry {
             settings: RefCell::new(settings),
@@ -173,13 +173,13 @@
             view: RefCell::default(),
             loads: RefCell::default(),
             exchange: Exchange::default(),
-            turn_waits: RefCell::default(),
+            queue_waits: RefCell::default(),
             healths: RefCell::default(),
             availabilities: RefCell::default(),
             limited: LimitState::default(),
-            cold: RefCell::default(),
+            cold_pacer: RefCell::default(),
             crashes: RefCell::default(),
-            suspicions: RefCell::default(),
+            cold_detector: RefCell::default(),
             waits: RefCell::default(),
             spare: RefCell::default(),
             forwarded_tokens: RefCell::default(),
@@ -192,7 +192,7 @@
         });
         entry.links.connect_new(&entry);
         task::spawn_local(upkeep(entry.clone()));
-        let address = entry.card().internal;
+        let address = entry.info().internal;
         let socket = loads::open(address).await.map_err(|source| ServerError::Listen {
             role: "load reports",
             address,
@@ -282,11 +282,11 @@
     /// The ids of the live entry instances of the own region, this one included, sorted.
     fn region_entries(&self) -> Vec<InstanceId> {
         let settings = self.settings.borrow();
-        let own = &settings.card;
+        let own = &settings.info;
         let contacts = self.contacts.borrow();
         let live = contacts.live_entries(self.now()).map(|contact| &contact.info);
         let mut ids: Vec<InstanceId> =
-            live.filter(|card| card.region == own.region).map(|card| card.id.clone()).collect();
+            live.filter(|info| info.region == own.region).map(|info| info.id.clone()).collect();
         ids.push(own.id.clone());
         ids.sort();
         ids.dedup();
@@ -296,20 +296,20 @@
     /// This instance, and all live entry instances of its region with their internal addresses.
     pub(crate) fn region_members(&self) -> (Member, Vec<(Member, SocketAddr)>) {
         let settings = self.settings.borrow();
-        let own = &settings.card;
-        let member = |card: &InstanceInfo| Member { id: card.id.clone(), zone: card.zone.clone() };
+        let own = &settings.info;
+        let member = |info: &InstanceInfo| Member { id: info.id.clone(), zone: info.zone.clone() };
         let contacts = self.contacts.borrow();
         let live = contacts.live_entries(self.now()).map(|contact| &contact.info);
-        let others = live.filter(|card| card.region == own.region && card.id != own.id);
+        let others = live.filter(|info| info.region == own.region && info.id != own.id);
         let mut all: Vec<(Member, SocketAddr)> =
-            others.map(|card| (member(card), card.internal)).collect();
+            others.map(|info| (member(info), info.internal)).collect();
         all.push((member(own), own.internal));
         (member(own), all)
     }
 
     /// The id of this instance.
     pub(crate) fn id(&self) -> InstanceId {
-        self.settings.borrow().card.id.clone()
+        self.settings.borrow().info.id.clone()
     }
 
     /// The state of the load exchange.
@@ -336,7 +336,7 @@
     /// The own zone, the number of its instances, and their aggregate load.
     pub(crate) fn zone_aggregate(&self) -> (ZoneId, usize, Vec<LoadReport>) {
         let (instances, loads) = self.loads.borrow().zone_aggregate();
-        (self.settings.borrow().card.zone.clone(), instances, loads)
+        (self.settings.borrow().info.zone.clone(), instances, loads)
     }
 
     /// Removes reports of peers that have expired.
@@ -378,9 +378,9 @@
                 self.loads.borrow_mut().reset(&id);
             }
         }
-        self.apply_contacts(now, update.contacts, update.pulses);
-        if let Some(pulse) = &update.pulse {
-            self.upstreams.borrow_mut().apply_heartbeat(now, from, pulse);
+        self.apply_contacts(now, update.contacts, update.instance_heartbeats);
+        if let Some(heartbeat) = &update.heartbeat {
+            self.upstreams.borrow_mut().apply_heartbeat(now, from, heartbeat);
         }
         if !update.waits.is_empty() {
             *self.waits.borrow_mut() = update.waits;
@@ -398,15 +398,15 @@
         &self,
         now: Time,
         changed: Vec<(InstanceInfo, bool, u32)>,
-        pulses: Vec<(InstanceId, u32)>,
+        instance_heartbeats: Vec<(InstanceId, u32)>,
     ) {
         let mut contacts = self.contacts.borrow_mut();
-        for (card, ready, age) in changed {
+        for (info, ready, age) in changed {
             let age = Duration::from_millis(age.into());
             let status = Status { ready, spare: Vec::new() };
-            contacts.update(now, card, Some(status), age);
+            contacts.update(now, info, Some(status), age);
         }
-        for (id, age) in pulses {
+        for (id, age) in instance_heartbeats {
             contacts.renew(now, &id, Duration::from_millis(age.into()));
         }
     }
@@ -425,13 +425,13 @@
 
     /// The nearest keepers with an open link. Only they send renewals; all keepers send changes.
     fn primary_keepers(&self) -> Vec<SocketAddr> {
-        let own = self.card();
+        let own = self.info();
         let contacts = self.contacts.borrow();
         let distance = |address: &SocketAddr| {
             let known = contacts.all().iter().find(|it| it.info.internal == *address);
             known.map_or(3, |it| match &it.info {
-                card if card.zone == own.zone => 0,
-                card if card.region == own.region => 1,
+                info if info.zone == own.zone => 0,
+                info if info.region == own.region => 1,
                 _ => 2,
             })
         };
@@ -448,12 +448,12 @@
             let seen = head.evacuations().restored_since(own.evacuations());
             let was_away = seen.is_none();
             tracing::info!(round = head.round, evacuated = ?head.evacuated, was_away, ?restored, %from, "evacuated zones changed");
-            let mut suspicions = self.suspicions.borrow_mut();
+            let mut cold_detector = self.cold_detector.borrow_mut();
             match seen {
-                Some(zones) => zones.iter().for_each(|zone| suspicions.zone_restored(now, zone)),
+                Some(zones) => zones.iter().for_each(|zone| cold_detector.zone_restored(now, zone)),
                 None => restored.iter().for_each(|(zone, age)| {
                     let age = Duration::from_millis((*age).into());
-                    suspicions.zone_restored(now.saturating_sub(age), zone);
+                    cold_detector.zone_restored(now.saturating_sub(age), zone);
                 }),
             }
             own.round = head.round;
@@ -471,11 +471,11 @@
     fn fetch(&self, from: SocketAddr, version: TableVersion) {
         let now = self.now();
         let own = self.version();
-        let is_asked = self
+        let is_requested = self
             .fetch_in_flight
             .get()
-            .is_some_and(|(asked, when)| asked >= version && now - when < FETCH_TIMEOUT);
-        if version > own && !is_asked && self.links.send(from, &Message::Fetch(version)) {
+            .is_some_and(|(requested, when)| requested >= version && now - when < FETCH_TIMEOUT);
+        if version > own && !is_requested && self.links.send(from, &Message::Fetch(version)) {
             self.fetch_in_flight.set(Some((version, now)));
         }
     }
@@ -537,8 +537,8 @@
 }
 
 impl LinkOwner for Entry {
-    fn card(&self) -> InstanceInfo {
-        self.settings.borrow().card.clone()
+    fn info(&self) -> InstanceInfo {
+        self.settings.borrow().info.clone()
     }
 
     fn status(&self) -> Status {
--- a/crates/medlarlug-gateway/src/entry/plan.rs
+++ b/crates/medlarlug-gateway/src/entry/plan.rs
@@ -141,15 +141,15 @@
     /// Decides whether the call is sent to the hop now. Only first attempts with long prompts at
     /// engines are queued for prefill.
     pub(super) fn admission(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> PrefillDecision {
-        let turn = self.next_admission(entry, hop);
+        let decision = self.next_admission(entry, hop);
         self.admission_wait = match hop {
-            Some(Hop::Upstream { choice, .. }) if turn == PrefillDecision::Wait => {
+            Some(Hop::Upstream { choice, .. }) if decision == PrefillDecision::Wait => {
                 let current = self.admission_wait.take().filter(|it| it.choice.id == choice.id);
                 current.or_else(|| Some(AdmissionWait::begin(entry, choice)))
             }
             _ => None,
         };
-        turn
+        decision
     }
 
     fn next_admission(&self, entry: &Entry, hop: Option<&Hop>) -> PrefillDecision {
@@ -160,12 +160,12 @@
         let now = entry.now();
         let waited = now - self.began;
         let is_free = entry.loads.borrow().can_admit(now, choice, entry.exchange.instances());
-        let turn =
+        let decision =
             prefill_queue::decide(is_free, waited, self.route.objective, self.route.priority);
-        if turn != PrefillDecision::Wait {
-            entry.turn_waits.borrow_mut().record(now, waited);
+        if decision != PrefillDecision::Wait {
+            entry.queue_waits.borrow_mut().record(now, waited);
         }
-        turn
+        decision
     }
 
     /// Counts a stream that broke off. If it came from another instance, that one has resumed it
@@ -177,7 +177,7 @@
     }
 
     /// How long the stream of a hop may pause before another hop resumes it; `None` for no limit.
-    pub(super) fn silence_limit(&self, hop: &Hop) -> Option<Duration> {
+    pub(super) fn idle_timeout(&self, hop: &Hop) -> Option<Duration> {
         let source = hop.source();
         // No attempt is left after another instance broke off, see `count_broken`.
         let is_left = source == StreamSource::Upstream && self.attempts.may_send();
--- a/crates/medlarlug-gateway/src/entry/relay.rs
+++ b/crates/medlarlug-gateway/src/entry/relay.rs
@@ -75,14 +75,14 @@
     stream: &mut EventStream,
     sender: &Sender<Part>,
 ) -> Step {
-    let silence = plan.silence_limit(stream.hop());
+    let idle_timeout = plan.idle_timeout(stream.hop());
     loop {
         let left = plan.answer_by - entry.now();
         if left.is_zero() {
             return Step::Late;
         }
         let piece = tokio::select! {
-            piece = timeout(silence.map_or(left, |limit| limit.min(left)), stream.next()) => piece,
+            piece = timeout(idle_timeout.map_or(left, |limit| limit.min(left)), stream.next()) => piece,
             () = sender.closed() => return Step::Left,
         };
         let events = match piece {
--- a/crates/medlarlug-gateway/src/entry/serve.rs
+++ b/crates/medlarlug-gateway/src/entry/serve.rs
@@ -98,21 +98,21 @@
         });
         let name = if is_taken { names::RETRIES } else { names::RETRIES_DENIED };
         metrics::counter!(name).increment(1);
-        let Balance { calls, retries: repeats, remaining: left } = balance;
+        let Balance { calls, retries, remaining } = balance;
         let (share, instances) = (share.allowance(bounds), share.instances);
         let up_ms = self.uptime().as_millis() as u64;
-        tracing::info!(request = %call.id, %service, is_taken, calls, repeats, left, share, instances, up_ms, "retry requested");
+        tracing::info!(request = %call.id, %service, is_taken, calls, repeats = retries, left = remaining, share, instances, up_ms, "retry requested");
         is_taken
     }
 
     /// The `Retry-After` for a call that no upstream of the service accepts because they back off
     /// or have a rate limit; `None` if neither is the reason.
     fn upstream_retry_after(&self, plan: &Plan, left: Duration) -> Option<Duration> {
-        let spread = rand::rng().random();
+        let jitter = rand::rng().random();
         let interval = self.permit_interval(&self.limited_upstreams(plan));
         match (self.backoff_remaining(&plan.service), interval) {
-            (_, Some(interval)) => Some(load_shedding::retry_after(interval, left, spread)),
-            (Some(rest), None) => Some(load_shedding::retry_after_backoff(rest, spread)),
+            (_, Some(interval)) => Some(load_shedding::retry_after(interval, left, jitter)),
+            (Some(backoff), None) => Some(load_shedding::retry_after_backoff(backoff, jitter)),
             (None, None) => None,
         }
     }
@@ -292,7 +292,7 @@
 enum Resolution {
     Answer(Response<Bytes>),
     Stream(Box<attempt::EventStream>),
-    Refuse { after: Duration },
+    Refuse { retry_after: Duration },
     Fail { status: StatusCode, why: Unknown },
 }
 
@@ -300,7 +300,7 @@
 async fn run_attempts(entry: &Rc<Entry>, call: &Call, plan: &mut Plan) -> Resolution {
     let mut answer: Option<Response<Bytes>> = None;
     let mut unknown: Option<Unknown> = None;
-    let mut after: Option<Duration> = None;
+    let mut retry_after: Option<Duration> = None;
     loop {
         let now = entry.now();
         let left = plan.answer_by - now;
@@ -332,12 +332,12 @@
                     continue;
                 }
                 PrefillDecision::Refuse => {
-                    let after = load_shedding::retry_after(
+                    let retry_after = load_shedding::retry_after(
                         plan.route.objective,
                         left,
                         rand::rng().random(),
                     );
-                    verdict = Verdict::Refuse { retry_after: after };
+                    verdict = Verdict::Refuse { retry_after };
                 }
             }
         }
@@ -354,16 +354,16 @@
                     };
                     return Resolution::Fail { status, why };
                 }
-                if let Some(after) = quarantine {
-                    let (content, for_s) = (call.content, after.as_secs());
+                if let Some(retry_after) = quarantine {
+                    let (content, for_s) = (call.content, retry_after.as_secs());
                     metrics::counter!(names::QUARANTINED_CALLS).increment(1);
                     tracing::info!(request = %call.id, %content, for_s, "refusing quarantined content");
-                    return Resolution::Refuse { after };
+                    return Resolution::Refuse { retry_after };
                 }
                 let own = match verdict {
-                    Verdict::Refuse { retry_after: after } => match hop {
-                        None => entry.upstream_retry_after(plan, left).unwrap_or(after),
-                        Some(_) => after,
+                    Verdict::Refuse { retry_after } => match hop {
+                        None => entry.upstream_retry_after(plan, left).unwrap_or(retry_after),
+                        Some(_) => retry_after,
                     },
                     Verdict::Serve => {
                         load_shedding::retry_after(Duration::ZERO, left, rand::rng().random())
@@ -378,7 +378,7 @@
                     tried = %plan.path.join(","),
                     "refusing"
                 );
-                return Resolution::Refuse { after: after.unwrap_or(own) };
+                return Resolution::Refuse { retry_after: retry_after.unwrap_or(own) };
             }
         };
         match plan.attempt(entry, call, &hop).await {
@@ -391,7 +391,9 @@
                 answer = Some(found);
             }
             Outcome::Stream(stream) => return Resolution::Stream(stream),
-            Outcome::NotRun(NotRun::Refused { after: named, .. }) => after = named.or(after),
+            Outcome::NotRun(NotRun::Refused { retry_after: named, .. }) => {
+                retry_after = named.or(retry_after)
+            }
             Outcome::NotRun(NotRun::Misdirected | NotRun::Unreachable | NotRun::Withdrawn) => {}
             Outcome::Unknown(why) => {
                 unknown = Some(why);
@@ -430,9 +432,9 @@
             task::spawn_local(relay::run(entry.clone(), call, plan, stream, sender));
             Reported { answer, report }
         }
-        Resolution::Refuse { after } => {
+        Resolution::Refuse { retry_after } => {
             plan.record_outcome(entry, &call, CallOutcome::Refused);
-            refusal(entry, &call, after, plan.attempts.report(true))
+            refusal(entry, &call, retry_after, plan.attempts.report(true))
         }
         Resolution::Fail { status, why } => {
             let ended = match why {
@@ -447,10 +449,10 @@
     }
 }
 
-/// The answer to a call that was not run; the caller may retry it after `after`.
-fn refusal(entry: &Entry, call: &Call, after: Duration, report: HandoverReport) -> Reported {
+/// The answer to a call that was not run; the caller may retry it after `retry_after`.
+fn refusal(entry: &Entry, call: &Call, retry_after: Duration, report: HandoverReport) -> Reported {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "not run; come back later");
-    let seconds = format!("{:.3}", after.as_secs_f64());
+    let seconds = format!("{:.3}", retry_after.as_secs_f64());
     body::insert(answer.headers_mut(), header::RETRY_AFTER.as_str(), &seconds);
     echo_id(entry, call, &mut answer);
     Reported { answer, report }
--- a/crates/medlarlug-gateway/src/headers.rs
+++ b/crates/medlarlug-gateway/src/headers.rs
@@ -26,8 +26,8 @@
     /// In an answer: the rate limit of the upstream that sent it, in requests per second over all
     /// entry instances together.
     pub limit: HeaderName,
-    /// Scheduling rank of a call at a model engine; 0 is served first.
-    pub rank: HeaderName,
+    /// Scheduling priority of a call at a model engine; 0 is served first.
+    pub priority: HeaderName,
     /// Headers that only the system sets; they are removed from callers' requests.
     pub reserved: Vec<HeaderName>,
 }
--- a/crates/medlarlug-gateway/src/keeper/loops.rs
+++ b/crates/medlarlug-gateway/src/keeper/loops.rs
@@ -40,7 +40,7 @@
 }
 
 async fn serve_link(keeper: Rc<Keeper>, stream: TcpStream) {
-    let (card, sender, mut receiver): (InstanceInfo, _, LinkReceiver) =
+    let (info, sender, mut receiver): (InstanceInfo, _, LinkReceiver) =
         match link::accept(stream).await {
             Ok(accepted) => accepted,
             Err(error) => {
@@ -49,19 +49,19 @@
             }
         };
     let now = keeper.now();
-    let is_new = keeper.contacts.borrow_mut().update(now, card.clone(), None, Duration::ZERO);
-    tracing::info!(instance = %card.id, part = ?card.part, is_new, "link accepted");
-    let link = keeper.subscribers.borrow_mut().add(card.id.clone(), card.part, sender);
+    let is_new = keeper.contacts.borrow_mut().update(now, info.clone(), None, Duration::ZERO);
+    tracing::info!(instance = %info.id, part = ?info.part, is_new, "link accepted");
+    let link = keeper.subscribers.borrow_mut().add(info.id.clone(), info.part, sender);
     keeper.links.connect_new(&keeper);
     keeper.push();
     let error = loop {
         match receiver.receive().await {
-            Ok(message) => keeper.on_subscriber_message(link, &card, message),
+            Ok(message) => keeper.on_subscriber_message(link, &info, message),
             Err(error) => break error,
         }
     };
     keeper.subscribers.borrow_mut().remove(link);
-    tracing::info!(instance = %card.id, error = %error_chain(&error), "link ended");
+    tracing::info!(instance = %info.id, error = %error_chain(&error), "link ended");
 }
 
 pub(super) async fn tick(keeper: Rc<Keeper>) {
--- a/crates/medlarlug-gateway/src/keeper/mod.rs
+++ b/crates/medlarlug-gateway/src/keeper/mod.rs
@@ -101,7 +101,7 @@
     last_call: Cell<u64>,
     head: RefCell<PublicationHead>,
     /// When the evacuation of each zone was withdrawn.
-    suspicions: RefCell<ColdDetector>,
+    cold_detector: RefCell<ColdDetector>,
     /// Facts from entry instances about contents that crash upstreams.
     facts: RefCell<FactLog>,
     /// The facts that are on disk, or being written.
@@ -127,7 +127,7 @@
     pub async fn start(settings: NodeSettings) -> Result<Rc<Keeper>, KeeperError> {
         let clock = Clock::start_after(MAX_UPDATE_AGE);
         let path = settings.data.clone().ok_or(KeeperError::NoFolder)?;
-        let folder = DataFolder::open(&path, &settings.card.id)?;
+        let folder = DataFolder::open(&path, &settings.info.id)?;
         let journal = Journal::open(&folder)?;
         let group = new_group(&settings, &folder, &journal, clock.now())?;
         let mut facts = FactLog::default();
@@ -135,7 +135,7 @@
             facts.apply(clock.now(), &fact);
         }
         let (writer, mut sync_reports) = Writer::start_persistent(journal)?;
-        let listener = http_server::listen("peers", settings.card.internal).await?;
+        let listener = http_server::listen("peers", settings.info.internal).await?;
         let keeper = Rc::new(Keeper {
             settings: RefCell::new(settings),
             clock,
@@ -150,7 +150,7 @@
             calls: RefCell::default(),
             last_call: Cell::new(0),
             head: RefCell::default(),
-            suspicions: RefCell::default(),
+            cold_detector: RefCell::default(),
             facts: RefCell::new(facts),
             stored_facts: RefCell::default(),
             membership: RefCell::default(),
@@ -209,7 +209,7 @@
 
     /// The availability zone of this keeper.
     pub fn zone(&self) -> ZoneId {
-        self.settings.borrow().card.zone.clone()
+        self.settings.borrow().info.zone.clone()
     }
 
     fn now(&self) -> Time {
@@ -275,7 +275,7 @@
     }
 
     fn send(&self, to: &InstanceId, message: medlarlug_core::replication::Message) {
-        let port = self.settings.borrow().card.internal.port();
+        let port = self.settings.borrow().info.internal.port();
         if let Some(address) = address_of(to, port) {
             self.links.send(address, &Message::Replication(message));
         }
@@ -287,7 +287,7 @@
     }
 
     fn reply(&self, caller: Caller, reply: GroupReply) {
-        if caller.instance == self.settings.borrow().card.id {
+        if caller.instance == self.settings.borrow().info.id {
             return self.complete_call(caller.call, reply);
         }
         let message = Message::Reply { call: caller.call, reply };
@@ -329,7 +329,7 @@
             settings.zones.iter().map(|it| it.0.clone()).collect()
         });
         let now = self.now();
-        restored.iter().for_each(|zone| self.suspicions.borrow_mut().zone_restored(now, zone));
+        restored.iter().for_each(|zone| self.cold_detector.borrow_mut().zone_restored(now, zone));
         *self.head.borrow_mut() = head;
     }
 
@@ -339,12 +339,12 @@
         let head = self.head.borrow();
         let upstreams = self.upstreams.borrow();
         let contacts = self.contacts.borrow();
-        let suspicions = self.suspicions.borrow();
+        let cold_detector = self.cold_detector.borrow();
         let state = KeeperState {
             upstreams: &upstreams,
             contacts: &contacts,
             head: &head,
-            suspicions: &suspicions,
+            cold_detector: &cold_detector,
             facts: &self.facts.borrow(),
         };
         subscribers.push(self.now(), state);
@@ -379,9 +379,9 @@
             let mut contacts = self.contacts.borrow_mut();
             let keepers =
                 update.contacts.into_iter().filter(|it| it.0.part == InstanceKind::Keeper);
-            for (card, _, age) in keepers {
+            for (info, _, age) in keepers {
                 let age = Duration::from_millis(age.into());
-                contacts.update(now, card, None, age);
+                contacts.update(now, info, None, age);
             }
         }
         is_changed |= self.apply_facts(&update.facts);
@@ -413,18 +413,18 @@
     }
 
     /// Handles a message on a link that the peer opened.
-    fn on_subscriber_message(&self, link: u64, card: &InstanceInfo, message: Message) {
+    fn on_subscriber_message(&self, link: u64, info: &InstanceInfo, message: Message) {
         let now = self.now();
         match message {
             Message::Ping { status, is_primary } => {
                 self.subscribers.borrow_mut().set_primary(link, is_primary);
                 let mut contacts = self.contacts.borrow_mut();
-                let was_ready = contacts.get(&card.id).is_some_and(|it| it.status.ready);
+                let was_ready = contacts.get(&info.id).is_some_and(|it| it.status.ready);
                 if was_ready != status.ready {
-                    tracing::info!(instance = %card.id, ready = status.ready, "readiness changed");
+                    tracing::info!(instance = %info.id, ready = status.ready, "readiness changed");
                 }
-                contacts.update(now, card.clone(), Some(status), Duration::ZERO);
-                self.subscribers.borrow().send(&card.id, &Message::Pong);
+                contacts.update(now, info.clone(), Some(status), Duration::ZERO);
+                self.subscribers.borrow().send(&info.id, &Message::Pong);
             }
             Message::Acknowledged(number) => {
                 self.subscribers.borrow_mut().acknowledged(link, number)
@@ -438,17 +438,17 @@
                 let version = publication.version();
                 let bytes = publication.document().to_vec();
                 let document = Message::Document { version, bytes };
-                self.subscribers.borrow().send(&card.id, &document);
+                self.subscribers.borrow().send(&info.id, &document);
             }
             Message::Replication(message) => {
-                let from = card.id.clone();
+                let from = info.id.clone();
                 self.drive_group(|group, now, out| group.receive(now, from, message, out));
             }
             Message::Leaving { upstream, birth } => {
                 let effect = self.upstreams.borrow_mut().mark_draining(&upstream, birth);
                 if effect == Effect::Changed {
                     let birth = birth.0;
-                    tracing::info!(%upstream, birth, instance = %card.id, "upstream announced in an answer that it is leaving");
+                    tracing::info!(%upstream, birth, instance = %info.id, "upstream announced in an answer that it is leaving");
                     self.push();
                 }
             }
@@ -461,7 +461,7 @@
                 }
             }
             Message::Call { call, request } => {
-                let caller = Caller { instance: card.id.clone(), call };
+                let caller = Caller { instance: info.id.clone(), call };
                 self.drive_group(|group, now, out| group.call(now, caller, request, out));
             }
             Message::Hello(_)
@@ -469,7 +469,7 @@
             | Message::Update(_)
             | Message::Document { .. }
             | Message::Reply { .. } => {
-                tracing::warn!(instance = %card.id, "unexpected message");
+                tracing::warn!(instance = %info.id, "unexpected message");
             }
         }
     }
@@ -481,8 +481,8 @@
 const LEADERSHIP_TRANSFER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl LinkOwner for Keeper {
-    fn card(&self) -> InstanceInfo {
-        self.settings.borrow().card.clone()
+    fn info(&self) -> InstanceInfo {
+        self.settings.borrow().info.clone()
     }
 
     fn status(&self) -> Status {
@@ -495,7 +495,7 @@
 
     fn keepers(&self) -> Vec<SocketAddr> {
         let settings = self.settings.borrow();
-        let port = settings.card.internal.port();
+        let port = settings.info.internal.port();
         let group = self.group.borrow();
         let members = group.replica().membership().map(|it| it.members()).unwrap_or_default();
         let members = members.iter().filter_map(|member| address_of(&member.key.id, port));
@@ -534,7 +534,7 @@
     if let Some(snapshot) = &restored.snapshot {
         machine.restore(&id, &snapshot.data)?;
     }
-    let key = MemberKey { id: settings.card.id.clone(), storage: folder.storage() };
+    let key = MemberKey { id: settings.info.id.clone(), storage: folder.storage() };
     let founders = settings.contacts.iter().filter_map(|it| instance_at(it.ip()).ok()).collect();
     let voters = 2 * settings.tolerance + 1;
     let mut config =
--- a/crates/medlarlug-gateway/src/keeper/requests.rs
+++ b/crates/medlarlug-gateway/src/keeper/requests.rs
@@ -189,7 +189,7 @@
 
     /// Makes one attempt; `None` if no leader is known or it does not answer.
     async fn attempt(&self, request: GroupRequest) -> Option<GroupReply> {
-        let own = self.settings.borrow().card.id.clone();
+        let own = self.settings.borrow().info.id.clone();
         let leader = self.group.borrow().replica().leader().cloned()?;
         let call = self.last_call.get() + 1;
         self.last_call.set(call);
@@ -199,7 +199,7 @@
             let caller = Caller { instance: own, call };
             self.drive_group(|group, now, out| group.call(now, caller, request, out));
         } else {
-            let port = self.settings.borrow().card.internal.port();
+            let port = self.settings.borrow().info.internal.port();
             let address = address_of(&leader, port)?;
             self.links.send(address, &Message::Call { call, request });
         }
--- a/crates/medlarlug-gateway/src/keeper_links.rs
+++ b/crates/medlarlug-gateway/src/keeper_links.rs
@@ -13,7 +13,7 @@
 /// The process that owns links to keepers: supplies what is sent over them and handles messages.
 pub(crate) trait LinkOwner: 'static {
     /// The introduction of this process, sent when a link is opened.
-    fn card(&self) -> InstanceInfo;
+    fn info(&self) -> InstanceInfo;
     /// The state that pings report.
     fn status(&self) -> Status;
     /// Whether this process wants renewals from the keeper at `address`, in addition to changes.
@@ -62,7 +62,7 @@
 
     /// Starts a task for each keeper of `owner` to which no task maintains a link yet.
     pub(crate) fn connect_new<O: LinkOwner>(&self, owner: &Rc<O>) {
-        let own = owner.card().internal;
+        let own = owner.info().internal;
         for address in owner.keepers() {
             if address == own || !self.add(address) {
                 continue;
@@ -95,7 +95,7 @@
 async fn maintain<O: LinkOwner>(links: Links, owner: Rc<O>, address: SocketAddr) {
     let mut was_open = true;
     while owner.keepers().contains(&address) {
-        let error = match link::open(address, owner.card()).await {
+        let error = match link::open(address, owner.info()).await {
             Ok((sender, receiver)) => {
                 tracing::info!(keeper = %address, "link opened");
                 links.set(address, Some(sender.clone()));
--- a/crates/medlarlug-gateway/src/link.rs
+++ b/crates/medlarlug-gateway/src/link.rs
@@ -58,7 +58,8 @@
     /// To keepers: upstreams that renewed their announcement at the sender.
     pub renewals: Vec<Renewal>,
     /// To entry instances: all upstreams have renewed their announcement, except for those listed.
-    pub pulse: Option<Heartbeat>,
+    #[serde(rename = "pulse")]
+    pub heartbeat: Option<Heartbeat>,
     /// The replicated state, if it has changed.
     pub head: Option<PublicationHead>,
     /// Sent with `head`: the zones that were evacuated earlier, each with the time since the
@@ -68,7 +69,8 @@
     /// message in milliseconds.
     pub contacts: Vec<(InstanceInfo, bool, u32)>,
     /// All live instances, each with the time since its last message in milliseconds.
-    pub pulses: Vec<(InstanceId, u32)>,
+    #[serde(rename = "pulses")]
+    pub instance_heartbeats: Vec<(InstanceId, u32)>,
     /// Predicted waiting times by region and service.
     pub waits: Vec<RegionWait>,
     /// Crashes and clearances of contents that crash upstreams.
@@ -102,8 +104,8 @@
     Ping {
         /// Readiness and spare capacity of the sender.
         status: Status,
-        /// Whether the sender wants renewals, pulses and waiting times from this keeper in addition
-        /// to changes.
+        /// Whether the sender wants renewals, heartbeats and waiting times from this keeper in
+        /// addition to changes.
         is_primary: bool,
     },
     /// The answer to a ping.
@@ -246,7 +248,7 @@
 /// The connection could not be opened within [`CONNECT_TIMEOUT`].
 pub async fn open(
     address: SocketAddr,
-    card: InstanceInfo,
+    info: InstanceInfo,
 ) -> Result<(LinkSender, LinkReceiver), LinkError> {
     let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
@@ -254,7 +256,7 @@
         Err(_) => return Err(LinkError::Connect { address, source: None }),
     };
     let (sender, receiver) = split(stream);
-    sender.send(&Message::Hello(card));
+    sender.send(&Message::Hello(info));
     Ok((sender, receiver))
 }
 
@@ -268,7 +270,7 @@
 ) -> Result<(InstanceInfo, LinkSender, LinkReceiver), LinkError> {
     let (sender, mut receiver) = split(stream);
     match receiver.receive().await? {
-        Message::Hello(card) => Ok((card, sender, receiver)),
+        Message::Hello(info) => Ok((info, sender, receiver)),
         _ => Err(LinkError::NoIntroduction),
     }
 }
--- a/crates/medlarlug-gateway/src/loads.rs
+++ b/crates/medlarlug-gateway/src/loads.rs
@@ -1,8 +1,8 @@
 //! Exchanges the in-flight load at upstreams between the entry instances of a region.
 //!
-//! [`medlarlug_core::gateway::load_exchange`] decides who reports to whom. The messages are datagrams.
-//! Most hold the complete load and replace the message before, so a lost one only delays the
-//! others' view. A long prompt changes the queue of its engine so much that the other instances
+//! [`medlarlug_core::gateway::load_exchange`] decides who reports to whom. The messages are
+//! datagrams. Most hold the complete load and replace the message before, so a lost one only delays
+//! the others' view. A long prompt changes the queue of its engine so much that the other instances
 //! must know it before they place their own, and so does a call to a plain service with few slots:
 //! such changes are sent at once, as the load of that upstream alone.
 
@@ -150,9 +150,9 @@
     /// Whether to request aggregates from the collector at position `place`. The others are asked
     /// only while the preferred one is unresponsive.
     fn wants_aggregate(&self, now: Time, place: usize) -> bool {
-        let is_silent =
-            self.aggregate_received.get().is_none_or(|heard| now - heard > COLLECTOR_TIMEOUT);
-        self.role.get() == Some(Role::Reporter) && (place == 0 || is_silent)
+        let is_unresponsive =
+            self.aggregate_received.get().is_none_or(|received| now - received > COLLECTOR_TIMEOUT);
+        self.role.get() == Some(Role::Reporter) && (place == 0 || is_unresponsive)
     }
 
     fn subscribe(&self, now: Time, peer: Peer) {
--- a/crates/medlarlug-gateway/src/settings.rs
+++ b/crates/medlarlug-gateway/src/settings.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
     /// Id, role, zone, region and addresses of this process.
-    pub card: InstanceInfo,
+    pub info: InstanceInfo,
     /// Region of each zone, sorted by zone.
     pub zones: Vec<(ZoneId, RegionId)>,
     /// Internal addresses of some keepers, from which the others are discovered.
@@ -67,7 +67,7 @@
 
     /// Whether the process runs as a keeper rather than as an entry instance.
     pub fn is_keeper(&self) -> bool {
-        self.card.part == InstanceKind::Keeper
+        self.info.part == InstanceKind::Keeper
     }
 }
 
--- a/crates/medlarlug-gateway/src/subscribers.rs
+++ b/crates/medlarlug-gateway/src/subscribers.rs
@@ -2,9 +2,9 @@
 //!
 //! Changes are sent to all links at once. Renewals of upstreams and signs of life of instances
 //! would be most of the traffic, and grow with upstreams times instances. They go to an entry
-//! instance only from the few keepers that it has chosen as primary, and for upstreams as a pulse
-//! that lists only the late ones; another keeper receives a renewal from the keeper that the
-//! upstream renewed itself at.
+//! instance only from the few keepers that it has chosen as primary, and for upstreams as a
+//! heartbeat that lists only the late ones; another keeper receives a renewal from the keeper that
+//! the upstream renewed itself at.
 
 use std::{cell::OnceCell, time::Duration};
 
@@ -22,10 +22,11 @@
 use crate::link::{LinkSender, Message, PublicationHead, Update};
 
 /// Time between two transmissions of the signs of life of all instances on one link.
-const PULSE_INTERVAL: Duration = Duration::from_millis(800);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Up to this number of late upstreams, a pulse is sent in every round of updates. Behind a network
-/// partition all upstreams are late, and the pulse goes out once per [`PULSE_INTERVAL`] only.
+/// Up to this number of late upstreams, a heartbeat is sent in every round of updates. Behind a
+/// network partition all upstreams are late, and the heartbeat goes out once per
+/// [`HEARTBEAT_INTERVAL`] only.
 const MAX_LATE_EVERY_ROUND: usize = 60;
 
 /// A link that another process opened.
@@ -36,7 +37,7 @@
     /// Number of the link, unique in this process; one peer may have several links.
     link: u64,
     sender: LinkSender,
-    /// Whether the peer wants renewals, pulses and waiting times.
+    /// Whether the peer wants renewals, heartbeats and waiting times.
     is_primary: bool,
     /// What has been sent so far.
     sent: SentState,
@@ -54,7 +55,7 @@
     contacts: u64,
     head: Option<PublicationHead>,
     /// When the signs of life of all instances were last sent.
-    pulses_sent: Option<Time>,
+    heartbeats_sent: Option<Time>,
     waits: Vec<RegionWait>,
     facts: u64,
 }
@@ -65,7 +66,7 @@
     pub(crate) upstreams: &'a Upstreams,
     pub(crate) contacts: &'a Contacts,
     pub(crate) head: &'a PublicationHead,
-    pub(crate) suspicions: &'a ColdDetector,
+    pub(crate) cold_detector: &'a ColdDetector,
     pub(crate) facts: &'a FactLog,
 }
 
@@ -73,23 +74,24 @@
 struct UpdateRound<'a> {
     now: Time,
     state: KeeperState<'a>,
-    pulse: OnceCell<Heartbeat>,
-    pulses: OnceCell<Vec<(InstanceId, u32)>>,
+    heartbeat: OnceCell<Heartbeat>,
+    instance_heartbeats: OnceCell<Vec<(InstanceId, u32)>>,
     waits: OnceCell<Vec<RegionWait>>,
 }
 
 impl<'a> UpdateRound<'a> {
     fn new(now: Time, state: KeeperState<'a>) -> UpdateRound<'a> {
-        let (pulse, pulses, waits) = (OnceCell::new(), OnceCell::new(), OnceCell::new());
-        UpdateRound { now, state, pulse, pulses, waits }
+        let (heartbeat, instance_heartbeats, waits) =
+            (OnceCell::new(), OnceCell::new(), OnceCell::new());
+        UpdateRound { now, state, heartbeat, instance_heartbeats, waits }
     }
 
-    fn pulse(&self) -> &Heartbeat {
-        self.pulse.get_or_init(|| self.state.upstreams.heartbeat(self.now))
+    fn heartbeat(&self) -> &Heartbeat {
+        self.heartbeat.get_or_init(|| self.state.upstreams.heartbeat(self.now))
     }
 
-    fn pulses(&self) -> &Vec<(InstanceId, u32)> {
-        self.pulses.get_or_init(|| {
+    fn instance_heartbeats(&self) -> &Vec<(InstanceId, u32)> {
+        self.instance_heartbeats.get_or_init(|| {
             let live = self.state.contacts.live(self.now);
             live.map(|it| (it.info.id.clone(), millis(self.now - it.last_seen))).collect()
         })
@@ -188,7 +190,7 @@
 impl Subscriber {
     fn next_update(&mut self, round: &UpdateRound) -> Option<Update> {
         let now = round.now;
-        let KeeperState { upstreams, contacts, head, suspicions, facts } = round.state;
+        let KeeperState { upstreams, contacts, head, cold_detector, facts } = round.state;
         let mut update = Update::default();
         let is_keeper = self.part == InstanceKind::Keeper;
         // Other keepers receive the remaining upstreams from the keeper that those announced
@@ -196,20 +198,20 @@
         let is_forwarded = |known: &&KnownUpstream| !is_keeper || known.is_local;
         if upstreams.change() > self.sent.upstreams {
             let changed = upstreams.changed_since(self.sent.upstreams).filter(is_forwarded);
-            let told = changed.map(|it| (it.upstream.clone(), millis(now - it.announced_at)));
-            update.upstreams = told.collect();
+            let with_ages = changed.map(|it| (it.upstream.clone(), millis(now - it.announced_at)));
+            update.upstreams = with_ages.collect();
             self.sent.upstreams = upstreams.change();
         }
         if contacts.change() > self.sent.contacts {
             let changed = contacts.changed_since(self.sent.contacts);
-            let told =
+            let with_ages =
                 changed.map(|it| (it.info.clone(), it.status.ready, millis(now - it.last_seen)));
-            update.contacts = told.collect();
+            update.contacts = with_ages.collect();
             self.sent.contacts = contacts.change();
         }
         if self.sent.head.as_ref() != Some(head) {
             update.head = Some(head.clone());
-            let restored = suspicions.restored_zones().iter();
+            let restored = cold_detector.restored_zones().iter();
             update.restored = restored.map(|it| (it.0.clone(), millis(now - it.1))).collect();
             self.sent.head = Some(head.clone());
         }
@@ -218,13 +220,14 @@
             update.renewals = renewed.map(|known| renewal(now, known)).collect();
             self.sent.renewals = upstreams.renewal();
         } else if self.is_primary {
-            let is_due = self.sent.pulses_sent.is_none_or(|sent| now - sent >= PULSE_INTERVAL);
-            if is_due || round.pulse().late.len() <= MAX_LATE_EVERY_ROUND {
-                update.pulse = Some(round.pulse().clone());
+            let is_due =
+                self.sent.heartbeats_sent.is_none_or(|sent| now - sent >= HEARTBEAT_INTERVAL);
+            if is_due || round.heartbeat().late.len() <= MAX_LATE_EVERY_ROUND {
+                update.heartbeat = Some(round.heartbeat().clone());
             }
             if is_due {
-                self.sent.pulses_sent = Some(now);
-                update.pulses.clone_from(round.pulses());
+                self.sent.heartbeats_sent = Some(now);
+                update.instance_heartbeats.clone_from(round.instance_heartbeats());
             }
         }
         if self.is_primary && !is_keeper && *round.waits() != self.sent.waits {
