--- a/crates/medlarlug-core/src/suspects/trials.rs
+++ b/crates/medlarlug-core/src/suspects/trials.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     fingerprint::Fingerprint,
-    gateway::placing::rank,
+    gateway::placement::rendezvous_rank,
     ids::InstanceId,
     suspects::{FACT_LIFETIME, QUARANTINE_LIFETIME},
     time::Time,
@@ -72,5 +72,5 @@
 /// The one of `instances` that runs the trials of `content`; does not depend on their order.
 pub fn trial_instance(content: Fingerprint, instances: &[InstanceId]) -> Option<&InstanceId> {
     let content = content.to_string();
-    instances.iter().max_by_key(|instance| rank(&content, instance.as_str()))
+    instances.iter().max_by_key(|instance| rendezvous_rank(&content, instance.as_str()))
 }
--- a/crates/medlarlug-gateway/src/entry/attempt.rs
+++ b/crates/medlarlug-gateway/src/entry/attempt.rs
@@ -11,10 +11,10 @@
 };
 use medlarlug_core::{
     gateway::{
-        availability::Rest,
-        handover::{Attempts, Report},
-        health::CallEnd,
-        placing::Choice,
+        availability::Backoff,
+        handover::{Attempts, HandoverReport},
+        health::UpstreamOutcome,
+        placement::Choice,
         table::RouteKind,
         upstreams::Birth,
     },
@@ -42,9 +42,9 @@
 /// Longest stream, in bytes: ten times the longest answer of the first deployments, which has 200
 /// events of 4 KB.
 const MAX_STREAM_BYTES: usize = 8 << 20;
-/// Rank of calls at engines whose route has a lower priority than engines know; these support ranks
-/// 0 to 9.
-const LOWEST_RANK: u8 = 9;
+/// Priority of calls at engines whose route has a lower one than engines know; these support 0 to
+/// 9.
+const LOWEST_PRIORITY: u8 = 9;
 
 /// What all attempts of a call have in common.
 pub(super) struct AttemptContext<'a> {
@@ -100,7 +100,7 @@
     /// The upstream refused the call, because it is full or leaving.
     Refused {
         /// The `Retry-After` of the refusal, if it has one.
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// A different upstream answers at the address.
     Misdirected,
@@ -148,12 +148,13 @@
             let now = self.entry.now();
             match &self.counted_at {
                 CountedAt::Upstream(choice) => {
-                    self.entry.loads.borrow_mut().answered(now, choice, now - self.began);
+                    self.entry.loads.borrow_mut().record_first_token(now, choice, now - self.began);
                     report_at_once(&self.entry, choice);
                 }
                 CountedAt::Region(region, tokens) => {
-                    self.entry
-                        .update_forwarded_tokens(region, |unread| unread.saturating_sub(*tokens));
+                    self.entry.update_forwarded_tokens(region, |tokens_pending| {
+                        tokens_pending.saturating_sub(*tokens)
+                    });
                 }
             }
         }
@@ -168,13 +169,15 @@
         }
         match &self.counted_at {
             CountedAt::Upstream(choice) => {
-                self.entry.loads.borrow_mut().ended(now, choice, self.has_first_token);
+                self.entry.loads.borrow_mut().record_end(now, choice, self.has_first_token);
                 if !self.has_first_token {
                     report_at_once(&self.entry, choice);
                 }
             }
             CountedAt::Region(region, tokens) if !self.has_first_token => {
-                self.entry.update_forwarded_tokens(region, |unread| unread.saturating_sub(*tokens));
+                self.entry.update_forwarded_tokens(region, |tokens_pending| {
+                    tokens_pending.saturating_sub(*tokens)
+                });
             }
             CountedAt::Region(..) => {}
         }
@@ -276,11 +279,13 @@
     match (&outcome, hop) {
         (Outcome::NotRun(NotRun::Unreachable | NotRun::Withdrawn), _) => {}
         (_, Hop::Peer { .. }) => match report {
-            Some(report) if !matches!(outcome, Outcome::Unknown(_)) => attempts.reported(report),
-            _ => attempts.unreported(),
+            Some(report) if !matches!(outcome, Outcome::Unknown(_)) => {
+                attempts.record_report(report)
+            }
+            _ => attempts.record_missing_report(),
         },
-        (Outcome::NotRun(_), Hop::Upstream { .. }) => attempts.refused(),
-        (_, Hop::Upstream { .. }) => attempts.ran(),
+        (Outcome::NotRun(_), Hop::Upstream { .. }) => attempts.record_refusal(),
+        (_, Hop::Upstream { .. }) => attempts.record_run(),
     }
     outcome
 }
@@ -291,7 +296,7 @@
     entry: &Rc<Entry>,
     context: &AttemptContext<'_>,
     hop: &Hop,
-    report: &mut Option<Report>,
+    report: &mut Option<HandoverReport>,
 ) -> Outcome {
     let now = entry.now();
     let left = context.answer_by - now;
@@ -353,23 +358,23 @@
                 slot.answered();
                 slot.request_end = RequestEnd::Answered;
                 let end = match parts.status.is_server_error() {
-                    true => CallEnd::Failed,
-                    false => CallEnd::Answered,
+                    true => UpstreamOutcome::Failed,
+                    false => UpstreamOutcome::Answered,
                 };
                 record_health(entry, hop, end);
                 entry.client.give_back_among(connection, hop.idle());
                 Outcome::Answer(Response::from_parts(parts, bytes))
             }
             Err(ReadError::Cut) => {
-                record_health(entry, hop, CallEnd::Broken);
+                record_health(entry, hop, UpstreamOutcome::Broken);
                 Outcome::Unknown(Unknown::ConnectionLost)
             }
             Err(ReadError::TooLong) => {
-                record_health(entry, hop, CallEnd::Failed);
+                record_health(entry, hop, UpstreamOutcome::Failed);
                 Outcome::Unknown(Unknown::ForeignAnswer)
             }
             Err(ReadError::Late) => {
-                record_health(entry, hop, CallEnd::Failed);
+                record_health(entry, hop, UpstreamOutcome::Failed);
                 Outcome::Unknown(Unknown::TimedOut)
             }
         };
@@ -389,13 +394,13 @@
     match timeout(left, stream.next()).await {
         Ok(Piece::Events(events)) => {
             stream.ready = Some(events);
-            record_health(entry, hop, CallEnd::Answered);
+            record_health(entry, hop, UpstreamOutcome::Answered);
             Outcome::Stream(Box::new(stream))
         }
         // A stream without events is complete.
         Ok(Piece::End) => Outcome::Stream(Box::new(stream)),
         Ok(Piece::Broken) => {
-            record_health(entry, hop, CallEnd::Broken);
+            record_health(entry, hop, UpstreamOutcome::Broken);
             Outcome::Unknown(Unknown::ConnectionLost)
         }
         Err(_) => {
@@ -406,7 +411,7 @@
 }
 
 fn report_at_once(entry: &Entry, choice: &Choice) {
-    if choice.is_told() {
+    if choice.needs_immediate_report() {
         entry.exchange().report_at_once(&choice.id);
     }
 }
@@ -416,10 +421,10 @@
     let demand = &context.call.demand;
     let counted_at = match hop {
         Hop::Upstream { choice, birth, memory, cold_rate, .. } => {
-            entry.loads.borrow_mut().sent(now, choice, demand, *memory);
+            entry.loads.borrow_mut().record_sent(now, choice, demand, *memory);
             report_at_once(entry, choice);
             if let Some(rate) = cold_rate {
-                entry.cold.borrow_mut().sent(now, &choice.id, *rate);
+                entry.cold_pacer.borrow_mut().record_send(now, &choice.id, *rate);
                 let instances = entry.region_entries().len();
                 let up_ms = entry.uptime().as_millis() as u64;
                 metrics::counter!(names::COLD_REQUESTS).increment(1);
@@ -432,8 +437,8 @@
             CountedAt::Upstream(choice.clone())
         }
         Hop::Peer { region, .. } => {
-            let tokens = u64::from(demand.prompt);
-            entry.update_forwarded_tokens(region, |unread| unread + tokens);
+            let tokens = u64::from(demand.prompt_tokens);
+            entry.update_forwarded_tokens(region, |tokens_pending| tokens_pending + tokens);
             CountedAt::Region(region.clone(), tokens)
         }
     };
@@ -476,8 +481,8 @@
         Hop::Upstream { choice, .. } => {
             let id = header::HeaderValue::from_str(choice.id.as_str()).ok()?;
             headers.insert(names.expected_upstream.clone(), id);
-            let rank = context.priority.min(LOWEST_RANK);
-            headers.insert(names.rank.clone(), u64::from(rank).into());
+            let priority = context.priority.min(LOWEST_PRIORITY);
+            headers.insert(names.priority.clone(), u64::from(priority).into());
         }
         Hop::Peer { .. } => {
             headers.insert(forwarded::HANDOVER_HEADER, context.forwarded.clone()?);
@@ -501,7 +506,7 @@
         let now = self.now();
         let headers = answer.headers();
         let is_leaving = headers.get(&self.names.leaving).is_some_and(|value| value == "1");
-        if is_leaving && self.availabilities.borrow_mut().leaves(now, id, birth) {
+        if is_leaving && self.availabilities.borrow_mut().record_leaving(now, id, birth) {
             metrics::counter!(names::LEAVING_UPSTREAMS).increment(1);
             tracing::info!(request = %call.id, upstream = %id, birth = birth.0, "upstream announced in an answer that it is leaving");
             self.client.forget(address);
@@ -511,15 +516,17 @@
             return;
         }
         let Some(value) = headers.get(header::RETRY_AFTER) else { return };
-        match value.to_str().unwrap_or_default().parse::<Rest>() {
-            Ok(rest) => {
-                let spread = rand::rng().random();
-                let remaining =
-                    self.availabilities.borrow_mut().rests(now, id, birth, rest, spread);
+        match value.to_str().unwrap_or_default().parse::<Backoff>() {
+            Ok(backoff) => {
+                let jitter = rand::rng().random();
+                let remaining = self
+                    .availabilities
+                    .borrow_mut()
+                    .record_backoff(now, id, birth, backoff, jitter);
                 if let Some(remaining) = remaining {
                     let for_ms = remaining.as_millis() as u64;
                     metrics::counter!(names::BACKOFFS).increment(1);
-                    tracing::info!(request = %call.id, upstream = %id, birth = birth.0, %rest, for_ms, "upstream requested backoff");
+                    tracing::info!(request = %call.id, upstream = %id, birth = birth.0, rest = %backoff, for_ms, "upstream requested backoff");
                 }
             }
             Err(error) => {
@@ -535,7 +542,7 @@
     context: &AttemptContext,
     hop: &Hop,
     answer: &Response<Incoming>,
-    report: Option<Report>,
+    report: Option<HandoverReport>,
 ) -> Option<Outcome> {
     let names = &entry.names;
     let headers = answer.headers();
@@ -544,20 +551,20 @@
         return Some(Outcome::Unknown(Unknown::ForeignAnswer));
     }
     if report.is_some_and(|report| report.is_refused) {
-        return Some(Outcome::NotRun(NotRun::Refused { after: retry_after(headers) }));
+        return Some(Outcome::NotRun(NotRun::Refused { retry_after: retry_after(headers) }));
     }
     if headers.contains_key(&names.not_run) {
-        record_health(entry, hop, CallEnd::Refused);
-        return Some(Outcome::NotRun(NotRun::Refused { after: retry_after(headers) }));
+        record_health(entry, hop, UpstreamOutcome::Refused);
+        return Some(Outcome::NotRun(NotRun::Refused { retry_after: retry_after(headers) }));
     }
     if answer.status() == StatusCode::MISDIRECTED_REQUEST {
-        record_health(entry, hop, CallEnd::Unreachable);
+        record_health(entry, hop, UpstreamOutcome::Unreachable);
         return Some(Outcome::NotRun(NotRun::Misdirected));
     }
     let is_signed = headers.contains_key(&names.signature);
     let is_encoded = headers.contains_key(header::CONTENT_ENCODING);
     if answer.status().is_success() && (!is_signed || is_encoded) {
-        record_health(entry, hop, CallEnd::Failed);
+        record_health(entry, hop, UpstreamOutcome::Failed);
         return Some(Outcome::Unknown(Unknown::ForeignAnswer));
     }
     None
@@ -579,16 +586,16 @@
             {
                 entry.refused_connection(&choice.id);
             }
-            record_health(entry, hop, CallEnd::Unreachable);
+            record_health(entry, hop, UpstreamOutcome::Unreachable);
             Outcome::NotRun(NotRun::Unreachable)
         }
         CallError::Withdrawn { .. } => Outcome::NotRun(NotRun::Withdrawn),
         CallError::Lost { .. } => {
-            record_health(entry, hop, CallEnd::Broken);
+            record_health(entry, hop, UpstreamOutcome::Broken);
             Outcome::Unknown(Unknown::ConnectionLost)
         }
         CallError::Silent { address, .. } => {
-            record_health(entry, hop, CallEnd::Failed);
+            record_health(entry, hop, UpstreamOutcome::Failed);
             entry.client.forget(*address);
             Outcome::Unknown(Unknown::TimedOut)
         }
@@ -596,16 +603,16 @@
 }
 
 /// Records the result of a request for the health of its upstream.
-pub(super) fn record_health(entry: &Rc<Entry>, hop: &Hop, end: CallEnd) {
+pub(super) fn record_health(entry: &Rc<Entry>, hop: &Hop, end: UpstreamOutcome) {
     let Hop::Upstream { choice, address, cold_rate, .. } = hop else { return };
     let end = match end {
-        CallEnd::Answered if cold_rate.is_some() => CallEnd::AnsweredCold,
+        UpstreamOutcome::Answered if cold_rate.is_some() => UpstreamOutcome::AnsweredCold,
         end => end,
     };
-    if end == CallEnd::Broken {
+    if end == UpstreamOutcome::Broken {
         entry.start_crash_check(&choice.id, *address);
     }
-    let avoided = entry.healths.borrow_mut().ended(entry.now(), &choice.id, end);
+    let avoided = entry.healths.borrow_mut().record(entry.now(), &choice.id, end);
     if let Some(pause) = avoided {
         tracing::warn!(upstream = %choice.id, avoid_ms = pause.as_millis() as u64, ?end, "upstream avoided");
     }
--- a/crates/medlarlug-gateway/src/entry/call.rs
+++ b/crates/medlarlug-gateway/src/entry/call.rs
@@ -6,7 +6,7 @@
 use hyper::{HeaderMap, Method, header, http::request};
 use medlarlug_core::{
     fingerprint::Fingerprint,
-    gateway::placing::{Demand, PromptPart},
+    gateway::placement::{Demand, PromptPart},
 };
 use smol_str::SmolStr;
 
@@ -93,7 +93,7 @@
     headers.remove(header::EXPECT);
     headers.remove(&names.deadline);
     headers.remove(&names.expected_upstream);
-    headers.remove(&names.rank);
+    headers.remove(&names.priority);
     headers.remove(super::forwarded::HANDOVER_HEADER);
     for name in &names.reserved {
         headers.remove(name);
@@ -139,5 +139,5 @@
     let mut counts = counts.split(',').map(|count| count.trim().parse().unwrap_or(0));
     let prompt = counts.next().unwrap_or(0);
     let output = counts.next().unwrap_or(0);
-    Demand { parts: parts.collect(), prompt, output, rank: 0 }
+    Demand { parts: parts.collect(), prompt_tokens: prompt, max_output_tokens: output, priority: 0 }
 }
--- a/crates/medlarlug-gateway/src/entry/plan.rs
+++ b/crates/medlarlug-gateway/src/entry/plan.rs
@@ -4,13 +4,13 @@
 
 use medlarlug_core::{
     gateway::{
-        budget::Spending,
+        attempt_timeout,
         handover::{Attempts, Handover},
-        patience,
-        placing::Choice,
-        silence::{self, Source},
+        placement::Choice,
+        prefill_queue::{self, PrefillDecision},
+        retry_budget::Spending,
+        stream_timeout::{self, StreamSource},
         table::{Route, RouteTable, ServiceName},
-        turns::{self, Turn},
     },
     time::Time,
 };
@@ -73,7 +73,7 @@
 
 impl AdmissionWait {
     fn begin(entry: &Rc<Entry>, choice: &Choice) -> AdmissionWait {
-        entry.loads.borrow_mut().waits(choice);
+        entry.loads.borrow_mut().enqueue(choice);
         entry.exchange.report_at_once(&choice.id);
         AdmissionWait { entry: entry.clone(), choice: choice.clone() }
     }
@@ -81,7 +81,7 @@
 
 impl Drop for AdmissionWait {
     fn drop(&mut self) {
-        self.entry.loads.borrow_mut().waits_no_longer(&self.choice);
+        self.entry.loads.borrow_mut().dequeue(&self.choice);
         self.entry.exchange.report_at_once(&self.choice.id);
     }
 }
@@ -112,11 +112,11 @@
         // The call's own place in the prefill queue must not count against it.
         let own = self.admission_wait.as_ref().map(|it| &it.choice);
         if let Some(choice) = own {
-            entry.loads.borrow_mut().waits_no_longer(choice);
+            entry.loads.borrow_mut().dequeue(choice);
         }
         let hop = entry.choose(self, &call.demand);
         if let Some(choice) = own {
-            entry.loads.borrow_mut().waits(choice);
+            entry.loads.borrow_mut().enqueue(choice);
         }
         hop
     }
@@ -140,47 +140,52 @@
 
     /// Decides whether the call is sent to the hop now. Only first attempts with long prompts at
     /// engines are queued for prefill.
-    pub(super) fn admission(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> Turn {
-        let turn = self.next_admission(entry, hop);
+    pub(super) fn admission(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> PrefillDecision {
+        let decision = self.next_admission(entry, hop);
         self.admission_wait = match hop {
-            Some(Hop::Upstream { choice, .. }) if turn == Turn::Wait => {
+            Some(Hop::Upstream { choice, .. }) if decision == PrefillDecision::Wait => {
                 let current = self.admission_wait.take().filter(|it| it.choice.id == choice.id);
                 current.or_else(|| Some(AdmissionWait::begin(entry, choice)))
             }
             _ => None,
         };
-        turn
+        decision
     }
 
-    fn next_admission(&self, entry: &Entry, hop: Option<&Hop>) -> Turn {
-        let Some(Hop::Upstream { choice, .. }) = hop else { return Turn::Go };
+    fn next_admission(&self, entry: &Entry, hop: Option<&Hop>) -> PrefillDecision {
+        let Some(Hop::Upstream { choice, .. }) = hop else { return PrefillDecision::Send };
         if self.attempts.arrivals() > 0 || !choice.is_long() {
-            return Turn::Go;
+            return PrefillDecision::Send;
         }
         let now = entry.now();
         let waited = now - self.began;
-        let is_free = entry.loads.borrow().is_free(now, choice, entry.exchange.instances());
-        let turn = turns::turn(is_free, waited, self.route.objective, self.route.priority);
-        if turn != Turn::Wait {
-            entry.turn_waits.borrow_mut().count(now, waited);
+        let is_free = entry.loads.borrow().can_admit(now, choice, entry.exchange.instances());
+        let decision =
+            prefill_queue::decide(is_free, waited, self.route.objective, self.route.priority);
+        if decision != PrefillDecision::Wait {
+            entry.queue_waits.borrow_mut().record(now, waited);
         }
-        turn
+        decision
     }
 
     /// Counts a stream that broke off. If it came from another instance, that one has resumed it
     /// elsewhere before it gave up, but can no longer report its attempts.
     pub(super) fn count_broken(&mut self, hop: &Hop) {
         if matches!(hop, Hop::Peer { .. }) {
-            self.attempts.unreported();
+            self.attempts.record_missing_report();
         }
     }
 
     /// How long the stream of a hop may pause before another hop resumes it; `None` for no limit.
-    pub(super) fn silence_limit(&self, hop: &Hop) -> Option<Duration> {
+    pub(super) fn idle_timeout(&self, hop: &Hop) -> Option<Duration> {
         let source = hop.source();
         // No attempt is left after another instance broke off, see `count_broken`.
-        let is_left = source == Source::Upstream && self.attempts.may_send();
-        silence::limit(source, self.route.pause, self.route.kind.is_repeatable() && is_left)
+        let is_left = source == StreamSource::Upstream && self.attempts.may_send();
+        stream_timeout::idle_timeout(
+            source,
+            self.route.pause,
+            self.route.kind.is_repeatable() && is_left,
+        )
     }
 
     /// Whether the call goes to model engines.
@@ -209,7 +214,7 @@
             Hop::Upstream { choice, age, .. } => {
                 self.tried.upstreams.push(choice.id.clone());
                 let (wait, age) = (choice.wait.as_millis(), age.as_millis());
-                let unread = choice.unread;
+                let unread = choice.prefill_tokens;
                 self.path.push(format!("{}(wait={wait}ms,unread={unread},age={age}ms)", choice.id));
             }
             Hop::Peer { id, .. } => {
@@ -220,17 +225,17 @@
             }
         }
         let left = self.answer_by - entry.now();
-        let answer_timeout = patience::limit(patience::Attempt {
+        let answer_timeout = attempt_timeout::first_token_timeout(attempt_timeout::Attempt {
             source: hop.source(),
-            wait: hop.wait(),
+            predicted_wait: hop.wait(),
             objective: self.route.objective,
-            left,
-            is_last: !self.route.kind.is_repeatable() || self.attempts.left() <= 1,
+            time_left: left,
+            is_last: !self.route.kind.is_repeatable() || self.attempts.runs_left() <= 1,
         });
         let forwarded = match hop {
             Hop::Peer { .. } => forwarded::encode(&Handover {
                 version: self.table.version(),
-                route: Route { attempts: self.attempts.left().max(1), ..self.route.clone() },
+                route: Route { attempts: self.attempts.runs_left().max(1), ..self.route.clone() },
                 service: self.service.clone(),
                 arrivals: self.attempts.arrivals_left(),
             }),
@@ -254,7 +259,7 @@
         }
         if self.attempts.arrivals() > before {
             // Retries at the other instance were taken from the budget there.
-            self.spending.arrived();
+            self.spending.record_arrival();
         }
         match (&outcome, hop) {
             (Outcome::NotRun(NotRun::Unreachable | NotRun::Misdirected), _) => {
--- a/crates/medlarlug-gateway/src/entry/relay.rs
+++ b/crates/medlarlug-gateway/src/entry/relay.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use medlarlug::{protocol::events, transport::body::Part};
-use medlarlug_core::gateway::health::CallEnd;
+use medlarlug_core::gateway::health::UpstreamOutcome;
 use tokio::{
     sync::mpsc::Sender,
     time::{sleep, timeout},
@@ -57,7 +57,7 @@
             Step::Late => return plan.record_outcome(&entry, &call, CallOutcome::TimedOut),
             Step::Broken => {}
         }
-        attempt::record_health(&entry, stream.hop(), CallEnd::Broken);
+        attempt::record_health(&entry, stream.hop(), UpstreamOutcome::Broken);
         plan.count_broken(stream.hop());
         // Closes the connection before another upstream resumes the stream.
         drop(stream);
@@ -75,14 +75,14 @@
     stream: &mut EventStream,
     sender: &Sender<Part>,
 ) -> Step {
-    let silence = plan.silence_limit(stream.hop());
+    let idle_timeout = plan.idle_timeout(stream.hop());
     loop {
         let left = plan.answer_by - entry.now();
         if left.is_zero() {
             return Step::Late;
         }
         let piece = tokio::select! {
-            piece = timeout(silence.map_or(left, |limit| limit.min(left)), stream.next()) => piece,
+            piece = timeout(idle_timeout.map_or(left, |limit| limit.min(left)), stream.next()) => piece,
             () = sender.closed() => return Step::Left,
         };
         let events = match piece {
--- a/crates/medlarlug-gateway/src/entry/serve.rs
+++ b/crates/medlarlug-gateway/src/entry/serve.rs
@@ -7,11 +7,11 @@
 use medlarlug::transport::body::{self, Answer, BodyError};
 use medlarlug_core::{
     gateway::{
-        budget::{Balance, Share, Spending},
-        handover::{Attempts, Handover, Report},
-        refusing::{self, Outlook, Verdict},
+        handover::{Attempts, Handover, HandoverReport},
+        load_shedding::{self, CallForecast, Verdict},
+        prefill_queue::PrefillDecision,
+        retry_budget::{Balance, InstanceShare, Spending},
         table::ServiceName,
-        turns::Turn,
     },
     time::Time,
 };
@@ -94,50 +94,50 @@
         let now = self.now();
         let share = self.share();
         let (is_taken, balance) = self.with_window(service, |window| {
-            (window.take(now, bounds, share), window.balance(bounds, share))
+            (window.try_take_retry(now, bounds, share), window.balance(bounds, share))
         });
         let name = if is_taken { names::RETRIES } else { names::RETRIES_DENIED };
         metrics::counter!(name).increment(1);
-        let Balance { calls, repeats, left } = balance;
-        let (share, instances) = (share.of(bounds), share.instances);
+        let Balance { calls, retries, remaining } = balance;
+        let (share, instances) = (share.allowance(bounds), share.instances);
         let up_ms = self.uptime().as_millis() as u64;
-        tracing::info!(request = %call.id, %service, is_taken, calls, repeats, left, share, instances, up_ms, "retry requested");
+        tracing::info!(request = %call.id, %service, is_taken, calls, repeats = retries, left = remaining, share, instances, up_ms, "retry requested");
         is_taken
     }
 
     /// The `Retry-After` for a call that no upstream of the service accepts because they back off
     /// or have a rate limit; `None` if neither is the reason.
     fn upstream_retry_after(&self, plan: &Plan, left: Duration) -> Option<Duration> {
-        let spread = rand::rng().random();
+        let jitter = rand::rng().random();
         let interval = self.permit_interval(&self.limited_upstreams(plan));
         match (self.backoff_remaining(&plan.service), interval) {
-            (_, Some(interval)) => Some(refusing::after(interval, left, spread)),
-            (Some(rest), None) => Some(refusing::after_rest(rest, spread)),
+            (_, Some(interval)) => Some(load_shedding::retry_after(interval, left, jitter)),
+            (Some(backoff), None) => Some(load_shedding::retry_after_backoff(backoff, jitter)),
             (None, None) => None,
         }
     }
 
     /// This instance's share of the retries that a service is allowed beyond the ratio to its
     /// calls.
-    fn share(&self) -> Share {
+    fn share(&self) -> InstanceShare {
         let is_first = self.settings.borrow().first_start;
-        Share {
-            instances: self.contacts.borrow().most_entries(),
-            age: (!is_first).then(|| self.uptime()),
-            has_seen_all: self.view.borrow().was_complete(),
+        InstanceShare {
+            instances: self.contacts.borrow().peak_entries(),
+            process_age: (!is_first).then(|| self.uptime()),
+            has_complete_view: self.view.borrow().was_complete(),
         }
     }
 
     fn count_call(&self, service: &ServiceName) {
         let bounds = self.settings.borrow().retries;
         let now = self.now();
-        self.with_window(service, |window| window.count(now, bounds));
+        self.with_window(service, |window| window.record_call(now, bounds));
     }
 
     fn with_window<T>(
         &self,
         service: &ServiceName,
-        act: impl FnOnce(&mut medlarlug_core::gateway::budget::RetryWindow) -> T,
+        act: impl FnOnce(&mut medlarlug_core::gateway::retry_budget::RetryWindow) -> T,
     ) -> T {
         let mut windows = self.retry_windows.borrow_mut();
         let at = match windows.binary_search_by(|it| it.0.cmp(service)) {
@@ -169,7 +169,7 @@
         None => {
             tracing::warn!("refusing a forwarded call without a valid route");
             let call = Call::read(request.into_parts().0, &entry.names);
-            refusal(&entry, &call, NO_TABLE_RETRY_AFTER, Report::REFUSED)
+            refusal(&entry, &call, NO_TABLE_RETRY_AFTER, HandoverReport::REFUSED)
         }
     };
     reported.for_instance()
@@ -189,14 +189,14 @@
         Ok(plan) => plan,
         Err(reported) => return *reported,
     };
-    call.demand.rank = plan.route.priority;
+    call.demand.priority = plan.route.priority;
     let limit = plan.table.limits().body_bytes;
     match timeout(plan.answer_by - entry.now(), body::read(incoming, limit)).await {
         Ok(Ok(bytes)) => call.set_body(bytes),
         Err(_) => {
             plan.record_outcome(entry, &call, CallOutcome::TimedOut);
             let answer = plain(StatusCode::REQUEST_TIMEOUT, "the body took too long; not run");
-            return Reported { answer, report: Report::REFUSED };
+            return Reported { answer, report: HandoverReport::REFUSED };
         }
         Ok(Err(BodyError::TooLong { .. })) => {
             plan.record_outcome(entry, &call, CallOutcome::Rejected);
@@ -246,7 +246,7 @@
     let table = entry.table.borrow().clone();
     let Some(table) = table else {
         tracing::info!(request = %call.id, outcome = "refused", "no table yet");
-        return Err(Box::new(refusal(entry, call, NO_TABLE_RETRY_AFTER, Report::REFUSED)));
+        return Err(Box::new(refusal(entry, call, NO_TABLE_RETRY_AFTER, HandoverReport::REFUSED)));
     };
     let is_forwarded = forwarded.is_some();
     let most_arrivals = forwarded.as_ref().map_or(MAX_ARRIVALS, |it| it.arrivals);
@@ -292,7 +292,7 @@
 enum Resolution {
     Answer(Response<Bytes>),
     Stream(Box<attempt::EventStream>),
-    Refuse { after: Duration },
+    Refuse { retry_after: Duration },
     Fail { status: StatusCode, why: Unknown },
 }
 
@@ -300,7 +300,7 @@
 async fn run_attempts(entry: &Rc<Entry>, call: &Call, plan: &mut Plan) -> Resolution {
     let mut answer: Option<Response<Bytes>> = None;
     let mut unknown: Option<Unknown> = None;
-    let mut after: Option<Duration> = None;
+    let mut retry_after: Option<Duration> = None;
     loop {
         let now = entry.now();
         let left = plan.answer_by - now;
@@ -319,18 +319,25 @@
         }
         let wait = hop.as_ref().map(Hop::wait);
         let objective = plan.is_on_engines().then_some(plan.route.objective);
-        let mut verdict = refusing::judge(Outlook { wait, left, objective }, rand::rng().random());
+        let mut verdict = load_shedding::decide(
+            CallForecast { predicted_wait: wait, time_left: left, objective },
+            rand::rng().random(),
+        );
         if verdict == Verdict::Serve {
             match plan.admission(entry, hop.as_ref()) {
-                Turn::Go => {}
-                Turn::Wait => {
+                PrefillDecision::Send => {}
+                PrefillDecision::Wait => {
                     sleep(ADMISSION_POLL_INTERVAL.mul_f64(rand::rng().random_range(0.5..1.5)))
                         .await;
                     continue;
                 }
-                Turn::Refuse => {
-                    let after = refusing::after(plan.route.objective, left, rand::rng().random());
-                    verdict = Verdict::Refuse { after };
+                PrefillDecision::Refuse => {
+                    let retry_after = load_shedding::retry_after(
+                        plan.route.objective,
+                        left,
+                        rand::rng().random(),
+                    );
+                    verdict = Verdict::Refuse { retry_after };
                 }
             }
         }
@@ -347,18 +354,20 @@
                     };
                     return Resolution::Fail { status, why };
                 }
-                if let Some(after) = quarantine {
-                    let (content, for_s) = (call.content, after.as_secs());
+                if let Some(retry_after) = quarantine {
+                    let (content, for_s) = (call.content, retry_after.as_secs());
                     metrics::counter!(names::QUARANTINED_CALLS).increment(1);
                     tracing::info!(request = %call.id, %content, for_s, "refusing quarantined content");
-                    return Resolution::Refuse { after };
+                    return Resolution::Refuse { retry_after };
                 }
                 let own = match verdict {
-                    Verdict::Refuse { after } => match hop {
-                        None => entry.upstream_retry_after(plan, left).unwrap_or(after),
-                        Some(_) => after,
+                    Verdict::Refuse { retry_after } => match hop {
+                        None => entry.upstream_retry_after(plan, left).unwrap_or(retry_after),
+                        Some(_) => retry_after,
                     },
-                    Verdict::Serve => refusing::after(Duration::ZERO, left, rand::rng().random()),
+                    Verdict::Serve => {
+                        load_shedding::retry_after(Duration::ZERO, left, rand::rng().random())
+                    }
                 };
                 tracing::info!(
                     request = %call.id,
@@ -369,7 +378,7 @@
                     tried = %plan.path.join(","),
                     "refusing"
                 );
-                return Resolution::Refuse { after: after.unwrap_or(own) };
+                return Resolution::Refuse { retry_after: retry_after.unwrap_or(own) };
             }
         };
         match plan.attempt(entry, call, &hop).await {
@@ -382,7 +391,9 @@
                 answer = Some(found);
             }
             Outcome::Stream(stream) => return Resolution::Stream(stream),
-            Outcome::NotRun(NotRun::Refused { after: named, .. }) => after = named.or(after),
+            Outcome::NotRun(NotRun::Refused { retry_after: named, .. }) => {
+                retry_after = named.or(retry_after)
+            }
             Outcome::NotRun(NotRun::Misdirected | NotRun::Unreachable | NotRun::Withdrawn) => {}
             Outcome::Unknown(why) => {
                 unknown = Some(why);
@@ -421,9 +432,9 @@
             task::spawn_local(relay::run(entry.clone(), call, plan, stream, sender));
             Reported { answer, report }
         }
-        Resolution::Refuse { after } => {
+        Resolution::Refuse { retry_after } => {
             plan.record_outcome(entry, &call, CallOutcome::Refused);
-            refusal(entry, &call, after, plan.attempts.report(true))
+            refusal(entry, &call, retry_after, plan.attempts.report(true))
         }
         Resolution::Fail { status, why } => {
             let ended = match why {
@@ -438,10 +449,10 @@
     }
 }
 
-/// The answer to a call that was not run; the caller may retry it after `after`.
-fn refusal(entry: &Entry, call: &Call, after: Duration, report: Report) -> Reported {
+/// The answer to a call that was not run; the caller may retry it after `retry_after`.
+fn refusal(entry: &Entry, call: &Call, retry_after: Duration, report: HandoverReport) -> Reported {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "not run; come back later");
-    let seconds = format!("{:.3}", after.as_secs_f64());
+    let seconds = format!("{:.3}", retry_after.as_secs_f64());
     body::insert(answer.headers_mut(), header::RETRY_AFTER.as_str(), &seconds);
     echo_id(entry, call, &mut answer);
     Reported { answer, report }
@@ -449,7 +460,7 @@
 
 /// The answer to a call that matches no route or exceeds a size limit.
 fn rejected(status: StatusCode, text: &'static str) -> Reported {
-    Reported { answer: plain(status, text), report: Report::REJECTED }
+    Reported { answer: plain(status, text), report: HandoverReport::REJECTED }
 }
 
 fn echo_id(entry: &Entry, call: &Call, answer: &mut Answer) {
--- a/crates/medlarlug-gateway/src/keeper/requests.rs
+++ b/crates/medlarlug-gateway/src/keeper/requests.rs
@@ -8,7 +8,7 @@
 };
 use medlarlug_core::{
     gateway::{
-        contacts::directory,
+        contacts::entry_addresses,
         publication::{Command, Publication},
         table::{RouteTable, TableVersion},
         upstreams::{Effect, Upstream, UpstreamState},
@@ -54,8 +54,8 @@
         let id = upstream.id.clone();
         let (birth, sequence, state) = (upstream.birth.0, upstream.sequence, upstream.state);
         let now = self.now();
-        let age = self.stall.borrow().age(now);
-        let effect = self.upstreams.borrow_mut().announce_here(now, upstream, age);
+        let age = self.stall.borrow().max_message_age(now);
+        let effect = self.upstreams.borrow_mut().announce_local(now, upstream, age);
         self.count_announcement(effect);
         if effect == Effect::Changed {
             let age_ms = age.as_millis() as u64;
@@ -71,7 +71,7 @@
     /// when a timeout passes.
     pub async fn upstream_left(&self, id: &UpstreamId, unknown: Upstream) {
         let now = self.now();
-        let effect = self.upstreams.borrow_mut().leave_unknown(now, unknown);
+        let effect = self.upstreams.borrow_mut().mark_unknown_gone(now, unknown);
         self.count_announcement(effect);
         if effect == Effect::Changed {
             tracing::info!(upstream = %id, "upstream left");
@@ -139,7 +139,7 @@
             (Some(table), Some(host)) => table.homes_of(host),
             _ => Vec::new(),
         };
-        directory(&self.contacts.borrow(), self.now(), zone, region, &homes)
+        entry_addresses(&self.contacts.borrow(), self.now(), zone, region, &homes)
     }
 
     /// Parses a table with the function from the settings.
@@ -189,7 +189,7 @@
 
     /// Makes one attempt; `None` if no leader is known or it does not answer.
     async fn attempt(&self, request: GroupRequest) -> Option<GroupReply> {
-        let own = self.settings.borrow().card.id.clone();
+        let own = self.settings.borrow().info.id.clone();
         let leader = self.group.borrow().replica().leader().cloned()?;
         let call = self.last_call.get() + 1;
         self.last_call.set(call);
@@ -199,7 +199,7 @@
             let caller = Caller { instance: own, call };
             self.drive_group(|group, now, out| group.call(now, caller, request, out));
         } else {
-            let port = self.settings.borrow().card.internal.port();
+            let port = self.settings.borrow().info.internal.port();
             let address = address_of(&leader, port)?;
             self.links.send(address, &Message::Call { call, request });
         }
--- a/crates/medlarlug-gateway/src/loads.rs
+++ b/crates/medlarlug-gateway/src/loads.rs
@@ -1,8 +1,8 @@
 //! Exchanges the in-flight load at upstreams between the entry instances of a region.
 //!
-//! [`medlarlug_core::gateway::exchange`] decides who reports to whom. The messages are datagrams.
-//! Most hold the complete load and replace the message before, so a lost one only delays the
-//! others' view. A long prompt changes the queue of its engine so much that the other instances
+//! [`medlarlug_core::gateway::load_exchange`] decides who reports to whom. The messages are
+//! datagrams. Most hold the complete load and replace the message before, so a lost one only delays
+//! the others' view. A long prompt changes the queue of its engine so much that the other instances
 //! must know it before they place their own, and so does a call to a plain service with few slots:
 //! such changes are sent at once, as the load of that upstream alone.
 
@@ -16,8 +16,8 @@
 
 use medlarlug_core::{
     gateway::{
-        exchange::{Member, Plan, Role, SILENCE},
-        peer_loads::{LoadReport, Source, UpstreamKey, find},
+        load_exchange::{COLLECTOR_TIMEOUT, ExchangePlan, Member, Role},
+        peer_loads::{LoadReport, ReportSource, UpstreamKey, load_of},
     },
     ids::{InstanceId, UpstreamId, ZoneId},
     time::Time,
@@ -133,13 +133,13 @@
     /// Assigns roles from the instances that are alive now.
     fn plan(&self, own: &Member, region: &[(Member, SocketAddr)]) {
         let members: Vec<Member> = region.iter().map(|it| it.0.clone()).collect();
-        let plan = Plan::of(own, &members);
+        let plan = ExchangePlan::of(own, &members);
         let addressed = |ids: &[InstanceId]| -> Vec<Peer> {
             let known = ids.iter().filter_map(|id| region.iter().find(|it| it.0.id == *id));
             known.map(|(member, address)| (member.id.clone(), *address)).collect()
         };
         *self.report_to.borrow_mut() = addressed(&plan.report_to);
-        *self.aggregate_to.borrow_mut() = addressed(&plan.sum_to);
+        *self.aggregate_to.borrow_mut() = addressed(&plan.aggregate_to);
         self.instances.set(members.len());
         if self.role.replace(Some(plan.role)) != Some(plan.role) {
             let instances = members.len();
@@ -150,8 +150,9 @@
     /// Whether to request aggregates from the collector at position `place`. The others are asked
     /// only while the preferred one is unresponsive.
     fn wants_aggregate(&self, now: Time, place: usize) -> bool {
-        let is_silent = self.aggregate_received.get().is_none_or(|heard| now - heard > SILENCE);
-        self.role.get() == Some(Role::Reporter) && (place == 0 || is_silent)
+        let is_unresponsive =
+            self.aggregate_received.get().is_none_or(|received| now - received > COLLECTOR_TIMEOUT);
+        self.role.get() == Some(Role::Reporter) && (place == 0 || is_unresponsive)
     }
 
     fn subscribe(&self, now: Time, peer: Peer) {
@@ -274,7 +275,7 @@
 ) -> Datagram {
     let is_whole = changed.is_none();
     let loads = match changed {
-        Some(changed) => changed.iter().map(|it| find(&loads, *it)).collect(),
+        Some(changed) => changed.iter().map(|it| load_of(&loads, *it)).collect(),
         None => loads,
     };
     Datagram::Aggregate { zone, is_whole, instances, loads: truncate(loads) }
@@ -339,25 +340,25 @@
             if wants_aggregate {
                 exchange.subscribe(now, (from.clone(), address));
             }
-            (Source::Peer(from), is_whole, 1, loads)
+            (ReportSource::Peer(from), is_whole, 1, loads)
         }
         (Datagram::Aggregate { zone: None, is_whole, instances, loads }, Some(Role::Reporter)) => {
             let is_first = exchange.report_to.borrow().first().is_some_and(|it| it.1 == address);
             if is_first {
                 exchange.aggregate_received.set(Some(now));
             }
-            (Source::Collector, is_whole, instances, loads)
+            (ReportSource::Collector, is_whole, instances, loads)
         }
         (
             Datagram::Aggregate { zone: Some(zone), is_whole, instances, loads },
             Some(Role::Collector { .. }),
-        ) => (Source::Zone(zone), is_whole, instances, loads),
+        ) => (ReportSource::Zone(zone), is_whole, instances, loads),
         _ => return,
     };
     if is_whole {
         entry.apply_loads(source, instances, loads);
     } else {
-        let is_own_zone = matches!(source, Source::Peer(_));
+        let is_own_zone = matches!(source, ReportSource::Peer(_));
         loads.iter().for_each(|load| exchange.forward(load.upstream, is_own_zone));
         entry.apply_load_changes(&source, loads);
     }
