--- a/crates/medlarlug-core/src/membership/dead_peers.rs
+++ b/crates/medlarlug-core/src/membership/dead_peers.rs
@@ -1,10 +1,9 @@
 //! Reports of dead entry instances to keepers that don't watch them.
 //!
-//! In a large deployment an instance watches the instances of its own zone only, while the voters
-//! of a home group may run in any zone. The speaker of a zone reports the dead entry instances of
-//! its zone to the keepers elsewhere, at once and periodically. Nothing is sent while all are
-//! alive, so the cost is bounded by the number of dead instances and of keepers. If a whole zone
-//! fails, no instance is left to report it.
+//! In a large deployment an instance watches its own zone only, while the voters of a home group may
+//! run anywhere. The speaker of a zone reports to them which entry instances of its zone are dead, at
+//! once and periodically. Nothing is sent while all live, so the cost is bounded by the number of
+//! dead instances and keepers. If a whole zone fails, no instance is left to report it.
 
 use crate::{
     ids::ZoneId,
