--- a/crates/medlarlug-core/src/follower.rs
+++ b/crates/medlarlug-core/src/follower.rs
@@ -97,7 +97,7 @@
 pub enum Event {
     /// The instances that requests may be sent to; replaces the earlier ones.
     Sources(Sources),
-    /// An update was received without a request.
+    /// A keeper or peer pushed an update without a request.
     Pushed(Update),
     /// A source responded to a request.
     ResponseReceived(UpdateResponse),
--- a/crates/medlarlug-core/src/limits/bucket.rs
+++ b/crates/medlarlug-core/src/limits/bucket.rs
@@ -71,7 +71,7 @@
         self.share
     }
 
-    /// Capacity in tokens: the share of the burst, but at threshold one.
+    /// Capacity in tokens: the share of the burst, but at least one.
     fn capacity(&self) -> f64 {
         (self.share * f64::from(self.limit.burst.0)).max(1.0)
     }
--- a/crates/medlarlug-core/src/limits/report.rs
+++ b/crates/medlarlug-core/src/limits/report.rs
@@ -92,7 +92,7 @@
 /// [`LimitPolicy::refresh_interval`](super::LimitPolicy::refresh_interval) without one.
 ///
 /// Lists the teams whose demand has changed within the last [`REPORTS_PER_CHANGE`] reports, including this
-/// one, so that a lost report is made up for by the next; a full report lists every team with a demand.
+/// one, so that two consecutive lost reports leave no gap; a full report lists every team with a demand.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DemandReport {
     /// The reporting instance.
--- a/crates/medlarlug-core/src/suspects/trials.rs
+++ b/crates/medlarlug-core/src/suspects/trials.rs
@@ -8,8 +8,8 @@
 //! crashes its upstream in trials as well is refused for long.
 //!
 //! Evidence is weighed by how likely it is if the content is not at fault. If an upstream crashes by
-//! itself every few minutes and a trial runs for a second, a sound content fails about one trial in a
-//! hundred, and two in a row about once in ten thousand. After all upstreams have crashed together, the
+//! itself every few minutes and a trial runs for a second, a sound content fails one trial in a few
+//! hundred, and two in a row once in some ten thousand. After all upstreams have crashed together, the
 //! crashes that led to the quarantine are no evidence at all.
 //!
 //! Bound: a content that crashes upstreams crashes two or three before it is quarantined, one in each
