--- a/crates/medlarlug-core/tests/testsuite/gateway/remote_region.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/away.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use medlarlug_core::gateway::{
-    placement::{Demand, PromptPart},
-    remote_region::{RemoteService, predicted_cost},
+    away::{RemoteService, predicted_cost},
+    placing::{Demand, PromptPart},
 };
 
 const TOLD: Duration = Duration::from_millis(50);
--- a/crates/medlarlug-core/tests/testsuite/gateway/mod.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/mod.rs
@@ -1,21 +1,21 @@
 //! Decisions of a gateway in front of upstreams that announce themselves.
 
+mod allotment;
 mod announcements;
-mod attempt_timeout;
 mod availability;
+mod away;
 mod contacts;
 mod fixture;
 mod handover;
-mod keeper_view;
 mod limits;
 mod load_exchange;
-mod load_shedding;
-mod permits;
-mod placement;
-mod prefill_queue;
+mod named_limits;
+mod patience;
+mod placing;
 mod publication;
-mod remote_region;
+mod refusing;
+mod silence;
 mod stall;
-mod stream_timeout;
 mod table;
-mod upstream_limits;
+mod turns;
+mod view;
--- a/crates/medlarlug-core/tests/testsuite/gateway/upstream_limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/named_limits.rs
@@ -2,7 +2,7 @@
 
 use medlarlug_core::{
     gateway::{
-        upstream_limits::{LimitHeader, UpstreamLimit, UpstreamLimits},
+        named_limits::{LimitHeader, UpstreamLimit, UpstreamLimits},
         upstreams::Birth,
     },
     ids::UpstreamId,
--- a/crates/medlarlug-core/tests/testsuite/gateway/placement.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/placing.rs
@@ -5,7 +5,7 @@
 use medlarlug_core::{
     gateway::{
         peer_loads::{LoadReport, ReportSource, UpstreamKey},
-        placement::{Candidate, Choice, Demand, Loads, PromptPart},
+        placing::{Candidate, Choice, Demand, Loads, PromptPart},
     },
     ids::UpstreamId,
     time::Time,
--- a/crates/medlarlug-core/tests/testsuite/gateway/prefill_queue.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/turns.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use medlarlug_core::{
-    gateway::prefill_queue::{PrefillDecision, QueueWaits, decide},
+    gateway::turns::{PrefillDecision, QueueWaits, decide},
     time::Time,
 };
 
--- a/crates/medlarlug-gateway/src/entry/attempt.rs
+++ b/crates/medlarlug-gateway/src/entry/attempt.rs
@@ -14,7 +14,7 @@
         availability::Backoff,
         handover::{Attempts, HandoverReport},
         health::UpstreamOutcome,
-        placement::Choice,
+        placing::Choice,
         table::RouteKind,
         upstreams::Birth,
     },
--- a/crates/medlarlug-gateway/src/entry/call.rs
+++ b/crates/medlarlug-gateway/src/entry/call.rs
@@ -6,7 +6,7 @@
 use hyper::{HeaderMap, Method, header, http::request};
 use medlarlug_core::{
     fingerprint::Fingerprint,
-    gateway::placement::{Demand, PromptPart},
+    gateway::placing::{Demand, PromptPart},
 };
 use smol_str::SmolStr;
 
--- a/crates/medlarlug-gateway/src/entry/limited.rs
+++ b/crates/medlarlug-gateway/src/entry/limited.rs
@@ -1,7 +1,7 @@
 //! Upstreams that name a limit on the rate of requests from all entry instances together.
 //!
 //! An instance that receives a limit sends it to all instances of the region, and each request to
-//! such an upstream uses a permit; see [`medlarlug_core::gateway::permits`]. Permit requests,
+//! such an upstream uses a permit; see [`medlarlug_core::gateway::allotment`]. Permit requests,
 //! grants and limits travel as datagrams. A lost permit request or grant is made up for by the next
 //! request, a lost limit by the next answer of the upstream.
 
@@ -15,9 +15,9 @@
 use hyper::{HeaderMap, header::HeaderName};
 use medlarlug_core::{
     gateway::{
+        allotment::{PermitAllocator, PermitGrant, PermitRate, PermitRequest, Permits},
         cold,
-        permits::{PermitAllocator, PermitGrant, PermitRate, PermitRequest, Permits},
-        upstream_limits::{LimitError, LimitHeader, UpstreamLimit, UpstreamLimits},
+        named_limits::{LimitError, LimitHeader, UpstreamLimit, UpstreamLimits},
         upstreams::{Birth, KnownUpstream},
     },
     ids::{InstanceId, UpstreamId},
