--- a/crates/medlarlug-core/src/orders/bucket.rs
+++ b/crates/medlarlug-core/src/orders/bucket.rs
@@ -2,7 +2,7 @@
 
 use crate::{time::Time, units::Rate};
 
-/// Limits how often something may be done.
+/// Limits the rate of an operation.
 ///
 /// ```
 /// use medlarlug_core::{orders::TokenBucket, time::Time};
@@ -16,25 +16,25 @@
 pub struct TokenBucket {
     rate: Rate,
     capacity: f64,
-    level: f64,
-    read: Time,
+    tokens: f64,
+    updated_at: Time,
 }
 
 impl TokenBucket {
-    /// A bucket without a token that gains `rate` tokens a second, up to `capacity`.
+    /// Creates an empty bucket that gains `rate` tokens per second, up to `capacity`.
     pub fn empty(now: Time, rate: Rate, capacity: u32) -> TokenBucket {
-        TokenBucket { rate, capacity: f64::from(capacity), level: 0.0, read: now }
+        TokenBucket { rate, capacity: f64::from(capacity), tokens: 0.0, updated_at: now }
     }
 
-    /// Takes one token, if there is one.
+    /// Takes one token; returns false if there is none.
     pub fn take(&mut self, now: Time) -> bool {
-        let gained = (now - self.read).as_secs_f64() * self.rate.get();
-        self.level = (self.level + gained).min(self.capacity);
-        self.read = self.read.max(now);
-        if self.level < 1.0 {
+        let added = (now - self.updated_at).as_secs_f64() * self.rate.get();
+        self.tokens = (self.tokens + added).min(self.capacity);
+        self.updated_at = self.updated_at.max(now);
+        if self.tokens < 1.0 {
             return false;
         }
-        self.level -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/crates/medlarlug-core/src/orders/issuer.rs
+++ b/crates/medlarlug-core/src/orders/issuer.rs
@@ -1,4 +1,4 @@
-//! The core that issues orders under a lease.
+//! The core that issues orders while it holds a lease.
 
 use std::time::Duration;
 
@@ -15,17 +15,17 @@
 /// Durations and limits of an [`Issuer`]; equal on all instances of a region.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Timing {
-    /// Length of a lease, as asked for.
+    /// Lease duration that is requested.
     pub lease_duration: Duration,
-    /// Time between two requests for the lease.
+    /// Interval of requests for the lease.
     pub renewal_interval: Duration,
     /// Longest time between the sending of an order and its arrival at an engine.
     pub max_delivery_time: Duration,
-    /// Time after which an unanswered order is given up; at least `flight`.
+    /// Time after which an order counts as unanswered; at least `max_delivery_time`.
     pub answer_timeout: Duration,
-    /// Most that two clocks of the region can differ in speed: 0.01 is one part in a hundred.
+    /// Largest relative difference in speed between two clocks of the region: 0.01 is 1 %.
     pub max_clock_drift: f64,
-    /// Loads a second that the region's weight store permits.
+    /// Loads per second that the weight store of the region permits.
     pub load_rate: Rate,
     /// Loads that may be started at once after a pause.
     pub load_burst: u32,
@@ -45,85 +45,85 @@
     }
 }
 
-/// An event for an [`Issuer`].
+/// An input of an [`Issuer`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The home group answered the request for a lease with this token.
+    /// The home group granted the lease, in response to the request with this token.
     Granted {
         /// Token of [`Effect::Acquire`].
         token: u64,
         /// Term of the lease.
         term: Term,
-        /// Its length, from when it was asked for.
+        /// Duration of the lease, counted from when it was requested.
         duration: Duration,
     },
     /// Another instance holds the lease.
     HeldElsewhere,
-    /// A task to order, and whether its engine checks fencing numbers.
+    /// A task that has to be ordered.
     Requested {
         /// The task.
         task: Task,
-        /// Whether the engine refuses an old fencing number.
+        /// Whether the engine checks fencing tokens.
         fencing: bool,
     },
     /// The engine answered an order.
     Answered {
         /// The engine.
         upstream: UpstreamId,
-        /// Fencing number of the order.
+        /// Fencing token of the order.
         fence: FencingToken,
     },
     /// Time has passed.
     Tick,
 }
 
-/// What an [`Issuer`] wants to be done.
+/// An action that the embedding program carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Ask the home group for the lease.
+    /// Request the lease from the home group.
     Acquire {
-        /// Names the request.
+        /// Identifies the request in [`Event::Granted`].
         token: u64,
-        /// Length to ask for.
+        /// Lease duration to request.
         duration: Duration,
     },
-    /// Send an order at once; drop it when it can't leave within the flight time.
+    /// Send an order immediately, or drop it if it can't be sent within the delivery time.
     Send(Order),
-    /// An order was not answered in time; whether it was carried out is not known.
+    /// An order was not answered in time. Whether it was carried out is not known.
     TimedOut(Order),
 }
 
-/// A lease, as measured on the holder's own clock.
+/// A lease, measured by the holder's own clock.
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     term: Term,
-    until: Time,
-    /// From when on engines may be ordered that don't check fencing numbers.
-    settled: Time,
+    valid_until: Time,
+    /// Time from which orders may be sent to engines that don't check fencing tokens.
+    unfenced_from: Time,
 }
 
-/// An order that is not answered yet.
+/// An order that was sent and has not been answered yet.
 #[derive(Debug, Clone)]
-struct Open {
+struct InFlightOrder {
     order: Order,
-    sent: Time,
+    sent_at: Time,
 }
 
-/// A task that waits to be ordered.
+/// A task that has not been ordered yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Waiting {
+struct WaitingTask {
     task: Task,
     fencing: bool,
 }
 
 /// Issues orders while it holds the lease.
 ///
-/// An engine is sent one order at a time: the next one follows when the last one is answered or
-/// given up, so that orders can't overtake each other.
+/// An engine is sent one order at a time: the next one follows when the previous one is answered or
+/// has timed out, so that orders can't overtake each other.
 ///
-/// The bounds that safety rests on, for engines that don't check fencing numbers: clocks differ in
-/// speed by [`Timing::max_clock_drift`] at most, and an order arrives within [`Timing::max_delivery_time`] of the
-/// [`Effect::Send`] or never.
+/// For engines that don't check fencing tokens, safety rests on two bounds: the speeds of clocks
+/// differ by [`Timing::max_clock_drift`] at most, and an order arrives within
+/// [`Timing::max_delivery_time`] of the [`Effect::Send`] or never.
 ///
 /// ```
 /// use medlarlug_core::{
@@ -143,17 +143,17 @@
     bucket: TokenBucket,
     sequence: u64,
     token: u64,
-    asked: Vec<(u64, Time)>,
-    next_ask: Time,
-    waiting: Vec<Waiting>,
-    open: Vec<Open>,
+    lease_requests: Vec<(u64, Time)>,
+    next_lease_request: Time,
+    waiting: Vec<WaitingTask>,
+    in_flight: Vec<InFlightOrder>,
 }
 
-/// Requests for the lease whose answers are still awaited.
-const MAX_OPEN_REQUESTS: usize = 8;
+/// Most requests for the lease whose responses are still accepted.
+const MAX_PENDING_LEASE_REQUESTS: usize = 8;
 
 impl Issuer {
-    /// An issuer without a lease.
+    /// Creates an issuer without a lease.
     pub fn new(timing: Timing) -> Issuer {
         Issuer {
             timing,
@@ -161,135 +161,139 @@
             bucket: TokenBucket::empty(Time::ZERO, timing.load_rate, timing.load_burst),
             sequence: 0,
             token: 0,
-            asked: Vec::new(),
-            next_ask: Time::ZERO,
+            lease_requests: Vec::new(),
+            next_lease_request: Time::ZERO,
             waiting: Vec::new(),
-            open: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 
-    /// Whether the lease is valid at `now`. To be asked again right before an order is written.
+    /// Whether the lease is valid at `now`. To be checked again right before an order is written to
+    /// the connection.
     pub fn may_send(&self, now: Time) -> bool {
-        self.lease.is_some_and(|it| now < it.until)
+        self.lease.is_some_and(|it| now < it.valid_until)
     }
 
-    /// Term of the lease that is valid at `now`.
+    /// Term of the lease, if it is valid at `now`.
     pub fn term(&self, now: Time) -> Option<Term> {
-        self.lease.filter(|it| now < it.until).map(|it| it.term)
+        self.lease.filter(|it| now < it.valid_until).map(|it| it.term)
     }
 
-    /// Orders that are sent and not answered.
-    pub fn open_orders(&self) -> impl Iterator<Item = &Order> {
-        self.open.iter().map(|it| &it.order)
+    /// Orders that were sent and have not been answered.
+    pub fn in_flight_orders(&self) -> impl Iterator<Item = &Order> {
+        self.in_flight.iter().map(|it| &it.order)
     }
 
-    /// Tasks that are not ordered yet, in the order in which they were wanted.
+    /// Tasks that have not been ordered yet, in the order in which they were requested.
     pub fn waiting_tasks(&self) -> impl Iterator<Item = &Task> {
         self.waiting.iter().map(|it| &it.task)
     }
 
-    /// Takes an event in at `now` and appends what is to be done to `out`.
+    /// Handles an event at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
         match event {
-            Event::Granted { token, term, duration } => self.on_grant(now, token, term, duration),
+            Event::Granted { token, term, duration } => self.on_granted(now, token, term, duration),
             Event::HeldElsewhere | Event::Tick => {}
-            Event::Requested { task, fencing } => self.want(task, fencing),
+            Event::Requested { task, fencing } => self.add_task(task, fencing),
             Event::Answered { upstream, fence } => {
-                self.open
+                self.in_flight
                     .retain(|it| it.order.fence != fence || it.order.task.upstream != upstream);
             }
         }
-        if now >= self.next_ask {
-            self.ask(now, out);
+        if now >= self.next_lease_request {
+            self.request_lease(now, out);
         }
-        self.give_up(now, out);
+        self.expire_orders(now, out);
         self.send(now, out);
     }
 
-    fn ask(&mut self, now: Time, out: &mut Vec<Effect>) {
+    fn request_lease(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.token += 1;
-        self.next_ask = now + self.timing.renewal_interval;
-        if self.asked.len() == MAX_OPEN_REQUESTS {
-            self.asked.remove(0);
+        self.next_lease_request = now + self.timing.renewal_interval;
+        if self.lease_requests.len() == MAX_PENDING_LEASE_REQUESTS {
+            self.lease_requests.remove(0);
         }
-        self.asked.push((self.token, now));
+        self.lease_requests.push((self.token, now));
         out.push(Effect::Acquire { token: self.token, duration: self.timing.lease_duration });
     }
 
-    fn on_grant(&mut self, now: Time, token: u64, term: Term, duration: Duration) {
-        let Ok(found) = self.asked.binary_search_by_key(&token, |(token, _)| *token) else {
+    fn on_granted(&mut self, now: Time, token: u64, term: Term, duration: Duration) {
+        let Ok(found) = self.lease_requests.binary_search_by_key(&token, |(token, _)| *token)
+        else {
             return;
         };
-        let (_, asked) = self.asked.remove(found);
-        let until = asked + duration.div_f64(1.0 + self.timing.max_clock_drift);
+        let (_, requested_at) = self.lease_requests.remove(found);
+        let valid_until = requested_at + duration.div_f64(1.0 + self.timing.max_clock_drift);
         match &mut self.lease {
-            Some(lease) if lease.term == term => lease.until = lease.until.max(until),
+            Some(lease) if lease.term == term => {
+                lease.valid_until = lease.valid_until.max(valid_until)
+            }
             Some(lease) if lease.term > term => {}
-            _ => self.begin_term(now, term, until),
+            _ => self.begin_term(now, term, valid_until),
         }
     }
 
-    fn begin_term(&mut self, now: Time, term: Term, until: Time) {
-        let settled = now + self.flight();
-        self.lease = Some(Lease { term, until, settled });
+    fn begin_term(&mut self, now: Time, term: Term, valid_until: Time) {
+        let unfenced_from = now + self.max_delivery_time();
+        self.lease = Some(Lease { term, valid_until, unfenced_from });
         self.sequence = 0;
         self.bucket = TokenBucket::empty(now, self.timing.load_rate, self.timing.load_burst);
     }
 
-    /// The longest flight of an order, as this process's clock may measure it.
-    fn flight(&self) -> Duration {
+    /// The longest delivery time of an order, as this process's clock may measure it.
+    fn max_delivery_time(&self) -> Duration {
         self.timing.max_delivery_time.mul_f64(1.0 + self.timing.max_clock_drift)
     }
 
-    fn want(&mut self, task: Task, fencing: bool) {
-        let is_open = self.open.iter().any(|it| it.order.task == task);
-        let waiting = Waiting { task, fencing };
-        if !is_open && !self.waiting.contains(&waiting) {
+    fn add_task(&mut self, task: Task, fencing: bool) {
+        let is_in_flight = self.in_flight.iter().any(|it| it.order.task == task);
+        let waiting = WaitingTask { task, fencing };
+        if !is_in_flight && !self.waiting.contains(&waiting) {
             self.waiting.push(waiting);
         }
     }
 
-    fn give_up(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let patience = self.timing.answer_timeout.max(self.flight());
-        self.open.retain(|it| {
-            let is_open = now - it.sent < patience;
-            if !is_open {
+    fn expire_orders(&mut self, now: Time, out: &mut Vec<Effect>) {
+        let timeout = self.timing.answer_timeout.max(self.max_delivery_time());
+        self.in_flight.retain(|it| {
+            let is_in_flight = now - it.sent_at < timeout;
+            if !is_in_flight {
                 out.push(Effect::TimedOut(it.order.clone()));
             }
-            is_open
+            is_in_flight
         });
     }
 
     fn send(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let Some(lease) = self.lease.filter(|it| now < it.until) else {
+        let Some(lease) = self.lease.filter(|it| now < it.valid_until) else {
             return;
         };
-        let mut place = 0;
-        let mut passed: Vec<UpstreamId> = Vec::new();
-        while place < self.waiting.len() {
-            if !self.is_ready(now, &lease, &passed, place) {
-                passed.push(self.waiting[place].task.upstream.clone());
-                place += 1;
+        let mut index = 0;
+        let mut blocked: Vec<UpstreamId> = Vec::new();
+        while index < self.waiting.len() {
+            if !self.is_ready(now, &lease, &blocked, index) {
+                blocked.push(self.waiting[index].task.upstream.clone());
+                index += 1;
                 continue;
             }
-            let task = self.waiting.remove(place).task;
+            let task = self.waiting.remove(index).task;
             self.sequence += 1;
             let fence = FencingToken { term: lease.term, sequence: self.sequence };
             let order = Order { fence, task };
-            self.open.push(Open { order: order.clone(), sent: now });
+            self.in_flight.push(InFlightOrder { order: order.clone(), sent_at: now });
             out.push(Effect::Send(order));
         }
     }
 
-    /// Whether the waiting task at `place` may be ordered; `passed` names the engines that have
-    /// an earlier one waiting. Takes a token of the weight store for a load.
-    fn is_ready(&mut self, now: Time, lease: &Lease, passed: &[UpstreamId], place: usize) -> bool {
-        let Waiting { task, fencing } = &self.waiting[place];
-        let is_busy = self.open.iter().any(|it| it.order.task.upstream == task.upstream);
-        if is_busy || passed.contains(&task.upstream) {
+    /// Whether the waiting task at `index` may be ordered. `blocked` lists the engines that have an
+    /// earlier task waiting. Takes a token of the load rate if the task is a load.
+    fn is_ready(&mut self, now: Time, lease: &Lease, blocked: &[UpstreamId], index: usize) -> bool {
+        let WaitingTask { task, fencing } = &self.waiting[index];
+        let is_busy = self.in_flight.iter().any(|it| it.order.task.upstream == task.upstream);
+        if is_busy || blocked.contains(&task.upstream) {
             return false;
         }
-        if !fencing && now < lease.settled {
+        if !fencing && now < lease.unfenced_from {
             return false;
         }
         !task.kind.is_load() || self.bucket.take(now)
--- a/crates/medlarlug-core/src/orders/mod.rs
+++ b/crates/medlarlug-core/src/orders/mod.rs
@@ -1,14 +1,15 @@
 //! Orders to model engines: load, unload, change role.
 //!
-//! One instance of a region, the *issuer*, gives orders while it holds the lease of the region's
+//! One instance of a region, the *issuer*, sends orders while it holds the lease of the region's
 //! home group. Every order carries a [`FencingToken`]: the term of the lease and a sequence number.
-//! Engines that check fences refuse an order that is older than one they have taken. Engines that
-//! don't are protected by time: the holder stops early by its own clock, and a new issuer waits
-//! for the longest flight of an order before it sends the first one.
+//! Engines that check fencing tokens refuse an order that is older than one they have accepted.
+//! Other engines are protected by time-outs: the holder stops before its lease ends by its own
+//! clock, and a new issuer waits for the longest delivery time of an order before it sends the
+//! first one.
 //!
-//! * [`order`]: orders and fences.
-//! * [`issuer`]: the core that issues them.
-//! * [`plan`]: what the engines shall be ordered to do.
+//! * [`order`]: orders and fencing tokens.
+//! * [`issuer`]: the core that issues orders.
+//! * [`plan`]: which orders the engines need.
 //! * [`bucket`]: the rate limit of the weight store.
 
 pub mod bucket;
--- a/crates/medlarlug-core/src/orders/order.rs
+++ b/crates/medlarlug-core/src/orders/order.rs
@@ -1,4 +1,4 @@
-//! Orders and the fencing numbers that they carry.
+//! Orders and the fencing tokens that they carry.
 
 use std::fmt;
 
@@ -6,7 +6,8 @@
 
 use crate::ids::{AdapterId, Incarnation, ModelId, Term, UpstreamId, VersionId};
 
-/// Orders an order among all orders of its region.
+/// Position of an order among all orders of its region. Engines that check it refuse an order with
+/// a lower token than one that they have accepted.
 ///
 /// ```
 /// use medlarlug_core::{ids::Term, orders::FencingToken};
@@ -22,7 +23,7 @@
 pub struct FencingToken {
     /// Term of the issuer's lease.
     pub term: Term,
-    /// Number of the order within the term.
+    /// Number of the order within the term, from 1.
     pub sequence: u64,
 }
 
@@ -44,7 +45,7 @@
     Mixed,
 }
 
-/// What an engine is told to do.
+/// An operation that an engine is ordered to carry out.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
@@ -81,28 +82,29 @@
 }
 
 impl OrderKind {
-    /// Whether the engine reads from the weight store to carry the order out.
+    /// Whether the engine reads from the weight store to carry the order out, whose load rate is
+    /// limited.
     pub fn is_load(&self) -> bool {
         matches!(self, OrderKind::Load { .. } | OrderKind::LoadAdapter { .. })
     }
 }
 
-/// Something that an engine shall be ordered to do.
+/// An operation that an engine has to be ordered to carry out.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Task {
-    /// The engine.
+    /// Id of the engine.
     pub upstream: UpstreamId,
-    /// Its incarnation; the order is meant for no other.
+    /// Incarnation of the engine; the order doesn't apply to any other.
     pub incarnation: Incarnation,
-    /// What it is told to do.
+    /// What the engine has to do.
     pub kind: OrderKind,
 }
 
-/// A task under a fencing number, sent as JSON to `POST /v1/orders` of the engine.
+/// A task with a fencing token, sent as JSON to `POST /v1/orders` of the engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number.
+    /// Token by which the engine recognizes outdated orders.
     pub fence: FencingToken,
-    /// What to do.
+    /// The engine and what it has to do.
     pub task: Task,
 }
--- a/crates/medlarlug-core/src/orders/plan.rs
+++ b/crates/medlarlug-core/src/orders/plan.rs
@@ -1,13 +1,13 @@
-//! What the engines of a zone shall be ordered to do.
+//! Plans the orders that the engines of a zone need.
 //!
-//! * A model version that the configuration names for the region, and that no engine has loaded,
-//!   is loaded by the engine with the fewest loaded versions.
-//! * An engine that has a version which its model's item no longer lists loads the listed ones,
-//!   and unloads the old one afterwards.
-//! * A model that was in the configuration and has drained is unloaded.
+//! * A model version that the configuration names for the region, and that no engine has loaded, is
+//!   loaded by the engine with the fewest loaded versions.
+//! * An engine that has loaded a version which the model's item no longer lists loads the listed
+//!   ones, and unloads the old one afterwards.
+//! * A model that was in the configuration and has been drained is unloaded.
 //!
-//! A version is unloaded only while the engine reports no request, so that none is cut off. A
-//! model that the configuration never named is left alone.
+//! A version is unloaded only while the engine reports no requests, so that none is aborted. Models
+//! that the configuration has never named are left alone.
 
 use crate::{
     announcement::{Announcement, LoadedModel, UpstreamKind},
@@ -28,11 +28,11 @@
 #[derive(Debug, Clone)]
 pub struct Planner {
     region: RegionId,
-    /// Models that the configuration has named, sorted.
+    /// Models that any configuration has named since the start, sorted.
     named: Vec<ModelId>,
 }
 
-/// An engine, with the orders under way counted as carried out.
+/// An engine as it will be once the orders in flight have been carried out.
 struct Engine<'a> {
     announcement: &'a Announcement,
     models: Vec<LoadedModel>,
@@ -48,14 +48,14 @@
         load.running == 0 && load.waiting == 0
     }
 
-    /// Counts a task as carried out; tells the task.
-    fn take(&mut self, kind: OrderKind) -> Task {
-        self.carry_out(&kind);
+    /// Applies an operation to the engine and returns the task for it.
+    fn assign(&mut self, kind: OrderKind) -> Task {
+        self.apply(&kind);
         let (upstream, incarnation) = (self.announcement.id.clone(), self.announcement.incarnation);
         Task { upstream, incarnation, kind }
     }
 
-    fn carry_out(&mut self, kind: &OrderKind) {
+    fn apply(&mut self, kind: &OrderKind) {
         match kind {
             OrderKind::Load { model, version } if !self.has(model, version) => {
                 let (model, version) = (model.clone(), version.clone());
@@ -70,30 +70,31 @@
 }
 
 impl Planner {
-    /// A planner for the engines of one zone of `region`.
+    /// Creates a planner for the engines of one zone of `region`.
     pub fn new(region: RegionId) -> Planner {
         Planner { region, named: Vec::new() }
     }
 
-    /// The tasks that are still to be ordered.
+    /// The tasks that still have to be ordered.
     ///
-    /// `announcements` are those of the engines that live, `in_flight` the tasks that were ordered
-    /// and may not show in them yet.
+    /// `announcements` are those of the live engines. `in_flight` are the tasks that were ordered
+    /// and may not be reflected in the announcements yet.
     pub fn plan(
         &mut self,
         configuration: &Configuration,
         announcements: &[Announcement],
         in_flight: &[Task],
     ) -> Vec<Task> {
-        self.note_named(configuration);
+        self.record_named(configuration);
         let mut engines: Vec<Engine> = announcements.iter().filter_map(engine).collect();
         for engine in &mut engines {
-            let own = |it: &&Task| {
+            let is_for_engine = |it: &&Task| {
                 it.upstream == engine.announcement.id
                     && it.incarnation == engine.announcement.incarnation
             };
-            let kinds: Vec<&OrderKind> = in_flight.iter().filter(own).map(|it| &it.kind).collect();
-            kinds.into_iter().for_each(|it| engine.carry_out(it));
+            let kinds: Vec<&OrderKind> =
+                in_flight.iter().filter(is_for_engine).map(|it| &it.kind).collect();
+            kinds.into_iter().for_each(|it| engine.apply(it));
         }
         let mut tasks = Vec::new();
         for engine in &mut engines {
@@ -105,14 +106,14 @@
         tasks
     }
 
-    fn note_named(&mut self, configuration: &Configuration) {
+    fn record_named(&mut self, configuration: &Configuration) {
         let draining = configuration.draining().iter().filter_map(|it| match it {
             Item::Model(model) => Some(model),
             _ => None,
         });
         for model in configuration.models().chain(draining) {
-            if let Err(place) = self.named.binary_search(&model.id) {
-                self.named.insert(place, model.id.clone());
+            if let Err(index) = self.named.binary_search(&model.id) {
+                self.named.insert(index, model.id.clone());
             }
         }
     }
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Brings an engine from versions that are no longer listed to those that are.
+    /// Replaces versions on an engine that are no longer listed by those that are.
     fn replace_versions(
         &self,
         configuration: &Configuration,
@@ -142,12 +143,12 @@
             let missing: Vec<VersionId> =
                 listed.into_iter().filter(|it| !engine.has(&model, it)).collect();
             if missing.is_empty() && engine.is_idle() {
-                tasks.push(engine.take(OrderKind::Unload { model, version }));
+                tasks.push(engine.assign(OrderKind::Unload { model, version }));
                 continue;
             }
             for version in missing {
                 let model = model.clone();
-                tasks.push(engine.take(OrderKind::Load { model, version }));
+                tasks.push(engine.assign(OrderKind::Load { model, version }));
             }
         }
     }
@@ -165,16 +166,16 @@
     }
 }
 
-/// Has each listed version that no engine has loaded by the engine with the fewest versions.
+/// Assigns each listed version that no engine has loaded to the engine with the fewest versions.
 fn load_missing(model: &Model, engines: &mut [Engine], tasks: &mut Vec<Task>) {
     for version in &model.versions {
         if engines.iter().any(|it| it.has(&model.id, version)) {
             continue;
         }
-        let order = |it: &&mut Engine| (it.models.len(), it.announcement.id.clone());
-        if let Some(engine) = engines.iter_mut().min_by_key(order) {
+        let key = |it: &&mut Engine| (it.models.len(), it.announcement.id.clone());
+        if let Some(engine) = engines.iter_mut().min_by_key(key) {
             let (model, version) = (model.id.clone(), version.clone());
-            tasks.push(engine.take(OrderKind::Load { model, version }));
+            tasks.push(engine.assign(OrderKind::Load { model, version }));
         }
     }
 }
--- a/src/coordination/entry/orders.rs
+++ b/src/coordination/entry/orders.rs
@@ -94,7 +94,7 @@
             return;
         }
         let engines = self.engines(now);
-        let open = self.issuer.open_orders().map(|it| &it.task);
+        let open = self.issuer.in_flight_orders().map(|it| &it.task);
         let answered = self.answered.iter().map(|it| &it.0);
         let under_way: Vec<Task> =
             answered.chain(open).chain(self.issuer.waiting_tasks()).cloned().collect();
@@ -114,7 +114,7 @@
     fn note_answered(&mut self, event: &Event) {
         let Event::Answered { upstream, fence } = event else { return };
         let is_answered = |it: &&Order| it.task.upstream == *upstream && it.fence == *fence;
-        let answered = self.issuer.open_orders().find(is_answered).map(|it| it.task.clone());
+        let answered = self.issuer.in_flight_orders().find(is_answered).map(|it| it.task.clone());
         let now = self.entry.node.now();
         self.answered.extend(answered.map(|task| (task, now)));
     }
