--- a/crates/medlarlug-gateway/src/keeper/facts.rs
+++ b/crates/medlarlug-gateway/src/keeper/facts.rs
@@ -73,7 +73,7 @@
             stored.facts.iter().map(|fact| fact.aged_by(down)).collect()
         }
         Err(error) => {
-            tracing::error!(%error, "failed to decode the stored facts about contents that crash upstreams; other keepers have to send them");
+            tracing::error!(%error, "stored facts about contents that crash upstreams can't be read; other keepers have to send them");
             Vec::new()
         }
     }
