--- a/crates/medlarlug-core/tests/testsuite/gateway/allotment.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/allotment.rs
@@ -1,4 +1,4 @@
-//! The division of an upstream's limit over many instances, felt at the upstream.
+//! Division of an upstream's limit among many instances, as the upstream observes it.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
     rate.to_string().parse().unwrap()
 }
 
-fn want(number: usize, calls: u32) -> PermitRequest {
+fn request(number: usize, calls: u32) -> PermitRequest {
     PermitRequest { from: instance(number), upstream: engine(), birth: Birth(1), calls }
 }
 
@@ -39,8 +39,8 @@
     1.5 * rate * WINDOW.as_secs_f64() + 5.0
 }
 
-/// Most of the times that lie within a window.
-fn most_in_a_window(times: &[Time]) -> usize {
+/// The largest number of times that lie within one window.
+fn max_in_a_window(times: &[Time]) -> usize {
     let within =
         |from: &Time| times.iter().filter(|it| *it >= from && **it - *from < WINDOW).count();
     times.iter().map(within).max().unwrap_or(0)
@@ -49,55 +49,57 @@
 /// How instances get permits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Division {
-    /// From one allotter.
-    PermitAllocator,
-    /// Each from itself, at an equal part.
-    Alone,
-    /// Each from itself, at the whole pace.
-    EachByItself,
+    /// From one allocator.
+    Allocator,
+    /// Each from itself, at an equal share of the rate.
+    Isolated,
+    /// Each from itself, at the full rate.
+    EachAtFullRate,
 }
 
-/// One instance's part in a step: calls that want a permit, and whether it uses those that it holds.
-type Act = (u32, bool);
+/// What one instance does in a step: the number of calls that want a permit, and whether it uses
+/// the permits that it holds.
+type Action = (u32, bool);
 
-/// When requests reach the upstream in a history; `late` steps pass between a grant and its arrival.
+/// When requests reach the upstream in a history; a grant arrives `delay_steps` steps after it was
+/// made.
 fn arrivals(
     division: Division,
     rate: f64,
-    history: &[Vec<Act>],
-    late: usize,
+    history: &[Vec<Action>],
+    delay_steps: usize,
     phases: &[f64],
 ) -> Vec<Time> {
     let instances = history[0].len();
-    let mut allotters = vec![PermitAllocator::default(); instances];
+    let mut allocators = vec![PermitAllocator::default(); instances];
     let mut permits = vec![Permits::default(); instances];
-    let mut under_way: Vec<(usize, usize, u32)> = Vec::new();
+    let mut in_flight: Vec<(usize, usize, u32)> = Vec::new();
     let mut arrived = Vec::new();
-    for (step, acts) in history.iter().enumerate() {
+    for (step, actions) in history.iter().enumerate() {
         let now = Time::ZERO + STEP * step as u32;
-        for (number, (calls, _)) in acts.iter().enumerate().filter(|it| it.1.0 > 0) {
-            let (allotter, pace, saved) = match division {
-                Division::PermitAllocator => (0, PermitRate::for_allocator(limit(rate)), 0.0),
-                Division::Alone => {
+        for (number, (calls, _)) in actions.iter().enumerate().filter(|it| it.1.0 > 0) {
+            let (allocator, permit_rate, available) = match division {
+                Division::Allocator => (0, PermitRate::for_allocator(limit(rate)), 0.0),
+                Division::Isolated => {
                     (number, PermitRate::for_isolated(limit(rate), instances), phases[number])
                 }
-                Division::EachByItself => (number, PermitRate::for_allocator(limit(rate)), 0.0),
+                Division::EachAtFullRate => (number, PermitRate::for_allocator(limit(rate)), 0.0),
             };
-            allotters[allotter].request(now, want(number, *calls), pace, saved);
+            allocators[allocator].request(now, request(number, *calls), permit_rate, available);
         }
-        for allotter in &mut allotters {
-            for grant in allotter.grant(now) {
+        for allocator in &mut allocators {
+            for grant in allocator.grant(now) {
                 let number = (0..instances).find(|it| instance(*it) == grant.to).unwrap();
-                under_way.push((step + late, number, grant.permits));
+                in_flight.push((step + delay_steps, number, grant.permits));
             }
         }
-        under_way.retain(|(due, number, granted)| {
+        in_flight.retain(|(due, number, granted)| {
             if *due <= step {
                 permits[*number].add_granted(now, &engine(), Birth(1), *granted);
             }
             *due > step
         });
-        for (number, _) in acts.iter().enumerate().filter(|it| it.1.1) {
+        for (number, _) in actions.iter().enumerate().filter(|it| it.1.1) {
             while permits[number].take(now, &engine(), Birth(1)) {
                 arrived.push(now);
             }
@@ -106,7 +108,7 @@
     arrived
 }
 
-fn acts(instances: usize) -> impl Strategy<Value = Vec<Vec<Act>>> {
+fn actions(instances: usize) -> impl Strategy<Value = Vec<Vec<Action>>> {
     let act = (prop_oneof![3 => Just(0), 2 => 1..4_u32, 1 => Just(200)], any::<bool>());
     prop::collection::vec(prop::collection::vec(act, instances), 500)
 }
@@ -115,31 +117,31 @@
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
     #[test]
-    fn instances_with_one_allotter_keep_the_limit_together(
-        history in (1..30_usize).prop_flat_map(acts),
+    fn instances_with_one_allocator_keep_the_limit_together(
+        history in (1..30_usize).prop_flat_map(actions),
         rate in 0.1..60.0_f64,
-        late in 0..15_usize,
+        delay_steps in 0..15_usize,
     ) {
-        let most = most_in_a_window(&arrivals(Division::PermitAllocator, rate, &history, late, &[]));
+        let max = max_in_a_window(&arrivals(Division::Allocator, rate, &history, delay_steps, &[]));
 
-        prop_assert!(most as f64 <= allowed(rate), "{most} at {rate}");
+        prop_assert!(max as f64 <= allowed(rate), "{max} at {rate}");
     }
 
     #[test]
     fn instances_that_see_no_others_keep_the_limit_together(
-        history in (1..30_usize).prop_flat_map(acts),
+        history in (1..30_usize).prop_flat_map(actions),
         rate in 0.1..60.0_f64,
         seed in any::<u64>(),
     ) {
         let phase = |number: u64| {
-            // A fixed sequence that fills the unit interval evenly, from a random place on.
+            // A fixed sequence that covers the unit interval evenly, from a random start on.
             let place = (seed % 1_000) as f64 / 1_000.0 + number as f64 * 0.618_033_988_75;
             place.fract()
         };
         let phases: Vec<f64> = (0..30).map(phase).collect();
-        let most = most_in_a_window(&arrivals(Division::Alone, rate, &history, 0, &phases));
+        let max = max_in_a_window(&arrivals(Division::Isolated, rate, &history, 0, &phases));
 
-        prop_assert!(most as f64 <= allowed(rate), "{most} at {rate}");
+        prop_assert!(max as f64 <= allowed(rate), "{max} at {rate}");
     }
 }
 
@@ -147,33 +149,38 @@
 fn instances_that_each_keep_the_limit_by_themselves_exceed_it_together() {
     let history = vec![vec![(1, true); 24]; 500];
 
-    let most = most_in_a_window(&arrivals(Division::EachByItself, 1.0, &history, 0, &[]));
+    let max = max_in_a_window(&arrivals(Division::EachAtFullRate, 1.0, &history, 0, &[]));
 
-    assert!(most as f64 > allowed(1.0), "{most}");
+    assert!(max as f64 > allowed(1.0), "{max}");
 }
 
 #[test]
-fn demand_at_one_instance_gets_all_that_is_given_out() {
+fn demand_at_one_instance_gets_all_granted_permits() {
     let mut history = vec![vec![(0, false); 24]; 500];
-    history.iter_mut().for_each(|acts| acts[7] = (1, true));
+    history.iter_mut().for_each(|actions| actions[7] = (1, true));
 
-    let arrived = arrivals(Division::PermitAllocator, 5.0, &history, 1, &[]);
+    let arrived = arrivals(Division::Allocator, 5.0, &history, 1, &[]);
 
-    // 10 s at four fifths of 5 a second, less the first one's turn.
+    // 10 s at four fifths of 5 per second, minus the time to the first permit.
     assert!(arrived.len() >= 38, "{}", arrived.len());
 }
 
 #[test]
-fn instances_get_permits_in_turn() {
-    let mut allotter = PermitAllocator::default();
+fn permits_are_granted_round_robin() {
+    let mut allocator = PermitAllocator::default();
     let mut granted = [0_u32; 3];
 
     for step in 0..1_000 {
         let now = Time::ZERO + STEP * step;
         for (number, calls) in [(0, 100), (1, 1), (2, 1)] {
-            allotter.request(now, want(number, calls), PermitRate::for_allocator(limit(3.0)), 0.0);
+            allocator.request(
+                now,
+                request(number, calls),
+                PermitRate::for_allocator(limit(3.0)),
+                0.0,
+            );
         }
-        for grant in allotter.grant(now) {
+        for grant in allocator.grant(now) {
             let number = (0..3).find(|it| instance(*it) == grant.to).unwrap();
             granted[number] += grant.permits;
         }
@@ -183,13 +190,15 @@
 }
 
 #[test]
-fn permit_that_is_not_used_is_void() {
+fn unused_permit_expires() {
     let mut permits = Permits::default();
     permits.add_granted(Time::ZERO, &engine(), Birth(1), 1);
-    let late = Time::ZERO + PERMIT_LIFETIME;
+    let expired = Time::ZERO + PERMIT_LIFETIME;
 
     assert!(permits.has(Time::from_millis(499), &engine(), Birth(1)));
-    assert!(!permits.has(late, &engine(), Birth(1)) && !permits.take(late, &engine(), Birth(1)));
+    assert!(
+        !permits.has(expired, &engine(), Birth(1)) && !permits.take(expired, &engine(), Birth(1))
+    );
 }
 
 #[test]
--- a/crates/medlarlug-core/tests/testsuite/gateway/announcements.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/announcements.rs
@@ -43,13 +43,13 @@
 }
 
 #[test]
-fn new_incarnation_under_the_same_id_is_taken_in() {
+fn new_incarnation_under_the_same_id_is_accepted() {
     let mut upstreams = Upstreams::default();
     upstreams.announce(Time::ZERO, upstream("engine-1", 40), NOW);
     upstreams.mark_gone(&"engine-1".parse().unwrap());
 
-    let reborn = Upstream { birth: Birth(2_000), ..upstream("engine-1", 1) };
-    let effect = upstreams.announce(Time::ZERO, reborn, NOW);
+    let restarted = Upstream { birth: Birth(2_000), ..upstream("engine-1", 1) };
+    let effect = upstreams.announce(Time::ZERO, restarted, NOW);
 
     assert_eq!((effect, state(&upstreams)), (Effect::Changed, UpstreamState::Ready));
 }
@@ -67,15 +67,15 @@
 }
 
 #[test]
-fn leaving_of_an_unknown_upstream_holds_back_its_late_announcement() {
+fn leaving_of_an_unknown_upstream_suppresses_its_late_announcement() {
     let mut upstreams = Upstreams::default();
     upstreams.mark_unknown_gone(Time::ZERO, upstream("engine-1", 0));
 
     let late = upstreams.announce(Time::ZERO, upstream("engine-1", 17), NOW);
     let first = Upstream { birth: Birth(9_000), ..upstream("engine-1", 1) };
-    let reborn = upstreams.announce(Time::ZERO, first, NOW);
+    let restarted = upstreams.announce(Time::ZERO, first, NOW);
 
-    assert_eq!((late, reborn), (Effect::Ignored, Effect::Changed));
+    assert_eq!((late, restarted), (Effect::Ignored, Effect::Changed));
 }
 
 #[test]
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn silent_upstream_is_forgotten() {
+fn upstream_without_announcements_is_forgotten() {
     let mut upstreams = Upstreams::default();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), NOW);
 
@@ -128,24 +128,24 @@
     assert_eq!((early.len(), late.len()), (0, 1));
 }
 
-/// Any order of the same announcements leads to the same knowledge.
+/// The same announcements in any order lead to the same state.
 #[test]
 fn order_of_arrival_does_not_matter() {
     use rand::{SeedableRng, seq::SliceRandom};
 
-    let reborn = |sequence| Upstream { birth: Birth(2_000), ..upstream("engine-1", sequence) };
-    let news = [
+    let restarted = |sequence| Upstream { birth: Birth(2_000), ..upstream("engine-1", sequence) };
+    let announcements = [
         upstream("engine-1", 1),
         upstream("engine-1", 2),
         draining(3),
         upstream("engine-1", 4),
-        reborn(1),
-        reborn(2),
-        Upstream { state: UpstreamState::Draining, ..reborn(3) },
+        restarted(1),
+        restarted(2),
+        Upstream { state: UpstreamState::Draining, ..restarted(3) },
     ];
     for seed in 0..500 {
         let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-        let mut shuffled = news.clone();
+        let mut shuffled = announcements.clone();
         shuffled.shuffle(&mut random);
         let mut upstreams = Upstreams::default();
         for upstream in shuffled {
@@ -158,7 +158,8 @@
     }
 }
 
-/// Keepers pass on what has changed; of a renewal they pass on no more than that it came.
+/// Keepers forward the content of changes, but only the fact of a renewal. If a new cold time were
+/// treated as a renewal, other processes would not receive it.
 #[test]
 fn upstream_that_turns_cold_again_before_it_is_warm_has_changed() {
     let mut upstreams = Upstreams::default();
@@ -184,7 +185,8 @@
     assert_eq!(later, Effect::Renewed);
 }
 
-/// The soak, seed 402: an upstream turned cold twice within 234 ms, and got 12 requests in a second.
+/// Guards against an upstream that becomes warm too early: it turned cold twice within 234 ms and
+/// got 12 requests in a second (soak, seed 402).
 #[test]
 fn upstream_that_turns_cold_again_within_the_jitter_does_not_become_warm_too_early() {
     let mut upstreams = Upstreams::default();
@@ -197,18 +199,18 @@
 
     let renewed = upstreams.announce(Time::from_millis(400), cold(2, 2_834), NOW);
     let renewal = Renewal { id, birth: Birth(1_000), sequence: 2, age_ms: 0 };
-    let mut told = Upstreams::default();
-    told.announce(Time::ZERO, cold(1, 3_000), NOW);
-    told.renew(Time::from_millis(400), &renewal);
+    let mut received = Upstreams::default();
+    received.announce(Time::ZERO, cold(1, 3_000), NOW);
+    received.renew(Time::from_millis(400), &renewal);
 
-    let known = told.get(&renewal.id).unwrap();
+    let known = received.get(&renewal.id).unwrap();
     assert_eq!(renewed, Effect::Renewed);
     assert!(known.may_be_cold(Time::from_millis(3_230)));
 }
 
-/// Keepers pass on what upstreams told them, not what they have from each other.
+/// Keepers forward what upstreams announced to them, not what they received from each other.
 #[test]
-fn announcement_that_another_process_has_just_heard_is_not_local() {
+fn announcement_received_by_another_process_is_not_local() {
     let mut upstreams = Upstreams::default();
 
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
@@ -220,8 +222,8 @@
     SocketAddr::from(([10, 0, 0, last], 7_660))
 }
 
-/// An entry instance and a keeper that has told it of one upstream, both at `NOW`.
-fn told(birth: u64) -> (Upstreams, Upstreams) {
+/// An entry instance and a keeper that has sent it one upstream, both at time zero.
+fn entry_and_keeper(birth: u64) -> (Upstreams, Upstreams) {
     let announced = Upstream { birth: Birth(birth), ..upstream("engine-1", 1) };
     let (mut entry, mut at_keeper) = (Upstreams::default(), Upstreams::default());
     at_keeper.announce_local(Time::ZERO, announced.clone(), NOW);
@@ -230,74 +232,75 @@
     (entry, at_keeper)
 }
 
-fn heard(upstreams: &Upstreams) -> Time {
+fn announced_at(upstreams: &Upstreams) -> Time {
     upstreams.get(&"engine-1".parse().unwrap()).unwrap().announced_at
 }
 
-/// Seen in the sweep: a keeper told 100 of 300 instances of each renewal of 3,000 upstreams, 9 MB a second.
+/// Guards against one renewal message per upstream: a keeper sent each renewal of 3,000 upstreams
+/// to 100 of 300 instances, 9 MB per second.
 #[test]
-fn pulse_renews_what_the_keeper_has_told_without_naming_it() {
-    let (mut entry, mut at_keeper) = told(7);
+fn heartbeat_renews_upstreams_that_the_keeper_has_sent_without_naming_them() {
+    let (mut entry, mut at_keeper) = entry_and_keeper(7);
     let now = Time::from_millis(10_000);
     at_keeper.announce_local(now, Upstream { birth: Birth(7), ..upstream("engine-1", 9) }, NOW);
 
-    let pulse = at_keeper.heartbeat(now);
-    entry.apply_heartbeat(now, keeper(1), &pulse);
+    let heartbeat = at_keeper.heartbeat(now);
+    entry.apply_heartbeat(now, keeper(1), &heartbeat);
 
-    assert!(pulse.late.is_empty());
-    assert_eq!(heard(&entry), Time::from_millis(8_200));
+    assert!(heartbeat.late.is_empty());
+    assert_eq!(announced_at(&entry), Time::from_millis(8_200));
 }
 
 #[test]
-fn upstream_that_is_silent_is_named_with_its_age() {
-    let (mut entry, at_keeper) = told(7);
+fn heartbeat_names_an_upstream_without_recent_announcements_with_its_age() {
+    let (mut entry, at_keeper) = entry_and_keeper(7);
     let now = Time::from_millis(3_000);
 
-    let pulse = at_keeper.heartbeat(now);
-    entry.apply_heartbeat(now, keeper(1), &pulse);
+    let heartbeat = at_keeper.heartbeat(now);
+    entry.apply_heartbeat(now, keeper(1), &heartbeat);
 
-    assert_eq!(pulse.late.len(), 1);
-    assert_eq!(heard(&entry), Time::ZERO);
+    assert_eq!(heartbeat.late.len(), 1);
+    assert_eq!(announced_at(&entry), Time::ZERO);
 }
 
-/// A keeper that has just started knows nothing of an upstream that crashed before.
+/// A keeper that has just started does not know an upstream that crashed before.
 #[test]
-fn pulse_of_a_keeper_that_has_not_told_of_an_upstream_does_not_renew_it() {
-    let (mut entry, _) = told(7);
+fn heartbeat_of_a_keeper_that_has_not_sent_an_upstream_does_not_renew_it() {
+    let (mut entry, _) = entry_and_keeper(7);
     let now = Time::from_millis(3_000);
 
     entry.apply_heartbeat(now, keeper(2), &Upstreams::default().heartbeat(now));
     entry.forget_keeper(keeper(1));
     entry.apply_heartbeat(now, keeper(1), &Upstreams::default().heartbeat(now));
 
-    assert_eq!(heard(&entry), Time::ZERO);
+    assert_eq!(announced_at(&entry), Time::ZERO);
 }
 
 #[test]
-fn pulse_of_a_keeper_that_told_of_an_earlier_incarnation_does_not_renew_the_present_one() {
-    let (mut entry, mut at_keeper) = told(7);
+fn heartbeat_of_a_keeper_that_sent_an_earlier_incarnation_does_not_renew_the_present_one() {
+    let (mut entry, mut at_keeper) = entry_and_keeper(7);
     entry.announce(Time::ZERO, Upstream { birth: Birth(8), ..upstream("engine-1", 1) }, NOW);
     let now = Time::from_millis(3_000);
     at_keeper.announce_local(now, Upstream { birth: Birth(7), ..upstream("engine-1", 9) }, NOW);
 
     entry.apply_heartbeat(now, keeper(1), &at_keeper.heartbeat(now));
 
-    assert_eq!(heard(&entry), Time::ZERO);
+    assert_eq!(announced_at(&entry), Time::ZERO);
 }
 
-/// The keeper has forgotten it, and does not name it any more.
+/// The keeper has forgotten the upstream and does not name it any more.
 #[test]
-fn pulse_does_not_renew_an_upstream_that_was_silent_for_long() {
-    let (mut entry, _) = told(7);
+fn heartbeat_does_not_renew_an_upstream_without_announcements_for_long() {
+    let (mut entry, _) = entry_and_keeper(7);
     let now = Time::from_millis(39_900);
 
     entry.apply_heartbeat(now, keeper(1), &Upstreams::default().heartbeat(now));
 
-    assert_eq!(heard(&entry), Time::ZERO);
+    assert_eq!(announced_at(&entry), Time::ZERO);
 }
 
 #[test]
-fn pulse_does_not_end_a_cold_time_before_it_is_over() {
+fn heartbeat_does_not_end_a_cold_time_before_it_is_over() {
     let cold = Upstream { cold: Duration::from_secs(6), ..upstream("engine-1", 1) };
     let mut entry = Upstreams::default();
     entry.announce(Time::ZERO, cold.clone(), NOW);
--- a/crates/medlarlug-core/tests/testsuite/gateway/away.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/away.rs
@@ -1,4 +1,4 @@
-//! What a call costs in another region.
+//! Predicted cost of a call in another region.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
     placing::{Demand, PromptPart},
 };
 
-const TOLD: Duration = Duration::from_millis(50);
+const REPORTED_WAIT: Duration = Duration::from_millis(50);
 
-fn region(unread: u64) -> RemoteService {
-    RemoteService { reported_wait: TOLD, pending_tokens: unread, upstreams: 4 }
+fn region(pending_tokens: u64) -> RemoteService {
+    RemoteService { reported_wait: REPORTED_WAIT, pending_tokens, upstreams: 4 }
 }
 
-/// A prompt with parts of everyone and of its session.
+/// A prompt with a part that all prompts share and a part of its session.
 fn session() -> Demand {
     let part = |id, tokens| PromptPart { id, tokens };
     let parts = vec![part(1, 2_500), part(2, 3_800), part(3, 2_900)];
@@ -21,40 +21,42 @@
 }
 
 #[test]
-fn cost_elsewhere_grows_with_what_was_handed_over() {
+fn cost_elsewhere_grows_with_forwarded_tokens() {
     let demand = Demand::default();
 
-    let grown = predicted_cost(region(40_000), &demand);
+    let cost_with_pending = predicted_cost(region(40_000), &demand);
 
-    assert!(grown > predicted_cost(region(0), &demand) + Duration::from_millis(200));
+    assert!(cost_with_pending > predicted_cost(region(0), &demand) + Duration::from_millis(200));
 }
 
 #[test]
-fn short_call_costs_what_the_region_tells() {
+fn short_call_costs_the_reported_wait() {
     let query = Demand { prompt_tokens: 800, ..Demand::default() };
 
-    assert_eq!(predicted_cost(region(0), &query), TOLD);
+    assert_eq!(predicted_cost(region(0), &query), REPORTED_WAIT);
 }
 
-/// Seen on the bench: regions told the wait of a short prompt, so every long one looked cheaper
-/// elsewhere. Two thirds of them crossed on valaloft-grown, and each region read all sessions.
+/// Guards against a cost that ignores the length of the prompt: regions reported the wait of a
+/// short prompt, so every long one looked cheaper elsewhere. Two thirds of the long prompts crossed
+/// regions on valaloft-grown, and each region prefilled all sessions.
 #[test]
-fn long_prompt_costs_what_has_to_be_read_for_it_elsewhere() {
+fn long_prompt_costs_its_prefill_elsewhere() {
     let own_part = Duration::from_millis(2_900 / 50);
 
-    assert!(predicted_cost(region(0), &session()) > TOLD + own_part);
+    assert!(predicted_cost(region(0), &session()) > REPORTED_WAIT + own_part);
 }
 
-/// At home its session's part is held, so it goes elsewhere only when home is well behind.
+/// The part of the session is cached locally, so the session moves only when the local region is
+/// well behind.
 #[test]
-fn session_stays_at_home_while_home_answers_soon() {
+fn session_stays_local_while_the_local_wait_is_short() {
     let at_home = Duration::from_millis(250);
 
     assert!(predicted_cost(region(0), &session()) > at_home);
 }
 
 #[test]
-fn session_leaves_when_home_is_far_behind() {
+fn session_moves_when_the_local_wait_is_long() {
     let at_home = Duration::from_millis(1_200);
 
     assert!(predicted_cost(region(0), &session()) < at_home);
--- a/crates/medlarlug-core/tests/testsuite/gateway/contacts.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/contacts.rs
@@ -1,4 +1,4 @@
-//! Which instances are known, and which of them callers are sent to.
+//! Which instances are known, and which of them are returned to callers.
 
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
     Some(Status { ready: true, service_waits: Vec::new() })
 }
 
-fn waiting(wait_ms: u32) -> Option<Status> {
-    let spare = vec![ServiceWait { service: service("scribe"), wait_ms: Some(wait_ms) }];
-    Some(Status { ready: true, service_waits: spare })
+fn with_wait(wait_ms: u32) -> Option<Status> {
+    let waits = vec![ServiceWait { service: service("scribe"), wait_ms: Some(wait_ms) }];
+    Some(Status { ready: true, service_waits: waits })
 }
 
 fn two_regions() -> Contacts {
@@ -28,7 +28,7 @@
     contacts
 }
 
-fn named(contacts: &Contacts, now: Time, near: &str, homes: &[&str]) -> Vec<String> {
+fn addresses(contacts: &Contacts, now: Time, near: &str, homes: &[&str]) -> Vec<String> {
     let homes: Vec<_> = homes.iter().map(|it| region(it)).collect();
     let zone = format!("{near}-a").parse().unwrap();
     let found = entry_addresses(contacts, now, Some(&zone), Some(&region(near)), &homes);
@@ -37,40 +37,40 @@
 
 #[test]
 fn callers_are_sent_to_their_own_zone() {
-    let found = named(&two_regions(), Time::ZERO, "kochi", &[]);
+    let found = addresses(&two_regions(), Time::ZERO, "kochi", &[]);
 
     assert_eq!(found, ["10.1.0.1:8100", "10.1.0.2:8100"]);
 }
 
 #[test]
 fn callers_of_a_region_without_instances_are_sent_to_a_home() {
-    let found = named(&two_regions(), Time::ZERO, "kozhikode", &["kollam"]);
+    let found = addresses(&two_regions(), Time::ZERO, "kozhikode", &["kollam"]);
 
     assert_eq!(found, ["10.1.0.3:8100"]);
 }
 
 #[test]
-fn silent_instance_is_not_named() {
+fn instance_without_heartbeats_is_not_returned() {
     let mut contacts = two_regions();
     contacts.update(Time::from_millis(4_000), entry("e-2", "kochi"), ready(), NOW);
 
-    let found = named(&contacts, Time::from_millis(4_000), "kochi", &[]);
+    let found = addresses(&contacts, Time::from_millis(4_000), "kochi", &[]);
 
     assert_eq!(found, ["10.1.0.2:8100"]);
 }
 
 #[test]
-fn leaving_instance_is_not_named() {
+fn instance_that_is_not_ready_is_not_returned() {
     let mut contacts = two_regions();
     contacts.update(Time::ZERO, entry("e-1", "kochi"), Some(Status::default()), NOW);
 
-    let found = named(&contacts, Time::ZERO, "kochi", &[]);
+    let found = addresses(&contacts, Time::ZERO, "kochi", &[]);
 
     assert_eq!(found, ["10.1.0.2:8100"]);
 }
 
 #[test]
-fn only_changes_count_as_news() {
+fn heartbeat_without_a_change_does_not_count_as_changed() {
     let mut contacts = two_regions();
     let before = contacts.change();
 
@@ -86,7 +86,7 @@
 fn wait_of_a_region_is_the_median_of_its_instances() {
     let mut contacts = Contacts::default();
     for (id, wait_ms) in [("e-1", 900), ("e-2", 40), ("e-3", 60)] {
-        contacts.update(Time::ZERO, entry(id, "kochi"), waiting(wait_ms), NOW);
+        contacts.update(Time::ZERO, entry(id, "kochi"), with_wait(wait_ms), NOW);
     }
 
     let waits = contacts.waits(Time::ZERO);
@@ -95,9 +95,9 @@
     assert_eq!((waits[0].region.clone(), waits[0].wait_ms), (region("kochi"), 60));
 }
 
-/// A share of a limit must not grow because others are silent.
+/// An instance's share of a limit must not grow because others are unresponsive.
 #[test]
-fn instances_that_were_forgotten_count_among_the_most_that_were_known() {
+fn forgotten_instances_count_towards_the_peak() {
     let mut contacts = two_regions();
 
     let later = Time::from_millis(90_000);
--- a/crates/medlarlug-core/tests/testsuite/gateway/handover.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/handover.rs
@@ -1,4 +1,4 @@
-//! Calls that one region hands over to another, under equal and different tables.
+//! Calls that one region forwards to another, under equal and different route tables.
 
 use medlarlug_core::gateway::{
     handover::{Attempts, Handover, HandoverReport},
@@ -17,10 +17,10 @@
     }
 }
 
-/// Found by a hunted day: a call ran on three upstreams although its route allows two, because the
-/// second region counted its attempts anew.
+/// Guards against counting attempts anew in the second region: a call ran on three upstreams
+/// although its route allows two.
 #[test]
-fn attempts_left_bind_under_the_same_table() {
+fn remaining_attempts_bind_under_the_same_table() {
     let own = table(7, vec![route("/mend/")]).unwrap();
 
     let found = handover(7, 1).resolve(&own, "kochi.example", "/mend/1", 0.5);
@@ -55,7 +55,8 @@
     assert!(handover(7, 2).resolve(&own, "kochi.example", "/mend/1", 0.5).is_none());
 }
 
-/// The other region's head told of one run, and its stream went on at two more upstreams.
+/// The other region reported one run in the head of its answer, and then its stream continued at
+/// two more upstreams.
 #[test]
 fn stream_that_another_region_broke_off_may_have_used_every_attempt() {
     let mut attempts = Attempts::new(3, 4);
@@ -73,20 +74,20 @@
 
 /// How a request to an upstream ends, as the instance that sent it sees it.
 #[derive(Debug, Clone, Copy)]
-enum End {
+enum RequestEnd {
     /// The upstream refuses it.
     Refused,
-    /// The upstream runs it, and its answer is lost or a failure.
+    /// The upstream runs it, and the answer is lost or a failure.
     Run,
 }
 
-/// How a call that was handed over ends, as the first instance sees it.
+/// How a forwarded call ends, as the first instance sees it.
 #[derive(Debug, Clone, Copy)]
-enum Return {
-    /// With an answer and its report.
+enum ForwardEnd {
+    /// With an answer that carries a report.
     Reported,
-    /// With an answer without a report, by a connection that breaks, or by the first instance's
-    /// patience, while the other instance goes on.
+    /// With an answer without a report, with a broken connection, or with the first instance's
+    /// timeout while the other instance continues.
     Unreported,
 }
 
@@ -97,16 +98,16 @@
     arrivals: u32,
 }
 
-/// Serves a call until an end has no successor or nothing may be sent any more.
-fn serve(attempts: &mut Attempts, ends: &[End], counted: &mut Counted) {
+/// Serves a call until the list of outcomes ends or no more requests may be sent.
+fn serve(attempts: &mut Attempts, ends: &[RequestEnd], counted: &mut Counted) {
     for end in ends {
         if !attempts.may_send() {
             return;
         }
         counted.arrivals += 1;
         match end {
-            End::Refused => attempts.record_refusal(),
-            End::Run => {
+            RequestEnd::Refused => attempts.record_refusal(),
+            RequestEnd::Run => {
                 counted.runs += 1;
                 attempts.record_run();
             }
@@ -114,18 +115,18 @@
     }
 }
 
-fn ends() -> impl Strategy<Value = Vec<End>> {
-    prop::collection::vec(prop_oneof![Just(End::Refused), Just(End::Run)], 0..6)
+fn ends() -> impl Strategy<Value = Vec<RequestEnd>> {
+    prop::collection::vec(prop_oneof![Just(RequestEnd::Refused), Just(RequestEnd::Run)], 0..6)
 }
 
 proptest! {
-    /// A call that goes to upstreams and other regions in turn stays within what its route allows,
-    /// as upstreams count it.
+    /// A call that goes to local upstreams and other regions alternately stays within what its
+    /// route allows, as upstreams count it.
     #[test]
-    fn hand_overs_of_every_end_keep_to_the_attempts_of_the_route(
+    fn forwarded_calls_with_any_outcome_stay_within_the_attempts_of_the_route(
         allowed in 1u32..5,
         rounds in prop::collection::vec(
-            (ends(), ends(), prop_oneof![Just(Return::Reported), Just(Return::Unreported)]),
+            (ends(), ends(), prop_oneof![Just(ForwardEnd::Reported), Just(ForwardEnd::Unreported)]),
             1..6,
         ),
     ) {
@@ -140,8 +141,8 @@
             let mut other = Attempts::new(first.runs_left(), first.arrivals_left());
             serve(&mut other, &there, &mut counted);
             match returned {
-                Return::Reported => first.record_report(other.report(other.runs() == 0)),
-                Return::Unreported => first.record_missing_report(),
+                ForwardEnd::Reported => first.record_report(other.report(other.runs() == 0)),
+                ForwardEnd::Unreported => first.record_missing_report(),
             }
         }
 
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn report_survives_its_way_as_a_header() {
+fn report_survives_its_encoding_as_a_header() {
     let report = HandoverReport { runs: 2, arrivals: 3, is_refused: false };
 
     let text = serde_json::to_string(&report).unwrap();
--- a/crates/medlarlug-core/tests/testsuite/gateway/limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/limits.rs
@@ -1,5 +1,5 @@
-//! Limits that are sums over all entry instances: retries and requests to cold upstreams; and the
-//! health of upstreams.
+//! Limits that apply to the sum over all entry instances, namely those of retries and of requests
+//! to cold upstreams, and the health of upstreams.
 
 use std::time::Duration;
 
@@ -29,9 +29,9 @@
     InstanceShare { instances, process_age: None, has_complete_view: true }
 }
 
-/// Asserts that repeats stay within the bounds in every window: calls count in that window, the one
-/// before it or the one half a window before it, whichever has most.
-fn assert_within_bounds(calls: &[Time], repeats: &[Time]) {
+/// Asserts that retries stay within the bounds in every window. Calls are counted in that window,
+/// the one before it and the one half a window before it; the largest count applies.
+fn assert_within_bounds(calls: &[Time], retries: &[Time]) {
     let count = |times: &[Time], end: u64| {
         let within = |it: &&Time| {
             **it > Time::from_millis(end.saturating_sub(10_000)) && **it <= Time::from_millis(end)
@@ -39,23 +39,23 @@
         times.iter().filter(within).count() as f64
     };
     for end in (10_000..60_000).step_by(100) {
-        let repeated = count(repeats, end);
+        let retried = count(retries, end);
         let called = [end, end.saturating_sub(5_000), end.saturating_sub(10_000)]
             .map(|end| count(calls, end))
             .into_iter()
             .fold(0.0, f64::max);
         let limit = BOUNDS.ratio * called + BOUNDS.allowance;
-        assert!(repeated <= limit, "{repeated} repeats above {limit} at {end} ms");
+        assert!(retried <= limit, "{retried} retries above {limit} at {end} ms");
     }
 }
 
-/// All instances take as many repeats as they can, in every window of a minute.
+/// All instances make as many retries as they can, in every window of a minute.
 #[test]
-fn repeats_of_all_instances_stay_within_the_bounds() {
+fn retries_of_all_instances_stay_within_the_bounds() {
     let instances = 7;
     let mut windows = vec![RetryWindow::default(); instances];
     let mut calls: Vec<Time> = Vec::new();
-    let mut repeats: Vec<Time> = Vec::new();
+    let mut retries: Vec<Time> = Vec::new();
 
     for millis in (0..60_000).step_by(20) {
         let now = Time::from_millis(millis);
@@ -66,20 +66,20 @@
                 calls.push(now);
             }
             if window.try_take_retry(now, BOUNDS, share(instances)) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
     }
 
-    assert_within_bounds(&calls, &repeats);
+    assert_within_bounds(&calls, &retries);
 }
 
-/// A burst as long as a window is over when the last repeats that it has earned are taken.
+/// A burst as long as a window is over when the last retries that it has earned are made.
 #[test]
-fn repeats_after_a_burst_stay_within_the_bounds() {
+fn retries_after_a_burst_stay_within_the_bounds() {
     let mut windows = vec![RetryWindow::default(); 7];
     let mut calls: Vec<Time> = Vec::new();
-    let mut repeats: Vec<Time> = Vec::new();
+    let mut retries: Vec<Time> = Vec::new();
 
     for millis in (0..60_000).step_by(10) {
         let now = Time::from_millis(millis);
@@ -89,20 +89,20 @@
                 calls.push(now);
             }
             if millis >= 30_000 && window.try_take_retry(now, BOUNDS, share(7)) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
     }
 
-    assert_within_bounds(&calls, &repeats);
+    assert_within_bounds(&calls, &retries);
 }
 
 #[test]
-fn repeats_of_instances_that_restart_again_and_again_stay_within_the_bounds() {
+fn retries_of_instances_that_restart_again_and_again_stay_within_the_bounds() {
     let mut windows = vec![RetryWindow::default(); 7];
     let mut started = Time::ZERO;
     let mut calls: Vec<Time> = Vec::new();
-    let mut repeats: Vec<Time> = Vec::new();
+    let mut retries: Vec<Time> = Vec::new();
 
     for millis in (0..60_000).step_by(20) {
         let now = Time::from_millis(millis);
@@ -117,21 +117,22 @@
             }
             let share = InstanceShare { process_age: Some(now - started), ..share(7) };
             if window.try_take_retry(now, BOUNDS, share) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
     }
 
-    assert_within_bounds(&calls, &repeats);
+    assert_within_bounds(&calls, &retries);
 }
 
-/// Upstreams begin to refuse calls after a calm time, and the instances restart a second later.
+/// Upstreams start to refuse calls after a time without retries, and the instances restart a second
+/// later.
 #[test]
-fn repeats_that_were_saved_up_are_not_earned_again_after_a_restart() {
+fn accumulated_retries_are_not_earned_again_after_a_restart() {
     let mut windows = vec![RetryWindow::default(); 7];
     let mut started = None;
     let mut calls: Vec<Time> = Vec::new();
-    let mut repeats: Vec<Time> = Vec::new();
+    let mut retries: Vec<Time> = Vec::new();
 
     for millis in (0..60_000).step_by(20) {
         let now = Time::from_millis(millis);
@@ -145,42 +146,42 @@
             let share =
                 InstanceShare { process_age: started.map(|started| now - started), ..share(7) };
             if millis >= 30_000 && window.try_take_retry(now, BOUNDS, share) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
     }
 
-    assert_within_bounds(&calls, &repeats);
+    assert_within_bounds(&calls, &retries);
 }
 
-/// Repeats may wait in an upstream's queue of connections and arrive with later ones.
+/// Retries may wait in an upstream's connection queue and arrive together with later ones.
 #[test]
-fn repeats_that_arrive_a_second_late_stay_within_the_bounds() {
+fn retries_that_arrive_a_second_late_stay_within_the_bounds() {
     let mut window = RetryWindow::default();
     let mut calls: Vec<Time> = Vec::new();
-    let mut repeats: Vec<Time> = Vec::new();
+    let mut retries: Vec<Time> = Vec::new();
 
     for millis in (0..60_000).step_by(10) {
         let now = Time::from_millis(millis);
         window.record_call(now, BOUNDS);
         calls.push(now);
         if window.try_take_retry(now, BOUNDS, share(1)) {
-            repeats.push(Time::from_millis(millis.div_ceil(1_000) * 1_000));
+            retries.push(Time::from_millis(millis.div_ceil(1_000) * 1_000));
         }
     }
 
-    assert_within_bounds(&calls, &repeats);
+    assert_within_bounds(&calls, &retries);
 }
 
 #[test]
-fn instance_that_has_not_seen_the_others_has_no_share_of_the_allowance() {
+fn instance_without_a_complete_view_has_no_share_of_the_allowance() {
     let mut window = RetryWindow::default();
-    let unseen = InstanceShare { has_complete_view: false, ..share(1) };
+    let without_view = InstanceShare { has_complete_view: false, ..share(1) };
 
-    assert!(!window.try_take_retry(Time::ZERO, BOUNDS, unseen));
+    assert!(!window.try_take_retry(Time::ZERO, BOUNDS, without_view));
 }
 
-/// Half of the allowance is handed out: 54 / 2 / 7.
+/// Half of the allowance is granted: 54 / 2 / 7.
 #[test]
 fn service_without_calls_still_has_its_share_of_the_allowance() {
     let mut window = RetryWindow::default();
@@ -200,7 +201,7 @@
     assert_eq!(designated_sender(&upstream, &peers), designated_sender(&upstream, &reversed));
 }
 
-/// Two instances that disagree about who is alive stay below 1.5 times the rate and 3 more.
+/// Two instances that disagree about which instances are live stay below 1.5 times the rate plus 3.
 #[test]
 fn two_senders_stay_below_the_limit_of_a_cold_upstream() {
     let (rate, limit) = (2.7, 2.7 * 1.5 + 3.0);
@@ -220,29 +221,29 @@
 
     let in_second =
         |from: u64| sent.iter().filter(|at| **at >= from && **at < from + 1_000).count();
-    let most = (0..4_000).map(in_second).max().unwrap();
-    assert!(most as f64 <= limit, "{most} requests in a second");
+    let max = (0..4_000).map(in_second).max().unwrap();
+    assert!(max as f64 <= limit, "{max} requests in a second");
 }
 
-/// Found by a hunted day: engines were cold when their evacuation was withdrawn, and got nine
-/// requests in a second before they had announced it.
+/// Guards against a flood after an evacuation: engines were cold when their evacuation was
+/// withdrawn, and got nine requests in a second before they had announced it.
 #[test]
-fn upstream_of_a_restored_zone_counts_as_cold_until_it_is_heard_anew() {
+fn upstream_of_a_restored_zone_counts_as_cold_until_its_next_announcement() {
     let mut upstreams = Upstreams::default();
-    let mut suspicions = ColdDetector::default();
+    let mut detector = ColdDetector::default();
     let id = "engine-1".parse().unwrap();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
 
-    suspicions.zone_restored(Time::from_millis(500), &"kochi-a".parse().unwrap());
+    detector.zone_restored(Time::from_millis(500), &"kochi-a".parse().unwrap());
     let now = Time::from_millis(900);
-    let before = suspicions.is_cold(
+    let before = detector.is_cold(
         now,
         upstreams.get(&id).unwrap(),
         Observations::default(),
         ProcessTimes::default(),
     );
     upstreams.announce(now, upstream("engine-1", 2), Duration::ZERO);
-    let after = suspicions.is_cold(
+    let after = detector.is_cold(
         now,
         upstreams.get(&id).unwrap(),
         Observations::default(),
@@ -266,77 +267,80 @@
     assert_eq!(restored, Some(zones(&["kollam-a"])));
 }
 
-/// An instance that was cut off, or has just started, took a restored zone for warm.
+/// An instance that was cut off, or has just started, assumed that a restored zone was warm.
 #[test]
-fn evacuation_that_came_and_went_unseen_may_have_been_of_any_zone() {
+fn unseen_evacuation_may_have_been_of_any_zone() {
     let restored =
         Evacuations { round: 2, zones: &[] }.restored_since(Evacuations { round: 0, zones: &[] });
 
     assert_eq!(restored, None);
 }
 
-/// Its age counts from its arrival at a keeper, so it may seem a little younger than it is.
+/// The age of the announcement counts from its arrival at a keeper, so the announcement may seem
+/// slightly newer than it is.
 #[test]
 fn announcement_from_before_a_zone_was_restored_does_not_make_an_upstream_warm() {
     let mut upstreams = Upstreams::default();
-    let mut suspicions = ColdDetector::default();
-    suspicions.zone_restored(Time::from_millis(500), &"kochi-a".parse().unwrap());
+    let mut detector = ColdDetector::default();
+    detector.zone_restored(Time::from_millis(500), &"kochi-a".parse().unwrap());
 
     let now = Time::from_millis(900);
     upstreams.announce(now, upstream("engine-1", 1), Duration::from_millis(250));
 
     let known = upstreams.get(&"engine-1".parse().unwrap()).unwrap();
-    assert!(suspicions.is_cold(now, known, Observations::default(), ProcessTimes::default()));
+    assert!(detector.is_cold(now, known, Observations::default(), ProcessTimes::default()));
 }
 
 #[test]
-fn unreachable_upstream_counts_as_cold_until_it_is_heard_anew() {
+fn unreachable_upstream_counts_as_cold_until_its_next_announcement() {
     let mut upstreams = Upstreams::default();
-    let mut healths = HealthTracker::default();
+    let mut health = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
 
-    healths.record(Time::from_millis(500), &id, UpstreamOutcome::Unreachable);
+    health.record(Time::from_millis(500), &id, UpstreamOutcome::Unreachable);
 
     let known = upstreams.get(&id).unwrap();
     let now = Time::from_millis(1_500);
     assert!(ColdDetector::default().is_cold(
         now,
         known,
-        healths.observations(&id),
+        health.observations(&id),
         ProcessTimes::default()
     ));
 }
 
-/// It may have started anew behind a cut, and an instance that has just started has not seen how.
+/// The upstream may have restarted behind a network partition, and an instance that has just
+/// started has not seen it.
 #[test]
-fn upstream_that_is_no_longer_heard_counts_as_cold_unless_it_goes_on_answering() {
+fn upstream_without_announcements_counts_as_cold_unless_it_keeps_answering() {
     let mut upstreams = Upstreams::default();
-    let mut healths = HealthTracker::default();
+    let mut health = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
     let known = upstreams.get(&id).unwrap();
     let now = Time::from_millis(5_000);
-    let is_cold = |healths: &HealthTracker| {
+    let is_cold = |health: &HealthTracker| {
         ColdDetector::default().is_cold(
             now,
             known,
-            healths.observations(&id),
+            health.observations(&id),
             ProcessTimes::default(),
         )
     };
 
-    let unseen = is_cold(&healths);
-    healths.record(Time::from_millis(3_000), &id, UpstreamOutcome::Answered);
-    let answering = is_cold(&healths);
-    healths.record(Time::from_millis(4_000), &id, UpstreamOutcome::Broken);
-    let broken = is_cold(&healths);
+    let unanswered = is_cold(&health);
+    health.record(Time::from_millis(3_000), &id, UpstreamOutcome::Answered);
+    let answering = is_cold(&health);
+    health.record(Time::from_millis(4_000), &id, UpstreamOutcome::Broken);
+    let broken = is_cold(&health);
 
-    assert_eq!((unseen, answering, broken), (true, false, true));
+    assert_eq!((unanswered, answering, broken), (true, false, true));
 }
 
-/// Soak, seeds 523 and 9103: an upstream crashed and came back cold while no keeper heard it, and an
-/// instance that had just started, which had seen no connection break, took it for warm.
+/// An upstream crashed and came back cold while no keeper heard it. An instance that had just
+/// started had seen no connection break and assumed that the upstream was warm (soak, seeds 523 and
+/// 9103).
 #[test]
 fn upstream_that_has_missed_an_announcement_counts_as_cold_to_an_instance_that_started_since() {
     let mut upstreams = Upstreams::default();
@@ -344,92 +348,92 @@
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
     let known = upstreams.get(&id).unwrap();
     let started = Time::from_millis(1_000);
-    let is_cold = |millis, healths: &HealthTracker, started| {
+    let is_cold = |millis, health: &HealthTracker, started| {
         let (now, process) = (Time::from_millis(millis), ProcessTimes { started, resumed: None });
-        ColdDetector::default().is_cold(now, known, healths.observations(&id), process)
+        ColdDetector::default().is_cold(now, known, health.observations(&id), process)
     };
-    let mut serving = HealthTracker::default();
-    serving.record(Time::from_millis(2_700), &id, UpstreamOutcome::Answered);
+    let mut answering_health = HealthTracker::default();
+    answering_health.record(Time::from_millis(2_700), &id, UpstreamOutcome::Answered);
 
     let regular = is_cold(2_200, &HealthTracker::default(), started);
     let missed = is_cold(2_792, &HealthTracker::default(), started);
-    let answering = is_cold(2_792, &serving, started);
+    let answering = is_cold(2_792, &answering_health, started);
     let to_an_older_instance = is_cold(2_792, &HealthTracker::default(), Time::ZERO);
 
     assert_eq!((regular, missed), (false, true));
     assert_eq!((answering, to_an_older_instance), (false, false));
 }
 
-/// The first call that its cold rate let through was answered, and nine more followed at once.
+/// The first call within the cold rate was answered, and nine more followed at once.
 #[test]
 fn answer_of_an_upstream_that_counts_as_cold_does_not_make_it_warm() {
     let mut upstreams = Upstreams::default();
-    let mut healths = HealthTracker::default();
+    let mut health = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), Duration::ZERO);
 
-    healths.record(Time::from_millis(5_000), &id, UpstreamOutcome::AnsweredCold);
+    health.record(Time::from_millis(5_000), &id, UpstreamOutcome::AnsweredCold);
 
     let now = Time::from_millis(5_100);
     let known = upstreams.get(&id).unwrap();
     assert!(ColdDetector::default().is_cold(
         now,
         known,
-        healths.observations(&id),
+        health.observations(&id),
         ProcessTimes::default()
     ));
 }
 
 #[test]
-fn upstream_that_refuses_rests_and_returns() {
-    let mut healths = HealthTracker::default();
+fn upstream_that_refuses_is_avoided_for_a_while() {
+    let mut health = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
 
-    healths.record(Time::ZERO, &id, UpstreamOutcome::Refused);
+    health.record(Time::ZERO, &id, UpstreamOutcome::Refused);
 
-    assert!(healths.is_avoided(Time::from_millis(100), &id));
-    assert!(!healths.is_avoided(Time::from_millis(200), &id));
+    assert!(health.is_avoided(Time::from_millis(100), &id));
+    assert!(!health.is_avoided(Time::from_millis(200), &id));
 }
 
-/// Found on the first standard days: a full upstream looks idle, so that every call went there and
-/// was refused in turn.
+/// Guards against calls that all go to a full upstream: it refuses at once and therefore looks
+/// idle.
 #[test]
-fn upstream_that_goes_on_refusing_rests_longer() {
-    let mut healths = HealthTracker::default();
+fn upstream_that_keeps_refusing_is_avoided_for_longer() {
+    let mut health = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
 
-    healths.record(Time::ZERO, &id, UpstreamOutcome::Refused);
-    healths.record(Time::from_millis(200), &id, UpstreamOutcome::Refused);
+    health.record(Time::ZERO, &id, UpstreamOutcome::Refused);
+    health.record(Time::from_millis(200), &id, UpstreamOutcome::Refused);
 
-    assert!(healths.is_avoided(Time::from_millis(450), &id));
+    assert!(health.is_avoided(Time::from_millis(450), &id));
 }
 
 #[test]
-fn answer_ends_the_rest_of_an_upstream() {
-    let mut healths = HealthTracker::default();
+fn upstream_that_answers_is_no_longer_avoided() {
+    let mut health = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
-    healths.record(Time::ZERO, &id, UpstreamOutcome::Unreachable);
+    health.record(Time::ZERO, &id, UpstreamOutcome::Unreachable);
 
-    healths.record(Time::from_millis(10), &id, UpstreamOutcome::Answered);
+    health.record(Time::from_millis(10), &id, UpstreamOutcome::Answered);
 
-    assert!(!healths.is_avoided(Time::from_millis(20), &id));
+    assert!(!health.is_avoided(Time::from_millis(20), &id));
 }
 
 #[test]
 fn upstream_that_fails_a_part_of_its_calls_is_not_avoided() {
-    let mut healths = HealthTracker::default();
+    let mut health = HealthTracker::default();
     let id = "engine-1".parse().unwrap();
 
     for _ in 0..20 {
-        healths.record(Time::ZERO, &id, UpstreamOutcome::Failed);
+        health.record(Time::ZERO, &id, UpstreamOutcome::Failed);
     }
 
-    assert!(!healths.is_avoided(Time::ZERO, &id));
-    assert!(healths.failure_rate(&id) > 0.6);
+    assert!(!health.is_avoided(Time::ZERO, &id));
+    assert!(health.failure_rate(&id) > 0.6);
 }
 
 #[test]
-fn repeat_that_reached_nobody_is_not_paid_for_again() {
+fn retry_that_reached_no_upstream_is_not_paid_for_again() {
     let mut spending = Spending::default();
     spending.record_arrival();
 
--- a/crates/medlarlug-core/tests/testsuite/gateway/load_exchange.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/load_exchange.rs
@@ -1,4 +1,4 @@
-//! Who tells whom of loads, and what comes of it.
+//! Which instances exchange their loads, and the resulting totals.
 
 use std::collections::BTreeSet;
 
@@ -20,9 +20,9 @@
     (0..instances).map(|at| member(at, ["riga-a", "riga-b"][at % 2])).collect()
 }
 
-fn load(upstream: &str, running: u32, unread: u32) -> LoadReport {
+fn load(upstream: &str, running: u32, prefill_tokens: u32) -> LoadReport {
     let upstream = UpstreamKey::of(&upstream.parse().unwrap());
-    LoadReport { upstream, running, prefill_tokens: unread, urgent_tokens: 0, queued_tokens: 0 }
+    LoadReport { upstream, running, prefill_tokens, urgent_tokens: 0, queued_tokens: 0 }
 }
 
 fn peer(at: usize) -> ReportSource {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn few_instances_tell_each_other() {
+fn few_instances_report_to_each_other() {
     let region = region(8);
 
     let plans: Vec<ExchangePlan> =
@@ -54,24 +54,24 @@
     }
 }
 
-/// The work of a region grows with its instances, not with their square.
+/// The number of messages grows with the instances, not with their square.
 #[test]
 fn messages_of_a_round_grow_with_the_instances() {
     let messages = |instances: usize| {
         let region = region(instances);
         let plans = region.iter().map(|own| ExchangePlan::of(own, &region));
         // A collector answers every instance of its zone in the same round.
-        let told = plans.map(|it| {
-            let sums = if it.role == Role::Reporter { 1 } else { 0 };
-            it.report_to.len() + it.aggregate_to.len() + sums
+        let messages = plans.map(|it| {
+            let aggregates = if it.role == Role::Reporter { 1 } else { 0 };
+            it.report_to.len() + it.aggregate_to.len() + aggregates
         });
-        told.sum::<usize>()
+        messages.sum::<usize>()
     };
 
     assert!(messages(20) <= 20 * 7 && messages(75) <= 75 * 7, "{}", messages(75));
 }
 
-/// Instances that agree on who is alive agree on the collectors, whatever their order.
+/// Instances that agree on the live instances agree on the collectors, whatever their order.
 #[test]
 fn collectors_do_not_depend_on_the_order_of_the_instances() {
     let all = region(30);
@@ -97,9 +97,9 @@
     assert_eq!(stayed, before.report_to[1..].iter().collect::<Vec<_>>());
 }
 
-/// What each instance hears in the end is what all others have under way, each counted once.
+/// In the end, each instance knows the in-flight load of all others, each counted once.
 #[test]
-fn sums_hold_every_other_instance_once() {
+fn aggregates_include_every_other_instance_once() {
     let region = region(20);
     let own =
         |at: usize| vec![load("engine-1", 1 + at as u32, 100), load(&format!("e-{at}"), 1, 0)];
@@ -108,22 +108,24 @@
         .filter(|it| it.0.role == Role::Collector { place: 0 })
         .collect();
 
-    for (_, at, heard) in &mut collectors {
+    for (_, at, peer_loads) in &mut collectors {
         let zone = &region[*at].zone;
         let members = (0..20).filter(|other| other != at && region[*other].zone == *zone);
-        members
-            .for_each(|other| heard.apply_report(Time::ZERO, peer(other), 1, sorted(own(other))));
+        members.for_each(|other| {
+            peer_loads.apply_report(Time::ZERO, peer(other), 1, sorted(own(other)))
+        });
     }
-    let sums: Vec<(usize, Vec<LoadReport>)> = collectors
+    let aggregates: Vec<(usize, Vec<LoadReport>)> = collectors
         .iter()
-        .map(|(_, at, heard)| {
-            heard.aggregate(&sorted(own(*at)), |source| matches!(source, ReportSource::Zone(_)))
+        .map(|(_, at, peer_loads)| {
+            peer_loads
+                .aggregate(&sorted(own(*at)), |source| matches!(source, ReportSource::Zone(_)))
         })
         .collect();
-    for (number, (_, at, heard)) in collectors.iter_mut().enumerate() {
-        let (instances, loads) = sums[1 - number].clone();
+    for (number, (_, at, peer_loads)) in collectors.iter_mut().enumerate() {
+        let (instances, loads) = aggregates[1 - number].clone();
         let other = if region[*at].zone.as_str() == "riga-a" { "riga-b" } else { "riga-a" };
-        heard.apply_report(
+        peer_loads.apply_report(
             Time::ZERO,
             ReportSource::Zone(other.parse().unwrap()),
             instances,
@@ -131,20 +133,20 @@
         );
     }
 
-    let mut told = BTreeSet::new();
-    for (_, at, heard) in &collectors {
+    let mut covered = BTreeSet::new();
+    for (_, at, peer_loads) in &collectors {
         let zone = &region[*at].zone;
         for other in (0..20).filter(|other| other != at && region[*other].zone == *zone) {
             let (instances, loads) =
-                heard.aggregate(&sorted(own(*at)), |source| *source == peer(other));
+                peer_loads.aggregate(&sorted(own(*at)), |source| *source == peer(other));
             let engine = UpstreamKey::of(&"engine-1".parse().unwrap());
             let running = loads.iter().find(|it| it.upstream == engine).unwrap().running;
             let all: u32 = (0..20).map(|at| 1 + at as u32).sum();
             assert_eq!((instances, running), (19, all - (1 + other as u32)));
-            told.insert(other);
+            covered.insert(other);
         }
     }
-    assert_eq!(told.len(), 18);
+    assert_eq!(covered.len(), 18);
 }
 
 fn sorted(mut loads: Vec<LoadReport>) -> Vec<LoadReport> {
@@ -153,27 +155,27 @@
 }
 
 #[test]
-fn sum_of_a_collector_replaces_single_reports_and_the_other_way_round() {
+fn aggregate_of_a_collector_replaces_single_reports_and_vice_versa() {
     let key = UpstreamKey::of(&"engine-1".parse().unwrap());
-    let mut heard = PeerLoads::default();
+    let mut peer_loads = PeerLoads::default();
 
-    heard.apply_report(Time::ZERO, peer(1), 1, vec![load("engine-1", 2, 0)]);
-    heard.apply_report(Time::ZERO, ReportSource::Collector, 9, vec![load("engine-1", 5, 0)]);
-    let summed = heard.load_at(Time::ZERO, key);
-    heard.apply_report(Time::ZERO, peer(1), 1, vec![load("engine-1", 3, 0)]);
-    let single = heard.load_at(Time::ZERO, key);
+    peer_loads.apply_report(Time::ZERO, peer(1), 1, vec![load("engine-1", 2, 0)]);
+    peer_loads.apply_report(Time::ZERO, ReportSource::Collector, 9, vec![load("engine-1", 5, 0)]);
+    let aggregated = peer_loads.load_at(Time::ZERO, key);
+    peer_loads.apply_report(Time::ZERO, peer(1), 1, vec![load("engine-1", 3, 0)]);
+    let single = peer_loads.load_at(Time::ZERO, key);
 
-    assert_eq!((summed.0.running, summed.1), (5, 9));
+    assert_eq!((aggregated.0.running, aggregated.1), (5, 9));
     assert_eq!((single.0.running, single.1), (3, 1));
 }
 
-/// The running total is what a sum over the newest reports gives, in any order of events.
+/// The running total equals the sum over the newest reports, in any order of events.
 #[test]
 fn total_is_that_of_the_newest_reports() {
     use rand::{RngExt, SeedableRng};
     for seed in 0..20 {
         let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-        let mut heard = PeerLoads::default();
+        let mut peer_loads = PeerLoads::default();
         let mut naive: Vec<(usize, u64, Vec<LoadReport>)> = Vec::new();
         for step in 0..400_u64 {
             let now = Time::from_millis(step * 20);
@@ -182,19 +184,19 @@
             let change = load(&upstream, random.random_range(0..5), random.random_range(0..900));
             if random.random_range(0..3) == 0 {
                 let loads = vec![change];
-                heard.apply_report(now, peer(from), 1, loads.clone());
+                peer_loads.apply_report(now, peer(from), 1, loads.clone());
                 naive.retain(|it| it.0 != from);
                 naive.push((from, step * 20, loads));
             } else {
-                heard.apply_change(&peer(from), change);
-                if let Some(told) = naive.iter_mut().find(|it| it.0 == from) {
-                    told.2.retain(|it| it.upstream != change.upstream);
-                    told.2.push(change);
+                peer_loads.apply_change(&peer(from), change);
+                if let Some(report) = naive.iter_mut().find(|it| it.0 == from) {
+                    report.2.retain(|it| it.upstream != change.upstream);
+                    report.2.push(change);
                 }
             }
             naive.retain(|it| step * 20 - it.1 < 1_200);
 
-            let (at, instances) = heard.load_at(now, change.upstream);
+            let (at, instances) = peer_loads.load_at(now, change.upstream);
 
             let loads = naive.iter().flat_map(|it| &it.2);
             let same = loads.filter(|it| it.upstream == change.upstream);
--- a/crates/medlarlug-core/tests/testsuite/gateway/named_limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/named_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that upstreams name, with answers that cross.
+//! Limits that upstreams name, with answers that arrive out of order.
 
 use medlarlug_core::{
     gateway::{
@@ -21,7 +21,7 @@
     Time::from_millis(millis)
 }
 
-/// An upstream that named a limit at 100 ms, to a request that went out at 50 ms.
+/// An upstream that named a limit at 100 ms, in the answer to a request sent at 50 ms.
 fn limited(text: &str) -> UpstreamLimits {
     let mut limits = UpstreamLimits::default();
     limits.record_answer(at(100), at(50), &engine(), Birth(1), LimitHeader::Limit(limit(text)));
@@ -29,12 +29,13 @@
 }
 
 #[test]
-fn answer_without_a_limit_to_an_older_request_ends_none() {
+fn answer_without_a_limit_to_an_older_request_does_not_end_it() {
     let mut limits = limited("1.7");
 
-    let is_news = limits.record_answer(at(200), at(90), &engine(), Birth(1), LimitHeader::Absent);
+    let has_changed =
+        limits.record_answer(at(200), at(90), &engine(), Birth(1), LimitHeader::Absent);
 
-    assert!(!is_news);
+    assert!(!has_changed);
     assert_eq!(limits.of(&engine(), Birth(1)), Some(limit("1.7")));
 }
 
@@ -42,9 +43,10 @@
 fn answer_without_a_limit_to_a_later_request_ends_it() {
     let mut limits = limited("1.7");
 
-    let is_news = limits.record_answer(at(200), at(110), &engine(), Birth(1), LimitHeader::Absent);
+    let has_changed =
+        limits.record_answer(at(200), at(110), &engine(), Birth(1), LimitHeader::Absent);
 
-    assert!(is_news);
+    assert!(has_changed);
     assert_eq!(limits.of(&engine(), Birth(1)), None);
 }
 
@@ -84,14 +86,14 @@
 }
 
 #[test]
-fn what_is_no_rate_is_no_limit() {
+fn text_that_is_no_rate_is_rejected() {
     for text in ["", "few", "-1", "NaN", "1,5", "2/s"] {
         assert!(text.parse::<UpstreamLimit>().is_err(), "{text}");
     }
 }
 
 #[test]
-fn instances_are_told_of_changes_only() {
+fn instances_are_notified_of_changes_only() {
     let mut limits = limited("10");
 
     let is_same = limits.record_answer(
--- a/crates/medlarlug-core/tests/testsuite/gateway/patience.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/patience.rs
@@ -1,4 +1,4 @@
-//! When an attempt is given up for another one.
+//! Timeout after which an attempt is given up for another one.
 
 use std::time::Duration;
 
@@ -17,24 +17,24 @@
     }
 }
 
-/// Seen on the bench: the caller's instance gave a call up 0.8 s after it had handed it over, with
-/// 4 s left and nothing else to try, while its prompt was being read in the other region.
+/// Guards against a timeout of the caller's instance: it gave up a call 0.8 s after forwarding it,
+/// with 4 s left and nothing else to try, while the other region prefilled its prompt.
 #[test]
-fn call_that_was_handed_over_keeps_the_time_it_has() {
+fn forwarded_call_keeps_its_remaining_time() {
     let handed_over = Attempt { source: StreamSource::Instance, ..attempt() };
 
     assert_eq!(first_token_timeout(handed_over), handed_over.time_left);
 }
 
 #[test]
-fn last_attempt_keeps_the_time_it_has() {
+fn last_attempt_keeps_its_remaining_time() {
     let last = Attempt { is_last: true, ..attempt() };
 
     assert_eq!(first_token_timeout(last), last.time_left);
 }
 
-/// A long prompt that waits behind others for as long as its objective is not sent elsewhere, where
-/// it would be read once more.
+/// A long prompt that waits in a queue for as long as its objective is not sent elsewhere, where it
+/// would be prefilled again.
 #[test]
 fn attempt_outlasts_the_latency_objective() {
     assert!(first_token_timeout(attempt()) > attempt().objective);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn short_call_is_repeated_soon() {
+fn short_call_is_retried_soon() {
     let lookup = Attempt {
         predicted_wait: Duration::from_millis(30),
         objective: Duration::from_millis(300),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn limit_is_never_longer_than_the_time_left() {
+fn timeout_is_never_longer_than_the_time_left() {
     let late = Attempt { time_left: Duration::from_millis(500), ..attempt() };
 
     assert!(first_token_timeout(late) <= late.time_left);
--- a/crates/medlarlug-core/tests/testsuite/gateway/placing.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/placing.rs
@@ -1,4 +1,4 @@
-//! Placing under load, against naive policies.
+//! Placement under load, compared with naive policies.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Prompt tokens that an emulated engine reads in a millisecond.
-const READ_RATE: f64 = 40.0;
+/// Prompt tokens that an emulated engine prefills in a millisecond.
+const PREFILL_TOKENS_PER_MS: f64 = 40.0;
 
 fn ids(count: usize) -> Vec<UpstreamId> {
     (0..count).map(|at| format!("engine-{at}").parse().unwrap()).collect()
@@ -34,7 +34,7 @@
     ids.iter().map(engine).collect()
 }
 
-/// A prompt with a part that all share, one of its session and one of its own.
+/// A prompt with a part that all prompts share, one of its session and one of its own.
 fn session(number: u64, call: u64) -> Demand {
     let parts = vec![
         PromptPart { id: 1, tokens: 2_500 },
@@ -44,12 +44,12 @@
     Demand { parts, prompt_tokens: 9_200, max_output_tokens: 50, priority: 1 }
 }
 
-/// A report of 0 urgent tokens.
-fn load(upstream: &UpstreamId, running: u32, unread: u32) -> LoadReport {
+/// A report without urgent tokens.
+fn load(upstream: &UpstreamId, running: u32, prefill_tokens: u32) -> LoadReport {
     LoadReport {
         upstream: UpstreamKey::of(upstream),
         running,
-        prefill_tokens: unread,
+        prefill_tokens,
         urgent_tokens: 0,
         queued_tokens: 0,
     }
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn report_of_a_silent_peer_counts_no_more() {
+fn report_of_an_unresponsive_peer_expires() {
     let ids = ids(2);
     let mut loads = Loads::default();
     let home = loads.choose(Time::ZERO, &session(7, 0), &engines(&ids), 1).unwrap();
@@ -118,7 +118,7 @@
     assert_eq!(later.unwrap().id, home.id);
 }
 
-/// An engine reads urgent prompts first, so a queue of others hardly delays them.
+/// An engine prefills urgent prompts first, so a queue of other prompts hardly delays them.
 #[test]
 fn urgent_call_does_not_wait_for_less_urgent_prompts() {
     let ids = ids(1);
@@ -134,10 +134,10 @@
     assert!(wait(1) > Duration::from_millis(1_000), "{:?}", wait(1));
 }
 
-/// Calls that wait for their turn were not seen by others, which joined them while other engines were
-/// free.
+/// Guards against calls that wait for admission unnoticed: others joined them while other engines
+/// were free.
 #[test]
-fn call_goes_elsewhere_when_others_wait_for_their_turn_at_its_engine() {
+fn call_goes_elsewhere_when_others_wait_for_admission_at_its_engine() {
     let ids = ids(5);
     let mut loads = Loads::default();
     let home = loads.choose(Time::ZERO, &session(7, 0), &engines(&ids), 2).unwrap();
@@ -145,14 +145,14 @@
 
     loads.apply_report(Time::ZERO, from_peer("entry-2"), 1, vec![queue]);
     let moved = loads.choose(Time::ZERO, &session(7, 1), &engines(&ids), 2).unwrap();
-    // Whoever waits there itself goes as soon as the engine is free.
-    let is_free = loads.can_admit(Time::ZERO, &home, 2);
+    // The calls that wait there are sent as soon as the engine is free.
+    let can_admit = loads.can_admit(Time::ZERO, &home, 2);
 
     assert_ne!(moved.id, home.id);
-    assert!(is_free);
+    assert!(can_admit);
 }
 
-/// Calls that cross availability zones take longer and are paid for.
+/// Calls that cross availability zones take longer and cost money.
 #[test]
 fn nearer_engine_is_preferred_while_it_is_not_busier() {
     let ids = ids(2);
@@ -181,30 +181,30 @@
     assert_eq!(choice.id, ids[1]);
 }
 
-/// Engines that read one prompt after the other and keep the parts used last.
-struct Emulated {
-    free: f64,
-    held: Vec<(u64, u32)>,
+/// Engine that prefills one prompt at a time and keeps the most recently used parts.
+struct EmulatedEngine {
+    free_at: f64,
+    cached: Vec<(u64, u32)>,
 }
 
-impl Emulated {
-    /// Reads a prompt that arrives at `now` and returns when that is done, in milliseconds.
+impl EmulatedEngine {
+    /// Prefills a prompt that arrives at `now`, and returns when that is done, in milliseconds.
     fn read(&mut self, now: f64, demand: &Demand) -> f64 {
-        let mut unread = 0;
-        let mut is_held = true;
+        let mut prefill_tokens = 0;
+        let mut is_cached = true;
         for part in &demand.parts {
-            is_held &= self.held.iter().any(|it| it.0 == part.id);
-            if !is_held {
-                unread += part.tokens;
+            is_cached &= self.cached.iter().any(|it| it.0 == part.id);
+            if !is_cached {
+                prefill_tokens += part.tokens;
             }
-            self.held.retain(|it| it.0 != part.id);
-            self.held.push((part.id, part.tokens));
+            self.cached.retain(|it| it.0 != part.id);
+            self.cached.push((part.id, part.tokens));
         }
-        while self.held.iter().map(|it| it.1).sum::<u32>() > 150_000 {
-            self.held.remove(0);
+        while self.cached.iter().map(|it| it.1).sum::<u32>() > 150_000 {
+            self.cached.remove(0);
         }
-        self.free = self.free.max(now) + f64::from(unread) / READ_RATE;
-        self.free
+        self.free_at = self.free_at.max(now) + f64::from(prefill_tokens) / PREFILL_TOKENS_PER_MS;
+        self.free_at
     }
 }
 
@@ -217,18 +217,18 @@
     gap: f64,
 }
 
-/// About 36 calls a second, more than five cold engines can read.
+/// About 36 calls per second, more than five engines with empty caches can prefill.
 const FIVE_ENGINES: Traffic = Traffic { engines: 5, sessions: 95, calls: 3_000, gap: 28.0 };
 
-/// Share of calls whose first token comes within a second, when `place` picks the engine.
+/// Share of calls whose first token comes within a second, when `place` selects the engine.
 fn share_in_time(
     seed: u64,
     traffic: &Traffic,
-    mut place: impl FnMut(f64, &Demand, &mut ChaCha8Rng, &mut Vec<Emulated>) -> usize,
+    mut place: impl FnMut(f64, &Demand, &mut ChaCha8Rng, &mut Vec<EmulatedEngine>) -> usize,
 ) -> f64 {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut engines: Vec<Emulated> =
-        (0..traffic.engines).map(|_| Emulated { free: 0.0, held: Vec::new() }).collect();
+    let mut engines: Vec<EmulatedEngine> =
+        (0..traffic.engines).map(|_| EmulatedEngine { free_at: 0.0, cached: Vec::new() }).collect();
     let (mut now, mut in_time) = (0.0, 0);
     for call in 0..traffic.calls {
         now += -random.random::<f64>().max(1e-9).ln() * traffic.gap;
@@ -241,7 +241,7 @@
     f64::from(in_time) / traffic.calls as f64
 }
 
-/// The heaviest minutes: prompts of many sessions, more than engines can read without their caches.
+/// The peak load: prompts of many sessions, more than engines can prefill without their caches.
 #[test]
 fn more_calls_are_in_time_than_with_the_least_loaded_engine() {
     for seed in 0..5 {
@@ -262,13 +262,14 @@
             let choice = loads.choose(time, demand, &engines(&ids), 1).unwrap();
             loads.record_sent(time, &choice, demand, 250_000);
             let at = ids.iter().position(|id| *id == choice.id).unwrap();
-            let done = emulated[at].free.max(now) + f64::from(choice.prefill_tokens) / READ_RATE;
+            let done = emulated[at].free_at.max(now)
+                + f64::from(choice.prefill_tokens) / PREFILL_TOKENS_PER_MS;
             open.push((done, choice));
             at
         });
         let least_loaded = share_in_time(seed, &FIVE_ENGINES, |_, _, _, engines| {
-            let free = |at: &usize| (engines[*at].free * 1_000.0) as u64;
-            (0..engines.len()).min_by_key(free).unwrap()
+            let free_at = |at: &usize| (engines[*at].free_at * 1_000.0) as u64;
+            (0..engines.len()).min_by_key(free_at).unwrap()
         });
         let at_random = share_in_time(seed, &FIVE_ENGINES, |_, _, random, engines| {
             random.random_range(0..engines.len())
@@ -280,9 +281,9 @@
     }
 }
 
-/// Found on valaloft's quiet day: prompts that an engine reads without a break pause all its streams.
+/// An engine that prefills prompts without a break pauses all its streams.
 #[test]
-fn long_prompt_waits_for_its_turn_and_a_short_one_does_not() {
+fn long_prompt_waits_for_admission_and_a_short_one_does_not() {
     let ids = ids(1);
     let mut loads = Loads::default();
     let short = Demand { prompt_tokens: 800, max_output_tokens: 300, ..Demand::default() };
@@ -312,10 +313,10 @@
     assert!(!loads.can_admit(Time::ZERO, &choice, 2));
 }
 
-/// Seen on the grown sites: 24 instances report twice a second, so several of them sent long prompts
-/// to one engine before they knew of each other's.
+/// Guards against simultaneous long prompts: 24 instances report twice a second, so several of them
+/// sent long prompts to one engine before they knew of each other's.
 #[test]
-fn long_prompt_of_a_peer_counts_as_soon_as_it_is_told_alone() {
+fn long_prompt_of_a_peer_counts_as_soon_as_it_is_reported_alone() {
     let ids = ids(1);
     let (mut loads, mut peer) = (Loads::default(), Loads::default());
     let peer_id = from_peer("entry-2");
@@ -333,10 +334,10 @@
     assert_eq!((before, during, after), (true, false, true));
 }
 
-/// What a peer without a whole report has at other upstreams is estimated, and one load alone must
-/// not replace that.
+/// The load of a peer without a full report is estimated, and its load at one upstream alone must
+/// not replace that estimate.
 #[test]
-fn change_of_a_peer_without_a_whole_report_is_left_out() {
+fn change_of_a_peer_without_a_full_report_is_ignored() {
     let ids = ids(1);
     let mut loads = Loads::default();
     let choice = loads.choose(Time::ZERO, &session(1, 1), &engines(&ids), 2).unwrap();
@@ -347,21 +348,22 @@
     assert!(loads.can_admit(Time::ZERO, &choice, 2));
 }
 
-/// Share of calls in time when several instances place them, which report their load twice a second
-/// and, with `tells_at_once`, each long prompt as it goes out and as it was read.
-fn share_among_instances(seed: u64, tells_at_once: bool) -> f64 {
+/// Share of calls in time when several instances place them. The instances report their load twice
+/// a second and, with `reports_at_once`, each long prompt when it is sent and when it was
+/// prefilled.
+fn share_among_instances(seed: u64, reports_at_once: bool) -> f64 {
     const INSTANCES: usize = 12;
     let ids = ids(5);
     let names: Vec<ReportSource> =
         (0..INSTANCES).map(|at| from_peer(&format!("entry-{at}"))).collect();
     let mut all: Vec<Loads> = vec![Loads::default(); INSTANCES];
     let mut open: Vec<(f64, usize, Choice)> = Vec::new();
-    let (mut reported, mut turn) = (0.0, 0);
+    let (mut reported, mut next_instance) = (0.0, 0);
     share_in_time(seed, &FIVE_ENGINES, |now, demand, _, emulated| {
         let time = Time::from_micros((now * 1_000.0) as u64);
-        let tell = |all: &mut Vec<Loads>, from: usize, engine: &UpstreamId| {
+        let report_load = |all: &mut Vec<Loads>, from: usize, engine: &UpstreamId| {
             let report = all[from].report_of(engine);
-            for (at, loads) in all.iter_mut().enumerate().filter(|_| tells_at_once) {
+            for (at, loads) in all.iter_mut().enumerate().filter(|_| reports_at_once) {
                 if at != from {
                     loads.apply_change(&names[from], report);
                 }
@@ -372,7 +374,7 @@
         for (_, by, choice) in done {
             all[by].record_first_token(time, &choice, choice.wait);
             all[by].record_end(time, &choice, true);
-            tell(&mut all, by, &choice.id);
+            report_load(&mut all, by, &choice.id);
         }
         if now - reported > 500.0 {
             reported = now;
@@ -383,20 +385,21 @@
                 }
             }
         }
-        turn = (turn + 1) % INSTANCES;
-        let choice = all[turn].choose(time, demand, &engines(&ids), INSTANCES).unwrap();
-        all[turn].record_sent(time, &choice, demand, 250_000);
-        tell(&mut all, turn, &choice.id);
+        next_instance = (next_instance + 1) % INSTANCES;
+        let choice = all[next_instance].choose(time, demand, &engines(&ids), INSTANCES).unwrap();
+        all[next_instance].record_sent(time, &choice, demand, 250_000);
+        report_load(&mut all, next_instance, &choice.id);
         let at = ids.iter().position(|id| *id == choice.id).unwrap();
-        let done = emulated[at].free.max(now) + f64::from(choice.prefill_tokens) / READ_RATE;
-        open.push((done, turn, choice));
+        let done = emulated[at].free_at.max(now)
+            + f64::from(choice.prefill_tokens) / PREFILL_TOKENS_PER_MS;
+        open.push((done, next_instance, choice));
         at
     })
 }
 
-/// The load of the grown sites: many instances, each with few of the calls.
+/// Many instances, each with few of the calls, as at the largest sites.
 #[test]
-fn more_calls_are_in_time_when_long_prompts_are_told_at_once() {
+fn more_calls_are_in_time_when_long_prompts_are_reported_at_once() {
     for seed in 0..5 {
         let at_once = share_among_instances(seed, true);
         let by_reports = share_among_instances(seed, false);
@@ -405,18 +408,19 @@
     }
 }
 
-/// How the instances of a large region tell each other of their loads.
+/// How the instances of a large region exchange their loads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Telling {
-    /// Each tells all others, of long prompts at once and of everything each 1.36 s: more often would
-    /// take more of the processor than the calls.
+enum Exchange {
+    /// Each reports to all others, long prompts at once and everything every 1.36 s; a shorter
+    /// interval would take more processor time than the calls.
     All,
-    /// Each reports at once to the collector of its zone, which tells all each 20 ms.
+    /// Each reports at once to the collector of its zone, which sends aggregates to all every 20
+    /// ms.
     Collectors,
 }
 
 /// Share of calls in time in a region as large as the largest one of the large deployment.
-fn share_in_a_large_region(seed: u64, telling: Telling) -> f64 {
+fn share_in_a_large_region(seed: u64, exchange: Exchange) -> f64 {
     const INSTANCES: usize = 66;
     const TRAFFIC: Traffic = Traffic { engines: 70, sessions: 900, calls: 6_000, gap: 1.6 };
     let ids = ids(TRAFFIC.engines);
@@ -426,14 +430,14 @@
     let mut all: Vec<Loads> = vec![Loads::default(); INSTANCES];
     // The collectors are instances 0 and 1.
     let mut open: Vec<(f64, usize, Choice)> = Vec::new();
-    let mut told = 0.0;
+    let mut last_sent = 0.0;
     share_in_time(seed, &TRAFFIC, |now, demand, random, emulated| {
         let time = Time::from_micros((now * 1_000.0) as u64);
-        let tell = |all: &mut Vec<Loads>, from: usize, engine: &UpstreamId| {
+        let report_load = |all: &mut Vec<Loads>, from: usize, engine: &UpstreamId| {
             let report = all[from].report_of(engine);
-            let to = match telling {
-                Telling::All => 0..INSTANCES,
-                Telling::Collectors => zone(from)..zone(from) + 1,
+            let to = match exchange {
+                Exchange::All => 0..INSTANCES,
+                Exchange::Collectors => zone(from)..zone(from) + 1,
             };
             to.filter(|to| *to != from).for_each(|to| all[to].apply_change(&names[from], report));
         };
@@ -442,21 +446,21 @@
         for (_, by, choice) in done {
             all[by].record_first_token(time, &choice, choice.wait);
             all[by].record_end(time, &choice, true);
-            tell(&mut all, by, &choice.id);
+            report_load(&mut all, by, &choice.id);
         }
-        let interval = if telling == Telling::All { 1_360.0 } else { 20.0 };
-        if told == 0.0 || now - told > interval {
-            told = now;
+        let interval = if exchange == Exchange::All { 1_360.0 } else { 20.0 };
+        if last_sent == 0.0 || now - last_sent > interval {
+            last_sent = now;
             let reports: Vec<_> = all.iter().map(Loads::report).collect();
             for (from, to) in
                 (0..INSTANCES).flat_map(|from| (0..INSTANCES).map(move |to| (from, to)))
             {
-                let hears = telling == Telling::All || to == zone(from);
-                if from != to && hears {
+                let receives = exchange == Exchange::All || to == zone(from);
+                if from != to && receives {
                     all[to].apply_report(time, names[from].clone(), 1, reports[from].clone());
                 }
             }
-            if telling == Telling::Collectors {
+            if exchange == Exchange::Collectors {
                 let sums = [all[0].zone_aggregate(), all[1].zone_aggregate()];
                 for (at, (instances, loads)) in sums.into_iter().enumerate() {
                     let source = ReportSource::Zone(format!("zone-{at}").parse().unwrap());
@@ -472,24 +476,28 @@
         let by = random.random_range(0..INSTANCES);
         let choice = all[by].choose(time, demand, &engines(&ids), INSTANCES).unwrap();
         all[by].record_sent(time, &choice, demand, 250_000);
-        tell(&mut all, by, &choice.id);
+        report_load(&mut all, by, &choice.id);
         let at = ids.iter().position(|id| *id == choice.id).unwrap();
-        let done = emulated[at].free.max(now) + f64::from(choice.prefill_tokens) / READ_RATE;
+        let done = emulated[at].free_at.max(now)
+            + f64::from(choice.prefill_tokens) / PREFILL_TOKENS_PER_MS;
         open.push((done, by, choice));
         at
     })
 }
 
-/// The load of the heaviest seconds of the large deployment. What all instances told all others at once
-/// would take some 900 messages a second of each; reports to collectors and their sums, some 80 (both
-/// calculated).
+/// The load of the peak seconds of the large deployment. Reports of all instances to all others at
+/// once would be about 900 messages per second for each; reports to collectors and their aggregates
+/// are about 80 (both calculated).
 #[test]
-fn calls_of_a_large_region_fare_as_well_when_collectors_sum_loads_up() {
+fn as_many_calls_of_a_large_region_are_in_time_when_collectors_aggregate_loads() {
     for seed in 0..3 {
-        let summed = share_in_a_large_region(seed, Telling::Collectors);
-        let by_all = share_in_a_large_region(seed, Telling::All);
-
-        assert!(summed > by_all - 0.02, "seed {seed}: {summed} against {by_all}");
-        assert!(summed > 0.95, "seed {seed}: {summed}");
+        let with_collectors = share_in_a_large_region(seed, Exchange::Collectors);
+        let without_collectors = share_in_a_large_region(seed, Exchange::All);
+
+        assert!(
+            with_collectors > without_collectors - 0.02,
+            "seed {seed}: {with_collectors} against {without_collectors}"
+        );
+        assert!(with_collectors > 0.95, "seed {seed}: {with_collectors}");
     }
 }
--- a/crates/medlarlug-core/tests/testsuite/gateway/publication.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/publication.rs
@@ -1,4 +1,4 @@
-//! The replicated table and the evacuated zones.
+//! The replicated route table and the evacuated zones.
 
 use medlarlug_core::gateway::{
     publication::{Command, Publication},
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn evacuation_and_its_repeat_count_once() {
+fn repeated_evacuation_counts_once() {
     let zone = || "kochi-a".parse().unwrap();
 
     let once = after(vec![Command::Evacuate(zone())]);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn snapshot_brings_the_state_back() {
+fn snapshot_restores_the_state() {
     let zone = "kochi-a".parse().unwrap();
     let state = after(vec![publish(7, "seven"), Command::Evacuate(zone)]);
 
--- a/crates/medlarlug-core/tests/testsuite/gateway/refusing.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/refusing.rs
@@ -1,11 +1,11 @@
-//! When calls are refused, and when their callers are told to come back.
+//! When calls are refused, and when their callers should retry.
 
 use std::time::Duration;
 
 use assert_matches::assert_matches;
 use medlarlug_core::gateway::refusing::{CallForecast, Verdict, decide};
 
-fn outlook(wait_ms: Option<u64>, left_ms: u64) -> CallForecast {
+fn forecast(wait_ms: Option<u64>, left_ms: u64) -> CallForecast {
     CallForecast {
         predicted_wait: wait_ms.map(Duration::from_millis),
         time_left: Duration::from_millis(left_ms),
@@ -15,54 +15,54 @@
 
 #[test]
 fn call_that_can_be_answered_in_time_is_served() {
-    assert_eq!(decide(outlook(Some(1_400), 5_000), 0.5), Verdict::Serve);
+    assert_eq!(decide(forecast(Some(1_400), 5_000), 0.5), Verdict::Serve);
 }
 
-/// Under overload a late call delays all that come after it.
+/// Under overload, a late call delays all later ones.
 #[test]
 fn call_far_behind_its_objective_is_refused_though_its_caller_would_wait() {
-    assert_matches!(decide(outlook(Some(1_600), 5_000), 0.5), Verdict::Refuse { .. });
+    assert_matches!(decide(forecast(Some(1_600), 5_000), 0.5), Verdict::Refuse { .. });
 }
 
-/// Found in a recorded day: bookings were refused for the risk of a failure that their predicted
-/// wait holds.
+/// Guards against refusals of plain calls for the risk of a failure, which their predicted wait
+/// includes; bookings were refused that way.
 #[test]
 fn call_to_a_plain_service_is_served_as_long_as_its_caller_waits() {
-    let plain = CallForecast { objective: None, ..outlook(Some(1_900), 2_500) };
+    let plain = CallForecast { objective: None, ..forecast(Some(1_900), 2_500) };
 
     assert_eq!(decide(plain, 0.5), Verdict::Serve);
 }
 
 #[test]
 fn call_with_little_time_is_refused_before_its_objective() {
-    assert_matches!(decide(outlook(Some(900), 1_000), 0.5), Verdict::Refuse { .. });
+    assert_matches!(decide(forecast(Some(900), 1_000), 0.5), Verdict::Refuse { .. });
 }
 
 #[test]
 fn call_that_cannot_be_answered_in_time_is_refused_at_once() {
-    assert_matches!(decide(outlook(Some(4_500), 5_000), 0.5), Verdict::Refuse { .. });
+    assert_matches!(decide(forecast(Some(4_500), 5_000), 0.5), Verdict::Refuse { .. });
 }
 
 #[test]
 fn call_without_any_upstream_is_refused() {
-    assert_matches!(decide(outlook(None, 5_000), 0.5), Verdict::Refuse { .. });
+    assert_matches!(decide(forecast(None, 5_000), 0.5), Verdict::Refuse { .. });
 }
 
 #[test]
-fn caller_is_told_a_time_within_a_third_of_what_it_has_left() {
-    for spread in [0.0, 0.5, 1.0] {
-        let verdict = decide(outlook(Some(60_000), 3_000), spread);
+fn retry_delay_is_within_a_third_of_the_remaining_time() {
+    for jitter in [0.0, 0.5, 1.0] {
+        let verdict = decide(forecast(Some(60_000), 3_000), jitter);
 
-        assert_matches!(verdict, Verdict::Refuse { retry_after: after } if after <= Duration::from_secs(1));
+        assert_matches!(verdict, Verdict::Refuse { retry_after } if retry_after <= Duration::from_secs(1));
     }
 }
 
 #[test]
-fn callers_are_spread_over_the_time_to_come_back() {
-    let after = |spread| match decide(outlook(None, 10_000), spread) {
-        Verdict::Refuse { retry_after: after } => after,
+fn retry_delays_are_spread() {
+    let delay = |jitter| match decide(forecast(None, 10_000), jitter) {
+        Verdict::Refuse { retry_after } => retry_after,
         Verdict::Serve => Duration::ZERO,
     };
 
-    assert!(after(1.0) > after(0.0).mul_f64(1.5));
+    assert!(delay(1.0) > delay(0.0).mul_f64(1.5));
 }
--- a/crates/medlarlug-core/tests/testsuite/gateway/silence.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/silence.rs
@@ -1,4 +1,4 @@
-//! When a silent stream goes on elsewhere.
+//! When an idle stream continues elsewhere.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 
 const PAUSE: Duration = Duration::from_millis(600);
 
-/// Seen on the bench: both instances of a stream that crossed regions waited equally long, and the
-/// first one cut it while the second one had just gone on at another engine.
+/// Guards against equal timeouts of the two instances of a stream that crosses regions: the
+/// caller's instance cut the stream when the other one had just continued at another engine.
 #[test]
-fn instance_of_the_caller_waits_until_the_other_one_has_gone_on_elsewhere() {
+fn instance_of_the_caller_waits_until_the_other_one_has_continued_elsewhere() {
     let engine_side = idle_timeout(StreamSource::Upstream, PAUSE, true).unwrap();
     let caller_side = idle_timeout(StreamSource::Instance, PAUSE, true).unwrap();
 
-    // Reading a prompt again takes up to a second, the way between regions 130 ms.
+    // Prefilling a prompt again takes up to a second, and a round trip between regions 130 ms.
     assert!(caller_side >= engine_side + Duration::from_millis(1_130));
 }
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn pause_of_a_route_without_one_is_that_of_a_busy_engine() {
+fn route_without_a_pause_gets_that_of_a_busy_engine() {
     assert!(
         idle_timeout(StreamSource::Upstream, Duration::ZERO, true).unwrap()
             >= Duration::from_millis(900)
--- a/crates/medlarlug-core/tests/testsuite/gateway/table.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/table.rs
@@ -1,4 +1,4 @@
-//! Route tables: what is refused, and which route serves a path.
+//! Route tables: which are rejected, and which route serves a path.
 
 use assert_matches::assert_matches;
 use medlarlug_core::gateway::table::{Route, TableError};
@@ -31,31 +31,31 @@
 }
 
 #[test]
-fn unknown_service_is_refused() {
-    let lost = Route { targets: vec![target("loft", 1)], ..route("/mend/") };
+fn unknown_service_is_rejected() {
+    let invalid = Route { targets: vec![target("loft", 1)], ..route("/mend/") };
 
-    assert_matches!(table(1, vec![lost]), Err(TableError::UnknownService { .. }));
+    assert_matches!(table(1, vec![invalid]), Err(TableError::UnknownService { .. }));
 }
 
 #[test]
-fn two_routes_at_one_place_are_refused() {
+fn two_routes_with_one_host_and_prefix_are_rejected() {
     let routes = vec![route("/mend/"), route("/mend/")];
 
     assert_matches!(table(1, routes), Err(TableError::DuplicateRoute { .. }));
 }
 
 #[test]
-fn weights_that_add_up_to_zero_are_refused() {
-    let idle = Route { targets: vec![target("scribe", 0)], ..route("/mend/") };
+fn weights_that_add_up_to_zero_are_rejected() {
+    let invalid = Route { targets: vec![target("scribe", 0)], ..route("/mend/") };
 
-    assert_matches!(table(1, vec![idle]), Err(TableError::ZeroWeight { .. }));
+    assert_matches!(table(1, vec![invalid]), Err(TableError::ZeroWeight { .. }));
 }
 
 #[test]
-fn timeout_of_zero_is_refused() {
-    let hasty = Route { timeout: std::time::Duration::ZERO, ..route("/mend/") };
+fn timeout_of_zero_is_rejected() {
+    let invalid = Route { timeout: std::time::Duration::ZERO, ..route("/mend/") };
 
-    assert_matches!(table(1, vec![hasty]), Err(TableError::ZeroTimeout { .. }));
+    assert_matches!(table(1, vec![invalid]), Err(TableError::ZeroTimeout { .. }));
 }
 
 #[test]
--- a/crates/medlarlug-core/tests/testsuite/gateway/turns.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/turns.rs
@@ -1,4 +1,4 @@
-//! Turns of long prompts at engines.
+//! Admission of long prompts to engines.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
 
 #[test]
 fn call_of_an_overloaded_engine_is_refused_within_its_objective() {
-    let turns: Vec<PrefillDecision> = (0..=10)
+    let decisions: Vec<PrefillDecision> = (0..=10)
         .map(|tenth| decide(false, OBJECTIVE.mul_f64(f64::from(tenth) / 10.0), OBJECTIVE, 1))
         .collect();
 
-    assert_eq!(turns[0], PrefillDecision::Wait);
-    assert_eq!(turns[10], PrefillDecision::Refuse);
+    assert_eq!(decisions[0], PrefillDecision::Wait);
+    assert_eq!(decisions[10], PrefillDecision::Refuse);
 }
 
 #[test]
-fn urgent_call_goes_when_it_has_waited_long_enough() {
+fn urgent_call_is_sent_when_it_has_waited_long_enough() {
     assert_eq!(decide(false, OBJECTIVE, OBJECTIVE, 0), PrefillDecision::Send);
 }
 
 #[test]
-fn free_engine_takes_a_call_however_long_it_has_waited() {
+fn free_engine_accepts_a_call_however_long_it_has_waited() {
     assert_eq!(decide(true, OBJECTIVE * 3, OBJECTIVE, 1), PrefillDecision::Send);
 }
 
@@ -43,26 +43,27 @@
     assert!(later < Duration::from_millis(5), "{later:?}");
 }
 
-/// The load that turns answer: more long prompts than an engine can read, beside streams that run.
-/// An engine that reads without a break gives its streams a token in each step with a part of a
-/// prompt only.
+/// More long prompts than an engine can prefill, beside streams that run. An engine that prefills
+/// without a break gives its streams one token per step, and each step contains a chunk of a
+/// prompt.
 #[test]
 fn streams_end_in_time_beside_more_long_prompts_than_can_be_read() {
-    let with_turns = slowest_stream(|waited| decide(false, waited, OBJECTIVE, 1));
+    let with_admission = slowest_stream(|waited| decide(false, waited, OBJECTIVE, 1));
     let without = slowest_stream(|_| PrefillDecision::Send);
 
-    assert!(with_turns < Duration::from_secs(15), "{with_turns:?}");
+    assert!(with_admission < Duration::from_secs(15), "{with_admission:?}");
     assert!(without > Duration::from_secs(15), "{without:?}");
 }
 
-/// Time that a stream of 300 tokens takes at an engine that gets ten prompts of 9,000 tokens a
-/// second for a minute, when `decide` tells what becomes of a prompt that finds the engine busy.
+/// Time that a stream of 300 tokens takes at an engine that gets ten prompts of 9,000 tokens per
+/// second for a minute, when `decide` decides about a prompt that finds the engine busy.
 fn slowest_stream(decide: impl Fn(Duration) -> PrefillDecision) -> Duration {
-    const STEP: Duration = Duration::from_millis(5);
-    const PART: u32 = 4_096;
-    const PART_STEP: Duration = Duration::from_millis(100);
-    // The turn passes on after the news of the end has travelled, and somebody has looked.
-    const HANDOVER: Duration = Duration::from_millis(12);
+    const DECODE_STEP: Duration = Duration::from_millis(5);
+    const CHUNK_TOKENS: u32 = 4_096;
+    const CHUNK_STEP: Duration = Duration::from_millis(100);
+    // The next prompt is admitted after the report of the previous one's end has arrived and the
+    // waiting call has checked again.
+    const ADMISSION_DELAY: Duration = Duration::from_millis(12);
     let (mut now, mut tokens, mut queued) = (Duration::ZERO, 0, 0_u32);
     let mut waiting: Vec<Duration> = Vec::new();
     let (mut arrivals, mut free_since) = (0, Duration::ZERO);
@@ -71,20 +72,25 @@
             waiting.push(Duration::from_millis(100) * arrivals);
             arrivals += 1;
         }
-        let decided = |came: &Duration| decide(now.saturating_sub(*came));
+        let decided = |arrived: &Duration| decide(now.saturating_sub(*arrived));
         queued += 9_000
-            * waiting.iter().filter(|came| decided(came) == PrefillDecision::Send).count() as u32;
-        waiting.retain(|came| decided(came) == PrefillDecision::Wait);
-        if queued == 0 && !waiting.is_empty() && now >= free_since + HANDOVER {
+            * waiting.iter().filter(|arrived| decided(arrived) == PrefillDecision::Send).count()
+                as u32;
+        waiting.retain(|arrived| decided(arrived) == PrefillDecision::Wait);
+        if queued == 0 && !waiting.is_empty() && now >= free_since + ADMISSION_DELAY {
             waiting.remove(0);
             queued = 9_000;
         }
-        let part = queued.min(PART);
-        now += if part > 0 { PART_STEP.mul_f64(f64::from(part) / f64::from(PART)) } else { STEP };
-        if part > 0 && part == queued {
+        let chunk = queued.min(CHUNK_TOKENS);
+        now += if chunk > 0 {
+            CHUNK_STEP.mul_f64(f64::from(chunk) / f64::from(CHUNK_TOKENS))
+        } else {
+            DECODE_STEP
+        };
+        if chunk > 0 && chunk == queued {
             free_since = now;
         }
-        queued -= part;
+        queued -= chunk;
         tokens += 1;
     }
     now
--- a/crates/medlarlug-core/tests/testsuite/gateway/view.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/view.rs
@@ -1,4 +1,4 @@
-//! When an instance sees enough of the others.
+//! When an instance sees enough of the others to act alone.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,7 +17,7 @@
     (1..=count).map(|last| SocketAddr::from(([10, 1, 0, last], 7_660))).collect()
 }
 
-/// A view of an instance that has heard the first `heard` of `count` keepers just now.
+/// A view of an instance that has just heard the first `heard` of `count` keepers.
 fn view(heard: usize, count: u8) -> KeeperView {
     let keepers = keepers(count);
     let mut view = KeeperView::default();
@@ -35,11 +35,11 @@
 }
 
 #[test]
-fn instance_that_knows_no_keeper_sees_nobody() {
+fn instance_that_knows_no_keeper_has_no_complete_view() {
     assert!(!view(0, 0).was_complete());
 }
 
-/// A view of an instance that hears all of three keepers from the start to `until`, in milliseconds.
+/// A view of an instance that hears all three keepers from the start to `until`, in milliseconds.
 fn heard_until(until: u64) -> KeeperView {
     let keepers = keepers(3);
     let mut view = KeeperView::default();
@@ -57,18 +57,19 @@
     assert!(heard_until(2_800).is_settled(Time::from_millis(2_800)));
 }
 
-/// Both were senders of a cold upstream: others took the sleeper's place while it was silent.
+/// Guards against two senders for one cold upstream: others took over from the frozen instance
+/// while it was unresponsive.
 #[test]
 fn instance_that_wakes_from_a_freeze_does_not_act_on_its_old_view() {
     let mut view = heard_until(8_000);
-    let woken = Time::from_millis(13_000);
+    let resumed = Time::from_millis(13_000);
 
-    let at_once = view.is_settled(woken);
-    keepers(3).iter().for_each(|keeper| view.record_keeper(woken, *keeper));
-    view.update(woken, &keepers(3));
+    let at_once = view.is_settled(resumed);
+    keepers(3).iter().for_each(|keeper| view.record_keeper(resumed, *keeper));
+    view.update(resumed, &keepers(3));
 
     assert!(!at_once);
-    assert!(!view.is_settled(woken));
+    assert!(!view.is_settled(resumed));
 }
 
 #[test]
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn start_is_no_stall() {
+fn start_is_not_a_stall() {
     let mut view = KeeperView::default();
 
     view.update(Time::from_millis(600_000), &keepers(3));
@@ -94,10 +95,10 @@
     assert_eq!(view.last_resumed(Time::from_millis(600_400)), None);
 }
 
-/// The soak, seed 307: calls that had waited for a paused instance went to an upstream that had
-/// turned cold meanwhile, 56 in a second.
+/// Guards against a flood after a freeze: calls that had waited for a paused instance went to an
+/// upstream that had turned cold meanwhile, 56 in a second (soak, seed 307).
 #[test]
-fn upstreams_count_as_cold_after_a_freeze_until_they_are_heard_anew() {
+fn upstreams_count_as_cold_after_a_freeze_until_their_next_announcement() {
     let mut upstreams = Upstreams::default();
     let id = "engine-1".parse().unwrap();
     let view = heard_until(4_000);
