--- a/crates/medlarlug-core/src/orders/issuer.rs
+++ b/crates/medlarlug-core/src/orders/issuer.rs
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     term: Term,
-    valid_until: Time,
+    until: Time,
     /// Time from which orders may be sent to engines that don't check fencing tokens.
     unfenced_from: Time,
 }
@@ -171,12 +171,12 @@
     /// Whether the lease is valid at `now`. To be checked again right before an order is written to
     /// the connection.
     pub fn may_send(&self, now: Time) -> bool {
-        self.lease.is_some_and(|it| now < it.valid_until)
+        self.lease.is_some_and(|it| now < it.until)
     }
 
     /// Term of the lease, if it is valid at `now`.
     pub fn term(&self, now: Time) -> Option<Term> {
-        self.lease.filter(|it| now < it.valid_until).map(|it| it.term)
+        self.lease.filter(|it| now < it.until).map(|it| it.term)
     }
 
     /// Orders that were sent and have not been answered.
@@ -223,19 +223,17 @@
             return;
         };
         let (_, requested_at) = self.lease_requests.remove(found);
-        let valid_until = requested_at + duration.div_f64(1.0 + self.timing.max_clock_drift);
+        let until = requested_at + duration.div_f64(1.0 + self.timing.max_clock_drift);
         match &mut self.lease {
-            Some(lease) if lease.term == term => {
-                lease.valid_until = lease.valid_until.max(valid_until)
-            }
+            Some(lease) if lease.term == term => lease.until = lease.until.max(until),
             Some(lease) if lease.term > term => {}
-            _ => self.begin_term(now, term, valid_until),
+            _ => self.begin_term(now, term, until),
         }
     }
 
-    fn begin_term(&mut self, now: Time, term: Term, valid_until: Time) {
+    fn begin_term(&mut self, now: Time, term: Term, until: Time) {
         let unfenced_from = now + self.max_delivery_time();
-        self.lease = Some(Lease { term, valid_until, unfenced_from });
+        self.lease = Some(Lease { term, until, unfenced_from });
         self.sequence = 0;
         self.bucket = TokenBucket::empty(now, self.timing.load_rate, self.timing.load_burst);
     }
@@ -265,7 +263,7 @@
     }
 
     fn send(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let Some(lease) = self.lease.filter(|it| now < it.valid_until) else {
+        let Some(lease) = self.lease.filter(|it| now < it.until) else {
             return;
         };
         let mut index = 0;
--- a/crates/medlarlug-core/tests/testsuite/membership.rs
+++ b/crates/medlarlug-core/tests/testsuite/membership.rs
@@ -1,4 +1,4 @@
-//! The membership core on a seeded network.
+//! Tests of the membership core on a simulated network.
 
 use std::time::Duration;
 
@@ -36,21 +36,22 @@
 }
 
 #[test]
-fn every_instance_learns_of_every_upstream() {
+fn every_instance_knows_every_upstream() {
     let mut network = one_zone(1, 4, 6);
 
     network.run(3 * SECOND);
 
-    let expected = network.truly_usable(&id("riga-a"));
+    let expected = network.expected_usable(&id("riga-a"));
     assert_eq!(expected.len(), 6);
     for node in 0..4 {
         assert_eq!(network.usable(node), expected);
     }
 }
 
-/// The own start may fall into the time in which the peer's connection to this instance is silent.
+/// Guards against a connection that is never replaced: if this instance starts while the connection
+/// of the peer to it is unresponsive, it never gets a first message whose successors it could miss.
 #[test]
-fn connection_of_a_peer_that_was_never_heard_is_replaced_until_it_is_heard() {
+fn connection_of_a_peer_is_replaced_until_its_first_message_arrives() {
     let mut membership = single(Time::ZERO);
     let mut reconnects = |millis: std::ops::Range<u64>, event: Option<Event>| {
         let mut out = Vec::new();
@@ -61,20 +62,20 @@
         }
         out.iter().filter(|it| matches!(it, Effect::Reconnect { .. })).count()
     };
-    let (status, news) = (Status::default(), Vec::new());
-    let beat = Heartbeat { incarnation: Incarnation(1), status, digest: 0, updates: news };
-    let heard = Event::Message { from: id("e1"), message: Message::Heartbeat(beat) };
+    let (status, updates) = (Status::default(), Vec::new());
+    let beat = Heartbeat { incarnation: Incarnation(1), status, digest: 0, updates };
+    let received = Event::Message { from: id("e1"), message: Message::Heartbeat(beat) };
 
     let first = reconnects(0..10_000, None);
     let later = reconnects(10_000..20_000, None);
-    let after = reconnects(20_000..21_000, Some(heard));
+    let after = reconnects(20_000..21_000, Some(received));
 
     assert!(first > 0 && later > 0, "{first} and {later} times replaced");
     assert_eq!(after, 0);
 }
 
 #[test]
-fn leaving_beats_an_older_announcement_that_arrives_late() {
+fn leaving_overrides_an_older_announcement_that_arrives_late() {
     let mut membership = single(Time::ZERO);
     let mut left = engine("u0", "riga-a", &["m"]);
     let late = left.clone();
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn peer_that_missed_the_leaving_is_told() {
+fn peer_that_missed_the_leaving_is_sent_it() {
     let mut membership = single(Time::ZERO);
     let mut left = engine("u0", "riga-a", &["m"]);
     let announcement = Box::new(left.clone());
@@ -103,23 +104,23 @@
     membership.handle(Time::ZERO, Event::Announced(left), &mut Vec::new());
 
     let mut out = Vec::new();
-    let news = vec![UpstreamUpdate::Full { announcement, age: SECOND }];
-    let message = Message::Upstreams(news);
+    let updates = vec![UpstreamUpdate::Full { announcement, age: SECOND }];
+    let message = Message::Upstreams(updates);
     let event = Event::Message { from: id("e1"), message };
     membership.handle(Time::from_millis(10), event, &mut out);
 
-    let told = out.iter().any(|it| {
-        matches!(it, Effect::Send { message: Message::Upstreams(news), .. }
-            if matches!(news[..], [UpstreamUpdate::Left { .. }]))
+    let is_sent = out.iter().any(|it| {
+        matches!(it, Effect::Send { message: Message::Upstreams(updates), .. }
+            if matches!(updates[..], [UpstreamUpdate::Left { .. }]))
     });
-    assert!(told);
+    assert!(is_sent);
 }
 
 #[test]
-fn peer_whose_digest_differs_is_sent_the_whole_view() {
+fn peer_whose_digest_differs_is_sent_the_full_view() {
     let mut membership = single(Time::ZERO);
-    let news = Event::Announced(engine("u0", "riga-a", &["m"]));
-    membership.handle(Time::ZERO, news, &mut Vec::new());
+    let announced = Event::Announced(engine("u0", "riga-a", &["m"]));
+    membership.handle(Time::ZERO, announced, &mut Vec::new());
     let status = Status::default();
     let beat = Heartbeat { incarnation: Incarnation(1), status, digest: 1, updates: Vec::new() };
 
@@ -130,10 +131,10 @@
         membership.handle(Time::from_millis(millis), event, &mut out);
     }
 
-    let views = out.iter().filter(|it| {
-        matches!(it, Effect::Send { message: Message::Upstreams(news), .. } if news.len() == 1)
+    let full_views = out.iter().filter(|it| {
+        matches!(it, Effect::Send { message: Message::Upstreams(updates), .. } if updates.len() == 1)
     });
-    assert_eq!(views.count(), 1);
+    assert_eq!(full_views.count(), 1);
 }
 
 #[test]
@@ -147,25 +148,25 @@
 }
 
 #[test]
-fn leaving_and_dead_upstreams_get_no_work_in_time() {
+fn leaving_and_dead_upstreams_stop_getting_requests_in_time() {
     for seed in 0..1_000 {
         let mut network = one_zone(seed, 4, 5);
         network.run(3 * SECOND);
         network.faults = Faults::ROUGH;
-        let gone = network.random().random_range(0..5);
+        let removed = network.random().random_range(0..5);
         let is_leaving = network.random().random_bool(0.5);
 
         if is_leaving {
-            network.leave(gone);
+            network.leave(removed);
         } else {
-            network.upstreams[gone].is_up = false;
+            network.upstreams[removed].is_up = false;
         }
         network.run(if is_leaving { 2 * SECOND } else { 3 * SECOND });
 
-        let gone = network.upstreams[gone].announcement.id.clone();
+        let removed = network.upstreams[removed].announcement.id.clone();
         for _ in 0..40 {
             for node in 0..4 {
-                assert!(!network.usable(node).contains(&gone), "seed {seed}, instance {node}");
+                assert!(!network.usable(node).contains(&removed), "seed {seed}, instance {node}");
             }
             network.step();
         }
@@ -173,7 +174,7 @@
 }
 
 #[test]
-fn views_agree_with_the_naive_list_after_a_heal() {
+fn views_agree_with_the_reference_list_after_a_partition_heals() {
     for seed in 0..400 {
         let mut network = one_zone(seed, 5, 6);
         network.run(2 * SECOND);
@@ -181,7 +182,7 @@
         let cut = network.random().random_range(1..4);
         network.cut = (0..cut).collect();
         for _ in 0..6 {
-            disturb(&mut network);
+            inject_fault(&mut network);
             network.run(SECOND);
         }
 
@@ -189,14 +190,14 @@
         network.faults = Faults::NONE;
         network.run(3 * SECOND);
 
-        let expected = network.truly_usable(&id("riga-a"));
+        let expected = network.expected_usable(&id("riga-a"));
         for node in 0..5 {
             assert_eq!(network.usable(node), expected, "seed {seed}, instance {node}");
         }
     }
 }
 
-fn disturb(network: &mut Network) {
+fn inject_fault(network: &mut Network) {
     let upstream = network.random().random_range(0..6);
     let node = network.random().random_range(0..5);
     match network.random().random_range(0..4) {
@@ -208,7 +209,7 @@
 }
 
 #[test]
-fn restarted_instance_learns_that_an_upstream_left() {
+fn restarted_instance_is_sent_the_tombstone_of_an_upstream() {
     let mut network = one_zone(3, 3, 3);
     network.run(3 * SECOND);
     network.leave(0);
@@ -217,25 +218,25 @@
     network.restart_node(2);
     network.run(2 * SECOND);
 
-    assert_eq!(network.usable(2), network.truly_usable(&id("riga-a")));
+    assert_eq!(network.usable(2), network.expected_usable(&id("riga-a")));
 }
 
 #[test]
-fn silent_connection_is_replaced_and_nobody_condemned() {
+fn unresponsive_connection_is_replaced_without_declaring_an_instance_dead() {
     let mut network = one_zone(4, 3, 2);
     network.run(3 * SECOND);
     network.notices.clear();
 
-    network.silent.push((0, 1));
+    network.unresponsive.push((0, 1));
     network.run(5 * SECOND);
 
-    assert!(network.silent.is_empty());
+    assert!(network.unresponsive.is_empty());
     let is_dead = |notice: &Notice| matches!(notice, Notice::PeerDead(_));
     assert!(!network.notices.iter().any(|(_, it)| is_dead(it)));
 }
 
 #[test]
-fn instance_that_is_silent_on_new_connections_counts_as_dead() {
+fn instance_that_is_unresponsive_on_new_connections_counts_as_dead() {
     let mut network = one_zone(5, 3, 2);
     network.run(3 * SECOND);
 
@@ -249,7 +250,7 @@
 }
 
 #[test]
-fn leaving_instance_is_no_entry_any_more() {
+fn leaving_instance_accepts_no_callers() {
     let mut network = one_zone(6, 3, 0);
     network.run(2 * SECOND);
 
@@ -275,7 +276,7 @@
 }
 
 #[test]
-fn summaries_reach_every_instance_and_survive_the_speaker() {
+fn summaries_reach_every_instance_and_survive_the_crash_of_a_speaker() {
     let mut network = regions(3, 6, 3);
     for zone in 0..6 {
         let zone_name = format!("z{zone}");
@@ -297,7 +298,7 @@
 }
 
 #[test]
-fn control_traffic_stays_within_its_budget_at_full_size() {
+fn control_traffic_stays_within_its_budget_at_full_scale() {
     let mut network = regions(8, 29, 12);
     let models: Vec<String> = (0..12).map(|it| format!("model-{it:02}")).collect();
     for it in 0..600 {
@@ -335,7 +336,7 @@
 }
 
 #[test]
-fn summaries_are_fresh_in_every_zone_after_a_long_cut_heals() {
+fn summaries_are_fresh_in_every_zone_after_a_long_partition_heals() {
     for seed in 0..20 {
         let mut network = regions(3, 3, 3);
         for zone in 0..3 {
@@ -360,7 +361,7 @@
     }
 }
 
-/// Two zones of a region with many entry instances, and a keeper in the second.
+/// Two zones of a region with many entry instances, and a keeper in the second zone.
 fn two_zones_and_a_keeper() -> Network {
     let mut seeds: Vec<Seed> = Vec::new();
     for zone in ["a", "b"] {
@@ -372,7 +373,7 @@
 }
 
 #[test]
-fn keeper_learns_of_a_dead_entry_instance_of_another_zone() {
+fn dead_entry_instance_is_reported_to_a_keeper_of_another_zone() {
     let mut network = two_zones_and_a_keeper();
     let keeper = network.node(&id("k0"));
     network.run(3 * SECOND);
@@ -386,7 +387,7 @@
 }
 
 #[test]
-fn instance_that_is_back_does_not_count_as_lost_for_long() {
+fn restarted_instance_does_not_count_as_dead_for_long() {
     let mut network = two_zones_and_a_keeper();
     let keeper = network.node(&id("k0"));
     network.run(3 * SECOND);
@@ -402,18 +403,18 @@
 }
 
 #[test]
-fn peer_that_answers_is_not_silent() {
-    let mut awaited = PendingResponses::default();
-    let (answering, silent) = (id("keeper-1"), id("keeper-2"));
-    for peer in [&answering, &silent] {
-        awaited.expect_response(Time::ZERO, peer);
-        awaited.expect_response(Time::from_millis(2_000), peer);
+fn peer_that_responds_is_not_unresponsive() {
+    let mut pending = PendingResponses::default();
+    let (responsive, unresponsive) = (id("keeper-1"), id("keeper-2"));
+    for peer in [&responsive, &unresponsive] {
+        pending.expect_response(Time::ZERO, peer);
+        pending.expect_response(Time::from_millis(2_000), peer);
     }
 
-    awaited.response_received(&answering);
+    pending.response_received(&responsive);
 
-    assert_eq!(awaited.take_unresponsive(Time::ZERO + ANSWER_TIMEOUT), [silent]);
-    assert!(awaited.take_unresponsive(Time::ZERO + 2 * ANSWER_TIMEOUT).is_empty());
+    assert_eq!(pending.take_unresponsive(Time::ZERO + ANSWER_TIMEOUT), [unresponsive]);
+    assert!(pending.take_unresponsive(Time::ZERO + 2 * ANSWER_TIMEOUT).is_empty());
 }
 
 #[test]
--- a/crates/medlarlug-core/tests/testsuite/network.rs
+++ b/crates/medlarlug-core/tests/testsuite/network.rs
@@ -1,4 +1,5 @@
-//! A seeded network of membership cores: delays, drops, duplicates, cuts, restarts.
+//! A simulated network of membership cores with a seeded random generator: delays, losses,
+//! duplicates, partitions and restarts.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use test_support::id;
 
-/// What the network does to messages.
+/// Faults that the network injects.
 #[derive(Debug, Clone, Copy)]
 pub struct Faults {
     pub drop: f64,
@@ -55,7 +56,7 @@
     pub upstreams: Vec<FakeUpstream>,
     pub faults: Faults,
     pub cut: Vec<usize>,
-    pub silent: Vec<(usize, usize)>,
+    pub unresponsive: Vec<(usize, usize)>,
     pub notices: Vec<(usize, medlarlug_core::membership::Notice)>,
     pub measures_bytes: bool,
     pub delivers: fn(&Message) -> bool,
@@ -96,7 +97,7 @@
             upstreams: Vec::new(),
             faults: Faults::NONE,
             cut: Vec::new(),
-            silent: Vec::new(),
+            unresponsive: Vec::new(),
             notices: Vec::new(),
             measures_bytes: false,
             delivers: |_| true,
@@ -172,7 +173,7 @@
                 Effect::Send { to, message } => self.send(node, &to, message),
                 Effect::Reconnect { peer } => {
                     let peer = self.node(&peer);
-                    self.silent.retain(|it| *it != (node, peer) && *it != (peer, node));
+                    self.unresponsive.retain(|it| *it != (node, peer) && *it != (peer, node));
                 }
                 Effect::Notice(notice) => self.notices.push((node, notice)),
             }
@@ -191,8 +192,9 @@
             self.nodes[to].received += bytes;
         }
         let is_cut = self.cut.contains(&from) != self.cut.contains(&to);
-        let is_silent = self.silent.contains(&(from, to)) || self.silent.contains(&(to, from));
-        if is_cut || is_silent || !(self.delivers)(&message) {
+        let is_unresponsive =
+            self.unresponsive.contains(&(from, to)) || self.unresponsive.contains(&(to, from));
+        if is_cut || is_unresponsive || !(self.delivers)(&message) {
             return;
         }
         let sender = self.nodes[from].seed.id.clone();
@@ -212,42 +214,42 @@
 
     /// Upstreams announce themselves to two live entry instances of their zone.
     fn renew(&mut self) {
-        for place in 0..self.upstreams.len() {
-            let upstream = &mut self.upstreams[place];
+        for index in 0..self.upstreams.len() {
+            let upstream = &mut self.upstreams[index];
             if !upstream.is_up || upstream.next > self.now {
                 continue;
             }
             upstream.next = self.now + RENEWAL;
             upstream.announcement.sequence += 1;
-            self.announce(place);
+            self.announce(index);
         }
     }
 
-    pub fn announce(&mut self, place: usize) {
-        let announcement = self.upstreams[place].announcement.clone();
+    pub fn announce(&mut self, index: usize) {
+        let announcement = self.upstreams[index].announcement.clone();
         let zone = &announcement.zone;
         let in_zone = |it: &usize| self.nodes[*it].seed.zone == *zone && self.nodes[*it].is_up;
         let nodes: Vec<usize> = (0..self.nodes.len()).filter(in_zone).collect();
-        for turn in 0..nodes.len().min(2) {
-            let to = nodes[(place + turn) % nodes.len()];
+        for shift in 0..nodes.len().min(2) {
+            let to = nodes[(index + shift) % nodes.len()];
             self.deliver(to, Event::Announced(announcement.clone()));
         }
     }
 
-    pub fn leave(&mut self, place: usize) {
-        let upstream = &mut self.upstreams[place];
+    pub fn leave(&mut self, index: usize) {
+        let upstream = &mut self.upstreams[index];
         upstream.announcement.leaving = true;
         upstream.announcement.sequence += 1;
-        self.announce(place);
+        self.announce(index);
     }
 
-    pub fn restart_upstream(&mut self, place: usize) {
-        let upstream = &mut self.upstreams[place];
+    pub fn restart_upstream(&mut self, index: usize) {
+        let upstream = &mut self.upstreams[index];
         upstream.is_up = true;
         upstream.announcement.incarnation = upstream.announcement.incarnation.next();
         upstream.announcement.leaving = false;
         upstream.announcement.sequence = 0;
-        self.announce(place);
+        self.announce(index);
     }
 
     pub fn restart_node(&mut self, node: usize) {
@@ -265,8 +267,8 @@
         usable.map(|it| it.announcement.id.clone()).collect()
     }
 
-    /// The naive view: one list, scanned as a whole.
-    pub fn truly_usable(&self, zone: &ZoneId) -> Vec<UpstreamId> {
+    /// The usable upstreams of a zone by the state of the simulation, as the reference.
+    pub fn expected_usable(&self, zone: &ZoneId) -> Vec<UpstreamId> {
         let in_zone = self.upstreams.iter().filter(|it| it.announcement.zone == *zone);
         let usable = in_zone.filter(|it| it.is_up && !it.announcement.leaving);
         let mut ids: Vec<UpstreamId> = usable.map(|it| it.announcement.id.clone()).collect();
--- a/crates/medlarlug-core/tests/testsuite/order_plan.rs
+++ b/crates/medlarlug-core/tests/testsuite/order_plan.rs
@@ -1,4 +1,4 @@
-//! What engines are ordered to do.
+//! Tests of the order planner.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn version_that_no_engine_has_is_loaded_where_the_fewest_are() {
+fn version_that_no_engine_has_is_loaded_by_the_engine_with_the_fewest() {
     let configuration = configuration(&[("medlar", &["v1", "v2"])]);
     let engines = [engine("e-1", &[("medlar", "v1"), ("net", "v1")], 0), engine("e-2", &[], 0)];
 
@@ -81,15 +81,15 @@
 
     let first = planner().plan(&configuration, &old, &[]);
     let while_busy = planner().plan(&configuration, &busy, &[]);
-    let at_last = planner().plan(&configuration, &idle, &[]);
+    let when_idle = planner().plan(&configuration, &idle, &[]);
 
     assert_eq!(first, [load("e-1", "medlar", "v2")]);
     assert_eq!(while_busy, []);
-    assert_eq!(at_last, [unload("e-1", "medlar", "v1")]);
+    assert_eq!(when_idle, [unload("e-1", "medlar", "v1")]);
 }
 
 #[test]
-fn withdrawn_model_is_unloaded_and_one_that_was_never_named_is_left_alone() {
+fn withdrawn_model_is_unloaded_and_a_never_configured_one_is_left_alone() {
     let engines = [engine("e-1", &[("medlar", "v1"), ("net", "v1")], 0)];
     let mut planner = planner();
 
--- a/crates/medlarlug-core/tests/testsuite/orders.rs
+++ b/crates/medlarlug-core/tests/testsuite/orders.rs
@@ -1,5 +1,6 @@
-//! Histories of orders: several issuers on unequal clocks, lost and late messages, leaders of the
-//! home group that change, engines that check fencing numbers and engines that don't.
+//! Simulated histories of orders: several issuers whose clocks differ in speed, lost and late
+//! messages, leader changes of the home group, and engines with and without checks of fencing
+//! tokens.
 
 use std::time::Duration;
 
@@ -18,7 +19,7 @@
 const ENGINES: usize = 4;
 const STEP: Duration = Duration::from_millis(100);
 
-fn checks_fences(engine: usize) -> bool {
+fn checks_fencing(engine: usize) -> bool {
     engine < ENGINES / 2
 }
 
@@ -29,17 +30,17 @@
 struct Process {
     issuer: Issuer,
     incarnation: Incarnation,
-    speed: f64,
+    clock_speed: f64,
     started: Duration,
     /// Real time until which the process is suspended.
-    suspended: Duration,
-    /// Real time until which it reaches engines, but not the home group.
-    cut_off: Duration,
+    suspended_until: Duration,
+    /// Real time until which it reaches engines but not the home group.
+    cut_off_until: Duration,
 }
 
 impl Process {
     fn now(&self, real: Duration) -> Time {
-        Time::ZERO + (real - self.started).mul_f64(self.speed)
+        Time::ZERO + (real - self.started).mul_f64(self.clock_speed)
     }
 }
 
@@ -60,8 +61,8 @@
     leader: (f64, Duration),
     processes: Vec<Process>,
     messages: Vec<(Duration, Message)>,
-    /// Fences in the order in which each engine carried the orders out.
-    taken: Vec<Vec<FencingToken>>,
+    /// Fencing tokens in the order in which each engine carried the orders out.
+    accepted: Vec<Vec<FencingToken>>,
     /// Real times at which loads were sent.
     loads: Vec<Duration>,
 }
@@ -82,10 +83,10 @@
             .map(|_| Process {
                 issuer: Issuer::new(timing),
                 incarnation: Incarnation(1),
-                speed: rng.random_range(0.996..1.004),
+                clock_speed: rng.random_range(0.996..1.004),
                 started: Duration::ZERO,
-                suspended: Duration::ZERO,
-                cut_off: Duration::ZERO,
+                suspended_until: Duration::ZERO,
+                cut_off_until: Duration::ZERO,
             })
             .collect();
         let mut world = World {
@@ -97,7 +98,7 @@
             leader: (1.0, Duration::ZERO),
             processes,
             messages: Vec::new(),
-            taken: vec![Vec::new(); ENGINES],
+            accepted: vec![Vec::new(); ENGINES],
             loads: Vec::new(),
         };
         world.apply(Action::Found { revision: Revision(1), first: true });
@@ -105,9 +106,9 @@
     }
 
     fn apply(&mut self, action: Action) -> Reply {
-        let (speed, last) = self.leader;
+        let (clock_speed, last) = self.leader;
         self.leader.1 = self.real;
-        self.group.apply(Command { elapsed: (self.real - last).mul_f64(speed), action })
+        self.group.apply(Command { elapsed: (self.real - last).mul_f64(clock_speed), action })
     }
 
     fn step(&mut self) {
@@ -119,7 +120,7 @@
             5 => self.leader = (self.rng.random_range(0.996..1.004), self.real),
             6 if self.rng.random_range(0..4) == 0 => self.lose_state(),
             7..10 => self.cut_off(index),
-            10..43 => self.want(),
+            10..43 => self.request_task(),
             _ => {}
         }
         self.deliver();
@@ -133,20 +134,20 @@
         process.issuer = Issuer::new(self.timing);
         process.incarnation = process.incarnation.next();
         process.started = self.real;
-        process.suspended = self.real;
+        process.suspended_until = self.real;
     }
 
     fn suspend(&mut self, index: usize) {
         let duration = Duration::from_millis(self.rng.random_range(0..30_000));
-        self.processes[index].suspended = self.real + duration;
+        self.processes[index].suspended_until = self.real + duration;
     }
 
     fn cut_off(&mut self, index: usize) {
         let duration = Duration::from_millis(self.rng.random_range(0..30_000));
-        self.processes[index].cut_off = self.real + duration;
+        self.processes[index].cut_off_until = self.real + duration;
     }
 
-    /// The home group loses its state and is founded anew.
+    /// The home group loses its state and is founded again.
     fn lose_state(&mut self) {
         self.group = HomeGroup::default();
         self.revision = self.revision.next();
@@ -154,8 +155,8 @@
         self.apply(Action::Found { revision: self.revision, first: false });
     }
 
-    /// Every issuer learns what is wanted; only the holder of the lease orders it.
-    fn want(&mut self) {
+    /// Every issuer gets the task; only the holder of the lease orders it.
+    fn request_task(&mut self) {
         let engine = self.rng.random_range(0..ENGINES);
         let (model, version) = (id("scribe"), id(&format!("v{}", self.rng.random_range(0..9))));
         let kind = match self.rng.random_range(0..2) {
@@ -164,14 +165,14 @@
         };
         let task = Task { upstream: engine_id(engine), incarnation: Incarnation(1), kind };
         for index in 0..ISSUERS {
-            let (task, fencing) = (task.clone(), checks_fences(engine));
+            let (task, fencing) = (task.clone(), checks_fencing(engine));
             self.feed(index, Event::Requested { task, fencing });
         }
     }
 
     fn feed(&mut self, index: usize, event: Event) {
         let process = &mut self.processes[index];
-        if process.suspended > self.real {
+        if process.suspended_until > self.real {
             return;
         }
         let mut out = Vec::new();
@@ -193,16 +194,16 @@
         }
     }
 
-    /// Puts a message on its way that arrives within `flight`, or never.
-    fn send(&mut self, flight: Duration, message: Message) {
+    /// Sends a message that arrives within `max_delay`, or never.
+    fn send(&mut self, max_delay: Duration, message: Message) {
         if self.rng.random_range(0..8) == 0 {
             return;
         }
-        let flight = match self.rng.random_range(0..4) {
-            0 => flight.mul_f64(self.rng.random_range(0.0..1.0)),
-            _ => flight.mul_f64(self.rng.random_range(0.0..0.03)),
+        let delay = match self.rng.random_range(0..4) {
+            0 => max_delay.mul_f64(self.rng.random_range(0.0..1.0)),
+            _ => max_delay.mul_f64(self.rng.random_range(0.0..0.03)),
         };
-        self.messages.push((self.real + flight, message));
+        self.messages.push((self.real + delay, message));
     }
 
     fn deliver(&mut self) {
@@ -213,7 +214,7 @@
         for (_, message) in due {
             match message {
                 Message::Acquire { from: index, .. } | Message::Grant { to: index, .. }
-                    if self.processes[index].cut_off > real => {}
+                    if self.processes[index].cut_off_until > real => {}
                 Message::Acquire { from, incarnation, token, duration } => {
                     self.acquire(from, incarnation, token, duration);
                 }
@@ -239,18 +240,18 @@
 
     fn order(&mut self, from: usize, incarnation: Incarnation, order: Order) {
         let engine = (0..ENGINES).find(|it| engine_id(*it) == order.task.upstream).unwrap();
-        let newest = self.taken[engine].iter().max().copied().unwrap_or_default();
-        if order.fence > newest || !checks_fences(engine) {
-            self.taken[engine].push(order.fence);
+        let newest = self.accepted[engine].iter().max().copied().unwrap_or_default();
+        if order.fence > newest || !checks_fencing(engine) {
+            self.accepted[engine].push(order.fence);
         }
         let event = Event::Answered { upstream: order.task.upstream, fence: order.fence };
         self.send(Duration::from_secs(8), Message::Done { to: from, incarnation, event });
     }
 
     fn check(&self, seed: u64) {
-        for (engine, taken) in self.taken.iter().enumerate() {
-            let is_ordered = taken.windows(2).all(|pair| pair[0] < pair[1]);
-            assert!(is_ordered, "seed {seed}: engine {engine} took {taken:?}");
+        for (engine, accepted) in self.accepted.iter().enumerate() {
+            let is_ordered = accepted.windows(2).all(|pair| pair[0] < pair[1]);
+            assert!(is_ordered, "seed {seed}: engine {engine} accepted {accepted:?}");
         }
         let rate = self.timing.load_rate.get() * (1.0 + self.timing.max_clock_drift);
         for (first, start) in self.loads.iter().enumerate() {
@@ -274,13 +275,13 @@
         }
 
         world.check(seed);
-        orders += world.taken.iter().map(Vec::len).sum::<usize>();
-        let mut seen: Vec<Term> = world.taken.iter().flatten().map(|it| it.term).collect();
+        orders += world.accepted.iter().map(Vec::len).sum::<usize>();
+        let mut seen: Vec<Term> = world.accepted.iter().flatten().map(|it| it.term).collect();
         seen.sort();
         seen.dedup();
         terms += seen.len();
     }
-    assert!(orders > 20_000, "only {orders} orders were taken");
+    assert!(orders > 20_000, "only {orders} orders were accepted");
     assert!(terms > 1_200, "orders came from {terms} terms only");
 }
 
@@ -306,11 +307,11 @@
 }
 
 #[test]
-fn holder_ends_its_lease_early_by_the_drift_of_clocks() {
+fn holder_shortens_its_lease_by_the_clock_drift() {
     let mut issuer = Issuer::new(timing());
-    let asked = Time::from_millis(1_000);
+    let requested_at = Time::from_millis(1_000);
     let mut out = Vec::new();
-    issuer.handle(asked, Event::Tick, &mut out);
+    issuer.handle(requested_at, Event::Tick, &mut out);
     let duration = Duration::from_secs(10);
     let granted = Event::Granted { token: 1, term: Term(1), duration };
 
--- a/crates/medlarlug-core/tests/testsuite/renewals.rs
+++ b/crates/medlarlug-core/tests/testsuite/renewals.rs
@@ -1,4 +1,4 @@
-//! Which instance passes the renewals of an upstream on, to whom and how often.
+//! Tests of which instance relays the renewals of an upstream, to which others and how often.
 
 use medlarlug_core::{
     fingerprint::Fingerprint,
@@ -20,14 +20,14 @@
     ticks: u32,
     cores: Vec<Membership>,
     /// Cores that the upstream announces itself to.
-    hearers: Vec<usize>,
-    /// Renewals that each core has passed on.
-    passed: Vec<u32>,
-    /// Receivers of news of upstreams.
-    told: Vec<InstanceId>,
+    contacts: Vec<usize>,
+    /// Number of renewals that each core has relayed.
+    relayed: Vec<u32>,
+    /// Receivers of updates on upstreams.
+    receivers: Vec<InstanceId>,
 }
 
-fn zone(kinds: &[InstanceKind], hearers: &[usize]) -> Zone {
+fn zone(kinds: &[InstanceKind], contacts: &[usize]) -> Zone {
     let seed = |(number, kind): (usize, &InstanceKind)| Seed {
         kind: *kind,
         ..entry(&format!("i{number}"), "riga-a", "riga")
@@ -42,9 +42,9 @@
         now: Time::ZERO,
         ticks: 0,
         cores: seeds.iter().map(core).collect(),
-        hearers: hearers.to_vec(),
-        passed: vec![0; kinds.len()],
-        told: Vec::new(),
+        contacts: contacts.to_vec(),
+        relayed: vec![0; kinds.len()],
+        receivers: Vec::new(),
     }
 }
 
@@ -54,16 +54,16 @@
         self.cores[at].handle(self.now, event, &mut out);
         for effect in out {
             let Effect::Send { to, message } = effect else { continue };
-            let news = match &message {
-                Message::Upstreams(news) => &news[..],
+            let updates = match &message {
+                Message::Upstreams(updates) => &updates[..],
                 Message::Heartbeat(beat) => &beat.updates[..],
                 _ => &[],
             };
-            if !news.is_empty() {
+            if !updates.is_empty() {
                 let renewals =
-                    news.iter().filter(|it| matches!(it, UpstreamUpdate::Renewal { .. }));
-                self.passed[at] += renewals.count() as u32;
-                self.told.push(to.clone());
+                    updates.iter().filter(|it| matches!(it, UpstreamUpdate::Renewal { .. }));
+                self.relayed[at] += renewals.count() as u32;
+                self.receivers.push(to.clone());
             }
             let from = self.cores[at].own().id.clone();
             let receiver = self.cores.iter().position(|it| it.own().id == to).unwrap();
@@ -79,7 +79,7 @@
                 let mut announcement = engine("u", "riga-a", &["m"]);
                 announcement.sequence = u64::from(self.ticks);
                 announcement.load.cached = vec![Fingerprint(u128::from(self.ticks))];
-                for at in self.hearers.clone() {
+                for at in self.contacts.clone() {
                     self.handle(at, Event::Announced(announcement.clone()));
                 }
             }
@@ -87,46 +87,47 @@
         }
     }
 
-    fn passed_in(&mut self, ticks: u32) -> Vec<u32> {
-        self.passed.fill(0);
+    fn relayed_during(&mut self, ticks: u32) -> Vec<u32> {
+        self.relayed.fill(0);
         self.run(ticks);
-        self.passed.clone()
+        self.relayed.clone()
     }
 }
 
 #[test]
-fn one_of_two_hearers_passes_renewals_on() {
+fn one_of_two_contacts_relays_renewals() {
     let mut zone = zone(&[InstanceKind::Entry; 3], &[0, 1]);
     zone.run(8);
 
-    let passed = zone.passed_in(40);
+    let relayed = zone.relayed_during(40);
 
-    let tellers = passed.iter().filter(|it| **it > 0).count();
-    assert_eq!(tellers, 1, "{passed:?}");
+    let relays = relayed.iter().filter(|it| **it > 0).count();
+    assert_eq!(relays, 1, "{relayed:?}");
 }
 
 #[test]
-fn the_speaker_passes_no_renewals_on_while_another_instance_hears_the_upstream() {
-    for (instances, hearers) in [(3, [0, 1]), (3, [0, 2]), (3, [2, 0]), (12, [0, 1]), (12, [0, 11])]
+fn the_speaker_relays_no_renewals_while_the_upstream_has_another_contact() {
+    for (instances, contacts) in
+        [(3, [0, 1]), (3, [0, 2]), (3, [2, 0]), (12, [0, 1]), (12, [0, 11])]
     {
-        let mut zone = zone(&vec![InstanceKind::Entry; instances], &hearers);
+        let mut zone = zone(&vec![InstanceKind::Entry; instances], &contacts);
         zone.run(8);
 
-        let passed = zone.passed_in(40);
+        let relayed = zone.relayed_during(40);
 
         assert!(zone.cores[0].is_speaker());
-        assert_eq!(passed[0], 0, "{passed:?}");
+        assert_eq!(relayed[0], 0, "{relayed:?}");
     }
 }
 
 #[test]
-fn the_other_hearer_passes_renewals_on_within_the_lease_when_the_teller_hears_none() {
+fn the_other_contact_relays_renewals_within_the_lease_when_the_relay_gets_none() {
     let mut zone = zone(&[InstanceKind::Entry; 3], &[0, 1]);
     zone.run(8);
-    let passed = zone.passed_in(12);
-    let teller = passed.iter().position(|it| *it > 0).unwrap();
+    let relayed = zone.relayed_during(12);
+    let relay = relayed.iter().position(|it| *it > 0).unwrap();
 
-    zone.hearers.retain(|it| *it != teller);
+    zone.contacts.retain(|it| *it != relay);
 
     let upstream = id("u");
     for _ in 0..40 {
@@ -136,23 +137,23 @@
 }
 
 #[test]
-fn cache_events_of_renewals_that_are_not_passed_on_reach_the_others() {
+fn cache_events_of_renewals_that_are_not_relayed_reach_the_others() {
     let mut zone = zone(&[InstanceKind::Entry; 2], &[0]);
 
     zone.run(24);
 
     let upstream = zone.cores[1].upstream(zone.now, &id("u")).unwrap();
-    for print in (TICKS_PER_RENEWAL..=20).step_by(TICKS_PER_RENEWAL as usize) {
-        assert!(upstream.warm.contains(Fingerprint(u128::from(print)).into()), "{print}");
+    for number in (TICKS_PER_RENEWAL..=20).step_by(TICKS_PER_RENEWAL as usize) {
+        assert!(upstream.warm.contains(Fingerprint(u128::from(number)).into()), "{number}");
     }
-    assert!(zone.passed[0] < 24 / TICKS_PER_RENEWAL, "{:?}", zone.passed);
+    assert!(zone.relayed[0] < 24 / TICKS_PER_RENEWAL, "{:?}", zone.relayed);
 }
 
 #[test]
-fn keepers_are_told_of_no_upstream() {
+fn keepers_are_sent_no_upstreams() {
     let mut zone = zone(&[InstanceKind::Entry, InstanceKind::Keeper], &[0]);
 
     zone.run(40);
 
-    assert_eq!(zone.told, Vec::<InstanceId>::new());
+    assert_eq!(zone.receivers, Vec::<InstanceId>::new());
 }
--- a/crates/medlarlug-core/tests/testsuite/routing.rs
+++ b/crates/medlarlug-core/tests/testsuite/routing.rs
@@ -1,4 +1,4 @@
-//! The routing core: permitted places, learning, refusals.
+//! Tests of the routing core: permitted destinations, statistics and refusals.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
     fingerprint::Fingerprint,
     ids::{Incarnation, RegionId, RequestId, Revision},
     membership::{
-        EntryLoad, Event as News, Membership, Message, Millis, QueueTime, Scope, Seed, Settings,
-        Sketch, Summaries, Target, TargetSummary, ZoneUpdate,
+        EntryLoad, Event as MembershipEvent, Membership, Message, Millis, QueueTime, Scope, Seed,
+        Settings, Sketch, Summaries, Target, TargetSummary, ZoneUpdate,
     },
     release::{
         Configuration, Item,
@@ -71,14 +71,14 @@
     }
 }
 
-/// An entry instance in `riga` that knows the given upstreams of its zone.
+/// The view of an entry instance in `riga` that knows the given upstreams of its zone.
 pub fn membership(upstreams: Vec<Announcement>) -> Membership {
     let seeds: Vec<Seed> =
         REGIONS.iter().map(|it| entry(&format!("e-{it}"), &zone(it), it)).collect();
     let settings = Settings { own: seeds[0].clone(), incarnation: Incarnation(1), peers: seeds };
     let mut membership = Membership::new(NOW, settings);
     for upstream in upstreams {
-        membership.handle(NOW, News::Announced(upstream), &mut Vec::new());
+        membership.handle(NOW, MembershipEvent::Announced(upstream), &mut Vec::new());
     }
     membership
 }
@@ -87,8 +87,8 @@
     engine(name, &zone("riga"), &["m"])
 }
 
-/// Tells of a zone with free slots.
-pub fn tell(membership: &mut Membership, now: Time, region: &str) {
+/// Adds a summary of the zone of `region`, with free slots for the model.
+pub fn add_zone_summary(membership: &mut Membership, now: Time, region: &str) {
     let row = TargetSummary {
         target: Target::Model(id("m")),
         upstreams: 4,
@@ -97,7 +97,7 @@
         speed: 0,
         warm: Sketch::default(),
     };
-    let news = ZoneUpdate {
+    let update = ZoneUpdate {
         zone: id(&zone(region)),
         speaker: id(&format!("e-{region}")),
         age: Millis::default(),
@@ -105,8 +105,8 @@
         entries: vec![EntryLoad { id: id(&format!("e-{region}")), load: 0 }],
         rows: vec![row],
     };
-    let message = Message::Summaries(Summaries { scope: Scope::Chain(0), zones: vec![news] });
-    let event = News::Message { from: id(&format!("e-{region}")), message };
+    let message = Message::Summaries(Summaries { scope: Scope::Chain(0), zones: vec![update] });
+    let event = MembershipEvent::Message { from: id(&format!("e-{region}")), message };
     membership.handle(now, event, &mut Vec::new());
 }
 
@@ -123,8 +123,8 @@
     ]
 }
 
-/// The naive rule, written out.
-fn naive_permits(rule: &Residency, home: &RegionId, region: &RegionId) -> bool {
+/// The residency rule in its simplest form, as the reference.
+fn naively_permits(rule: &Residency, home: &RegionId, region: &RegionId) -> bool {
     match rule {
         Residency::Home => region == home,
         Residency::Regions(regions) => regions.iter().any(|it| it == region),
@@ -150,38 +150,38 @@
         prop::collection::vec((any::<bool>(), any::<bool>(), 0u32..20), 0..4),
         any::<bool>(),
     );
-    let outcome = runner(3_000).run(&cases, |(own, target, home, told, upstreams, is_valid)| {
+    let outcome = runner(3_000).run(&cases, |(own, target, home, known, upstreams, is_valid)| {
         let team = Team { residency: own.clone(), ..team("crew", home) };
         let configuration = configuration(team, target.clone());
         let home = id(home);
         let mut all = Vec::new();
-        for (place, (is_leaving, _, running)) in upstreams.iter().enumerate() {
+        for (index, (is_leaving, _, running)) in upstreams.iter().enumerate() {
             let load = LoadReport { running: *running, ..LoadReport::default() };
-            let name = format!("u{place}");
+            let name = format!("u{index}");
             all.push(Announcement { leaving: *is_leaving, load, ..upstream(&name) });
         }
         let mut request = CallerRequest::new(facts());
         let excluded = (0..upstreams.len()).filter(|it| upstreams[*it].1);
         request.facts.excluded = excluded.map(|it| id(&format!("u{it}"))).collect();
         let mut membership = membership(all);
-        for (region, _) in REGIONS.iter().zip(&told).skip(1).filter(|it| *it.1) {
-            tell(&mut membership, NOW, region);
+        for (region, _) in REGIONS.iter().zip(&known).skip(1).filter(|it| *it.1) {
+            add_zone_summary(&mut membership, NOW, region);
         }
         let lease = if is_valid { ConfigurationLease::Valid } else { ConfigurationLease::Lapsed };
         let view = View { lease, ..view(&membership, &configuration) };
         let permits = |region: &RegionId| {
-            naive_permits(&own, &home, region) && naive_permits(&target, &home, region)
+            naively_permits(&own, &home, region) && naively_permits(&target, &home, region)
         };
-        let usable = |place: usize| !upstreams[place].0 && !upstreams[place].1;
-        let at_home = permits(&id("riga")) && (0..upstreams.len()).any(usable);
-        let away = |it: usize| is_valid && told[it] && permits(&id(REGIONS[it]));
+        let usable = |index: usize| !upstreams[index].0 && !upstreams[index].1;
+        let local = permits(&id("riga")) && (0..upstreams.len()).any(usable);
+        let remote = |it: usize| is_valid && known[it] && permits(&id(REGIONS[it]));
 
         let decision = Router::new(NOW, 1).decide(NOW, view, &request);
 
         match decision {
             Ok(Choice::Serve(route)) => {
-                let place: usize = route.upstream.as_str()[1..].parse().unwrap();
-                prop_assert!(permits(&id("riga")) && usable(place));
+                let index: usize = route.upstream.as_str()[1..].parse().unwrap();
+                prop_assert!(permits(&id("riga")) && usable(index));
                 prop_assert!(route.authorize(&configuration, &request.facts).is_ok());
             }
             Ok(Choice::Forward(route)) => {
@@ -191,7 +191,7 @@
                 let region = authorized.route().region.clone();
                 prop_assert!(ForwardedRequest::receive(header, &configuration, &region).is_ok());
             }
-            Err(_) => prop_assert!(!at_home && !away(1) && !away(2)),
+            Err(_) => prop_assert!(!local && !remote(1) && !remote(2)),
         }
         Ok(())
     });
@@ -199,26 +199,26 @@
 }
 
 #[test]
-fn permit_is_checked_against_the_revision_in_force_when_leaving() {
+fn permit_is_checked_against_the_revision_in_force_when_sending() {
     let configuration = configuration(open_team(), Residency::Anywhere);
     let mut membership = membership(Vec::new());
-    tell(&mut membership, NOW, "kurzeme");
+    add_zone_summary(&mut membership, NOW, "kurzeme");
     let request = CallerRequest::new(facts());
     let mut router = Router::new(NOW, 1);
     let choice = router.decide(NOW, view(&membership, &configuration), &request).unwrap();
     let Choice::Forward(route) = choice else {
-        panic!("no upstream at home, and yet {choice:?}");
+        panic!("expected a route to another zone, got {choice:?}");
     };
 
-    let tightened = self::configuration(team("crew", "riga"), Residency::Anywhere);
-    let left = route.clone().authorize(&tightened, ConfigurationLease::Valid, &request);
+    let stricter = self::configuration(team("crew", "riga"), Residency::Anywhere);
+    let forbidden = route.clone().authorize(&stricter, ConfigurationLease::Valid, &request);
     let lapsed = route.clone().authorize(&configuration, ConfigurationLease::Lapsed, &request);
 
-    assert_matches!(left, Err(ResidencyError::Forbidden { .. }));
+    assert_matches!(forbidden, Err(ResidencyError::Forbidden { .. }));
     assert_matches!(lapsed, Err(ResidencyError::Unconfirmed { .. }));
     let authorized = route.authorize(&configuration, ConfigurationLease::Valid, &request).unwrap();
     let header = authorized.header().clone();
-    let received = ForwardedRequest::receive(header.clone(), &tightened, &id("kurzeme"));
+    let received = ForwardedRequest::receive(header.clone(), &stricter, &id("kurzeme"));
     assert_matches!(received, Err(ResidencyError::Forbidden { .. }));
     let elsewhere = ForwardedRequest::receive(header, &configuration, &id("latgale"));
     assert_matches!(elsewhere, Err(ResidencyError::Misdirected { .. }));
@@ -228,12 +228,12 @@
 fn forwarded_request_survives_its_encoding() {
     let configuration = configuration(open_team(), Residency::Anywhere);
     let mut membership = membership(Vec::new());
-    tell(&mut membership, NOW, "kurzeme");
+    add_zone_summary(&mut membership, NOW, "kurzeme");
     let request = CallerRequest::new(facts());
     let mut router = Router::new(NOW, 1);
     let choice = router.decide(NOW, view(&membership, &configuration), &request);
     let Ok(Choice::Forward(route)) = choice else {
-        panic!("no upstream at home, and yet {choice:?}");
+        panic!("expected a route to another zone, got {choice:?}");
     };
     let authorized = route.authorize(&configuration, ConfigurationLease::Valid, &request).unwrap();
 
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn upstream_whose_lease_ran_out_is_not_used() {
+fn upstream_with_an_expired_lease_is_not_used() {
     let configuration = configuration(open_team(), Residency::Home);
     let membership = membership(vec![upstream("u0")]);
     let late = NOW + Duration::from_secs(3);
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn request_that_can_not_meet_its_deadline_is_refused_with_a_time_to_come_back() {
+fn request_that_cannot_meet_its_deadline_is_refused_with_a_retry_delay() {
     let configuration = configuration(open_team(), Residency::Home);
     let load = LoadReport { running: 8, waiting: 400, ..LoadReport::default() };
     let membership = membership(vec![Announcement { load, ..upstream("u0") }]);
@@ -275,61 +275,65 @@
 }
 
 #[test]
-fn warm_prefix_decides_between_equal_upstreams() {
+fn upstream_with_the_cached_prefix_is_preferred_among_equal_ones() {
     let configuration = configuration(open_team(), Residency::Home);
-    let print = Fingerprint::of(b"prefix");
-    let load = LoadReport { cached: vec![print], ..LoadReport::default() };
+    let fingerprint = Fingerprint::of(b"prefix");
+    let load = LoadReport { cached: vec![fingerprint], ..LoadReport::default() };
     let all = vec![upstream("u0"), Announcement { load, ..upstream("u1") }, upstream("u2")];
     let membership = membership(all);
     let mut request = CallerRequest::new(facts());
-    request.facts.prefixes = vec![Prefix { fingerprint: print, tokens: Tokens(800) }];
+    request.facts.prefixes = vec![Prefix { fingerprint, tokens: Tokens(800) }];
 
     let decision = Router::new(NOW, 1).decide(NOW, view(&membership, &configuration), &request);
 
     assert_matches!(decision, Ok(Choice::Serve(route)) if route.upstream == id("u1"));
 }
 
-/// Sends requests to two idle-looking upstreams, of which `u0` takes `slow` to the first token.
-fn share_of_slow(slow: Duration, requests: usize) -> usize {
+/// Sends requests to two upstreams that report themselves idle, of which `u0` takes `slow` until
+/// the first token. Returns how many went to `u0`.
+fn requests_to_slow_upstream(slow: Duration, requests: usize) -> usize {
     let configuration = configuration(open_team(), Residency::Home);
     let request = CallerRequest::new(facts());
     let mut membership = membership(Vec::new());
     let mut router = Router::new(NOW, 1);
     let mut now = NOW;
-    let mut share = 0;
+    let mut hits = 0;
     for sequence in 0..requests {
         for name in ["u0", "u1"] {
             let announcement = Announcement { sequence: sequence as u64 + 1, ..upstream(name) };
-            membership.handle(now, News::Announced(announcement), &mut Vec::new());
+            membership.handle(now, MembershipEvent::Announced(announcement), &mut Vec::new());
         }
         let choice = router.decide(now, view(&membership, &configuration), &request);
         let Ok(Choice::Serve(route)) = choice else {
-            panic!("two idle upstreams, and yet {choice:?}");
+            panic!("expected a route to one of two idle upstreams, got {choice:?}");
         };
         let is_slow = route.upstream == id("u0");
-        share += usize::from(is_slow);
+        hits += usize::from(is_slow);
         let authorized = route.authorize(&configuration, &request.facts).unwrap();
         router.record_sent(now, &authorized, &request.facts);
-        let took = if is_slow { slow } else { Duration::from_millis(130) };
-        now = now + took;
+        let latency = if is_slow { slow } else { Duration::from_millis(130) };
+        now = now + latency;
         let attempt_id = authorized.route().attempt_id;
         router.handle(now, Event::FirstToken(attempt_id));
         router.handle(now, Event::Ended(attempt_id));
     }
-    share
+    hits
 }
 
 #[test]
 fn slow_upstream_that_reports_itself_idle_loses_its_traffic() {
-    let slow = share_of_slow(Duration::from_millis(1_500), 300);
-    let alike = share_of_slow(Duration::from_millis(130), 300);
+    let slow = requests_to_slow_upstream(Duration::from_millis(1_500), 300);
+    let equal = requests_to_slow_upstream(Duration::from_millis(130), 300);
 
     assert!(slow < 30, "{slow} of 300 requests went to the slow upstream");
-    assert!((90..=210).contains(&alike), "{alike} of 300 requests went to one of two alike");
+    assert!(
+        (90..=210).contains(&equal),
+        "{equal} of 300 requests went to one of two equal upstreams"
+    );
 }
 
 #[test]
-fn failed_upstream_is_avoided_and_tried_again() {
+fn failed_upstream_is_avoided_and_retried_later() {
     let configuration = configuration(open_team(), Residency::Home);
     let membership = membership(vec![upstream("u0"), upstream("u1")]);
     let request = CallerRequest::new(facts());
@@ -356,46 +360,46 @@
     assert!(later.contains(&failed));
 }
 
-/// Sends `count` requests before the first of them ends; gives how many `u1` got.
-fn burst(router: &mut Router, now: Time, membership: &Membership, count: usize) -> usize {
+/// Sends `count` requests before the first of them ends. Returns how many went to `u1`.
+fn send_burst(router: &mut Router, now: Time, membership: &Membership, count: usize) -> usize {
     let configuration = configuration(open_team(), Residency::Home);
     let request = CallerRequest::new(facts());
-    let mut share = 0;
+    let mut hits = 0;
     let mut tickets = Vec::new();
     for _ in 0..count {
         let choice = router.decide(now, view(membership, &configuration), &request);
         let Ok(Choice::Serve(route)) = choice else {
-            panic!("two upstreams, and yet {choice:?}");
+            panic!("expected a route to one of two upstreams, got {choice:?}");
         };
-        share += usize::from(route.upstream == id("u1"));
+        hits += usize::from(route.upstream == id("u1"));
         let authorized = route.authorize(&configuration, &request.facts).unwrap();
         router.record_sent(now, &authorized, &request.facts);
         tickets.push(authorized.route().attempt_id);
     }
     tickets.into_iter().for_each(|it| router.handle(now, Event::Ended(it)));
-    share
+    hits
 }
 
 #[test]
-fn returned_upstream_takes_its_share_up_by_and_by() {
+fn returned_upstream_ramps_up_gradually() {
     let load = LoadReport { running: 4, backlog: Tokens(4_000), ..LoadReport::default() };
     let busy = Announcement { load, ..upstream("u0") };
     let mut membership = membership(vec![busy.clone()]);
     let mut router = Router::new(NOW, 1);
-    burst(&mut router, NOW, &membership, 1);
+    send_burst(&mut router, NOW, &membership, 1);
     let back = NOW + Duration::from_secs(30);
     let late = back + Duration::from_secs(20);
 
     for it in [Announcement { sequence: 9, ..busy.clone() }, upstream("u1")] {
-        membership.handle(back, News::Announced(it), &mut Vec::new());
+        membership.handle(back, MembershipEvent::Announced(it), &mut Vec::new());
     }
-    let at_first = burst(&mut router, back, &membership, 6);
+    let at_first = send_burst(&mut router, back, &membership, 6);
     for it in
         [Announcement { sequence: 10, ..busy }, Announcement { sequence: 10, ..upstream("u1") }]
     {
-        membership.handle(late, News::Announced(it), &mut Vec::new());
+        membership.handle(late, MembershipEvent::Announced(it), &mut Vec::new());
     }
-    let later = burst(&mut router, late, &membership, 6);
+    let later = send_burst(&mut router, late, &membership, 6);
 
     assert!(at_first <= 2, "{at_first} of 6 requests went to a cold upstream at once");
     assert!(later > 2, "{later} of 6 requests went to the returned upstream after its ramp");
--- a/crates/medlarlug-core/tests/testsuite/routing_refusals.rs
+++ b/crates/medlarlug-core/tests/testsuite/routing_refusals.rs
@@ -1,4 +1,4 @@
-//! The routing core: what a refusal says of the reason.
+//! Tests of the routing core: the reason that a refusal reports.
 
 use std::time::Duration;
 
@@ -14,7 +14,9 @@
 };
 use test_support::{id, team};
 
-use crate::routing::{NOW, configuration, facts, membership, open_team, tell, upstream, view};
+use crate::routing::{
+    NOW, add_zone_summary, configuration, facts, membership, open_team, upstream, view,
+};
 
 fn home_team() -> Team {
     team("crew", "riga")
@@ -31,10 +33,10 @@
 }
 
 #[test]
-fn request_whose_target_is_served_only_where_it_may_not_go_is_told_so() {
+fn refusal_names_the_forbidden_regions_that_serve_the_target() {
     let mut membership = membership(Vec::new());
-    tell(&mut membership, NOW, "latgale");
-    tell(&mut membership, NOW, "kurzeme");
+    add_zone_summary(&mut membership, NOW, "latgale");
+    add_zone_summary(&mut membership, NOW, "kurzeme");
 
     let refusal = refusal(&membership, home_team(), &CallerRequest::new(facts()));
 
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn own_region_counts_as_one_that_serves_the_target_elsewhere() {
+fn own_region_is_named_if_it_serves_the_target_but_is_forbidden() {
     let membership = membership(vec![upstream("u0")]);
 
     let refusal = refusal(&membership, team_of(&["kurzeme"]), &CallerRequest::new(facts()));
@@ -54,7 +56,7 @@
 }
 
 #[test]
-fn target_that_nobody_serves_has_no_upstream_whatever_the_rules() {
+fn target_that_no_upstream_serves_is_refused_as_such_whatever_the_rules() {
     let membership = membership(Vec::new());
     let teams = [home_team(), open_team(), team_of(&["kurzeme"])];
 
@@ -73,9 +75,9 @@
 }
 
 #[test]
-fn permitted_upstream_that_failed_the_request_is_not_blamed_on_residency() {
+fn failed_permitted_upstream_is_not_reported_as_residency() {
     let mut membership = membership(vec![upstream("u0")]);
-    tell(&mut membership, NOW, "kurzeme");
+    add_zone_summary(&mut membership, NOW, "kurzeme");
     let mut request = CallerRequest::new(facts());
     request.facts.exclude(&id("u0"));
 
@@ -85,10 +87,10 @@
 }
 
 #[test]
-fn zone_that_is_out_of_reach_by_a_lapsed_lease_is_not_blamed_on_residency() {
+fn zone_that_a_lapsed_lease_rules_out_is_not_reported_as_residency() {
     let configuration = configuration(open_team(), Residency::Anywhere);
     let mut membership = membership(Vec::new());
-    tell(&mut membership, NOW, "kurzeme");
+    add_zone_summary(&mut membership, NOW, "kurzeme");
     let lease = ConfigurationLease::Lapsed;
     let view = View { lease, ..view(&membership, &configuration) };
 
@@ -98,9 +100,9 @@
 }
 
 #[test]
-fn permitted_zone_that_is_too_late_is_told_as_such() {
+fn late_permitted_zone_is_reported_as_late() {
     let mut membership = membership(Vec::new());
-    tell(&mut membership, NOW, "kurzeme");
+    add_zone_summary(&mut membership, NOW, "kurzeme");
     let mut request = CallerRequest::new(facts());
     request.facts.deadline = Duration::from_millis(10);
 
@@ -110,10 +112,10 @@
 }
 
 #[test]
-fn late_home_is_told_as_late_also_when_others_are_forbidden() {
+fn late_local_zone_is_reported_as_late_even_if_others_are_forbidden() {
     let load = LoadReport { running: 8, waiting: 400, ..LoadReport::default() };
     let mut membership = membership(vec![Announcement { load, ..upstream("u0") }]);
-    tell(&mut membership, NOW, "kurzeme");
+    add_zone_summary(&mut membership, NOW, "kurzeme");
 
     let refusal = refusal(&membership, home_team(), &CallerRequest::new(facts()));
 
@@ -121,7 +123,7 @@
 }
 
 #[test]
-fn request_is_taken_in_only_with_a_margin_to_its_deadline() {
+fn request_is_admitted_only_with_a_margin_to_its_deadline() {
     let configuration = configuration(home_team(), Residency::Anywhere);
     let request = CallerRequest::new(facts());
     let decide = |backlog: u64| {
--- a/crates/medlarlug-core/tests/testsuite/routing_slow.rs
+++ b/crates/medlarlug-core/tests/testsuite/routing_slow.rs
@@ -1,10 +1,10 @@
-//! The routing core: an upstream that is slow and reports itself idle all the time.
+//! Tests of the routing core: an upstream that is slow but always reports itself idle.
 
 use std::time::Duration;
 
 use medlarlug_core::{
     announcement::Announcement,
-    membership::Event as News,
+    membership::Event as MembershipEvent,
     release::item::Residency,
     routing::{AttemptId, CallerRequest, Choice, Event, Router},
     time::Time,
@@ -18,13 +18,13 @@
 use crate::routing::{NOW, configuration, facts, membership, open_team, upstream, view};
 
 /// Time between two requests.
-const GAP: Duration = Duration::from_millis(60);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
 /// Time to the first token at an upstream that is not slow.
-const USUAL: Duration = Duration::from_millis(130);
+const USUAL_LATENCY: Duration = Duration::from_millis(130);
 /// Time after which a slow upstream gets few requests.
-const LEARNING: Duration = Duration::from_secs(15);
-/// Sends a request every [`GAP`] until `end`; the upstream `slow` takes `factor` times the usual.
-/// Gives the time of each, and whether it went there.
+const LEARNING_TIME: Duration = Duration::from_secs(15);
+/// Sends a request every [`REQUEST_INTERVAL`] until `end`; the upstream `slow` takes `factor` times
+/// the usual latency. Returns the time of each request, and whether it went to the slow upstream.
 fn history(slow: &str, factor: u32, end: Time, excluded: Option<&str>) -> Vec<(Time, bool)> {
     let configuration = configuration(open_team(), Residency::Home);
     let mut request = CallerRequest::new(facts());
@@ -37,7 +37,7 @@
     while now < end {
         for name in ["u0", "u1", "u2"] {
             let announcement = Announcement { sequence: now.as_micros() + 1, ..upstream(name) };
-            membership.handle(now, News::Announced(announcement), &mut Vec::new());
+            membership.handle(now, MembershipEvent::Announced(announcement), &mut Vec::new());
         }
         for (at, attempt_id) in pending.extract_if(.., |it| it.0 <= now) {
             router.handle(at, Event::FirstToken(attempt_id));
@@ -45,15 +45,15 @@
         }
         let choice = router.decide(now, view(&membership, &configuration), &request);
         let Ok(Choice::Serve(route)) = choice else {
-            panic!("three idle upstreams, and yet {choice:?}");
+            panic!("expected a route to one of three idle upstreams, got {choice:?}");
         };
         let is_slow = route.upstream == id(slow);
-        let took = if is_slow { USUAL * factor } else { USUAL };
+        let latency = if is_slow { USUAL_LATENCY * factor } else { USUAL_LATENCY };
         let authorized = route.authorize(&configuration, &request.facts).unwrap();
         router.record_sent(now, &authorized, &request.facts);
-        pending.push((now + took, authorized.route().attempt_id));
+        pending.push((now + latency, authorized.route().attempt_id));
         sent.push((now, is_slow));
-        now = now + GAP;
+        now = now + REQUEST_INTERVAL;
     }
     sent
 }
@@ -67,14 +67,15 @@
     outcome.unwrap();
 }
 
-/// A request for each two halvings of what it is slower by, and two at the start.
+/// At most one request per 40 s, which is two half-lives of the latency ratio, and two at the
+/// start.
 #[test]
-fn slow_upstream_is_tried_only_now_and_then() {
+fn slow_upstream_is_rarely_tried() {
     run(|slow, factor, seconds| {
-        let end = NOW + LEARNING + seconds;
+        let end = NOW + LEARNING_TIME + seconds;
         let sent = history(slow, factor, end, None);
 
-        let tries = sent.iter().filter(|it| it.1 && it.0 >= NOW + LEARNING).count();
+        let tries = sent.iter().filter(|it| it.1 && it.0 >= NOW + LEARNING_TIME).count();
 
         let most = seconds.as_secs() / 40 + 2;
         prop_assert!(tries as u64 <= most, "{tries} requests in {seconds:?}");
@@ -83,9 +84,9 @@
 }
 
 #[test]
-fn excluded_upstream_is_not_tried_whatever_was_learned() {
+fn excluded_upstream_is_never_tried() {
     run(|slow, factor, seconds| {
-        let end = NOW + LEARNING + seconds;
+        let end = NOW + LEARNING_TIME + seconds;
         let sent = history(slow, factor, end, Some(slow));
 
         prop_assert!(!sent.iter().any(|it| it.1));
