--- a/benches/capacity/replication.rs
+++ b/benches/capacity/replication.rs
@@ -6,7 +6,7 @@
 use medlarlug_core::{
     home,
     ids::{Incarnation, InstanceId, LogIndex, RequestId, Term},
-    record::{Outcome, RequestRecord, Stage, Step},
+    record::{Outcome, RequestRecord, Stage, TimelineEntry},
     release::ItemKey,
     replication::{
         self, Config, Effect, Entry, Event, MemberKey, Payload, Replica, Role, StorageId,
@@ -117,7 +117,7 @@
         incarnation: Incarnation(1_764_720_000_000),
         sequence,
     };
-    let step = |millis: u64, stage| Step { after: Duration::from_millis(millis), stage };
+    let step = |millis: u64, stage| TimelineEntry { after: Duration::from_millis(millis), stage };
     let begun = vec![step(0, Stage::Received { instance: id("entry-117") })];
     let mut ended = begun.clone();
     ended.push(step(1, Stage::Sent { upstream: id("engine-344") }));
--- a/crates/medlarlug-core/benches/state_machines.rs
+++ b/crates/medlarlug-core/benches/state_machines.rs
@@ -8,7 +8,7 @@
     configuration_group::{Command as ConfigurationCommand, ConfigurationGroup},
     fingerprint::Fingerprint,
     follower::UpdateRequest,
-    home::{Action, Begin, Body, Command, HomeGroup, Owner, Recorded},
+    home::{Action, Begin, Body, Command, HomeGroup, Owner, RecordedAnswer},
     ids::{Incarnation, Revision, TeamId},
     release::{Item, RawNote, ReleaseNote, item::Team},
 };
@@ -63,7 +63,7 @@
         revision: Revision(1),
         epoch: Revision(1),
         moved: false,
-        askable: None,
+        queryable_service: None,
     }
 }
 
@@ -72,7 +72,7 @@
     let mut apply = |action| group.apply(Command { elapsed: Duration::from_millis(1), action });
     apply(Action::Found { revision: Revision(1), first: true });
     let begins: Vec<Begin> = (0..KEYS).map(begin).collect();
-    let answer = Recorded {
+    let answer = RecordedAnswer {
         status: 201,
         content_type: "application/json".into(),
         body: Body::of(&[0; 200]),
--- a/crates/medlarlug-core/src/configuration_group/command.rs
+++ b/crates/medlarlug-core/src/configuration_group/command.rs
@@ -4,7 +4,7 @@
 use thiserror::Error;
 
 use crate::{
-    home::FoundToken,
+    home::FoundingToken,
     ids::{OperatorId, RegionId, ReleaseNumber, Revision, TeamId},
     release::{Configuration, ItemKey, NoteError, ReleaseNote},
 };
@@ -34,7 +34,7 @@
         /// Region of the home group.
         region: RegionId,
         /// Identifies this founding; a retry with the same token gets the same reply.
-        token: FoundToken,
+        token: FoundingToken,
     },
     /// The group was rebuilt from the state of one surviving keeper, which may lack the newest changes.
     Rebuilt,
@@ -131,7 +131,7 @@
         match self {
             Change::Note(note) => note.apply(current),
             Change::Removed(items) => current.without_drained(items),
-            Change::Founded(_) => Ok(current.raised()),
+            Change::Founded(_) => Ok(current.with_next_revision()),
         }
     }
 }
--- a/crates/medlarlug-core/src/configuration_group/draining.rs
+++ b/crates/medlarlug-core/src/configuration_group/draining.rs
@@ -49,11 +49,11 @@
         configuration: &Configuration,
         is_rollout_complete: bool,
     ) -> Vec<ItemKey> {
-        let edited = configuration.edited;
+        let last_note = configuration.last_note_revision;
         let since = match self.in_effect {
-            Some((in_effect, since)) if in_effect == edited => since,
+            Some((in_effect, since)) if in_effect == last_note => since,
             _ if is_rollout_complete => {
-                self.in_effect = Some((edited, now));
+                self.in_effect = Some((last_note, now));
                 now
             }
             _ => return Vec::new(),
--- a/crates/medlarlug-core/src/configuration_group/state.rs
+++ b/crates/medlarlug-core/src/configuration_group/state.rs
@@ -8,7 +8,7 @@
     configuration_group::command::{Accepted, Change, Command, Refusal, Reply},
     fingerprint::Fingerprint,
     follower::{Update, UpdateRequest},
-    home::FoundToken,
+    home::FoundingToken,
     ids::{RegionId, ReleaseNumber, Revision, TeamId},
     release::{Configuration, ItemKey, ReleaseNote},
 };
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Founding {
     region: RegionId,
-    token: FoundToken,
+    token: FoundingToken,
     revision: Revision,
     first: bool,
 }
@@ -243,7 +243,7 @@
         Reply::HomeAdopted
     }
 
-    fn found_home(&mut self, region: RegionId, token: FoundToken) -> Reply {
+    fn found_home(&mut self, region: RegionId, token: FoundingToken) -> Reply {
         if self.current.region(&region).is_none() {
             return Reply::UnknownRegion(region);
         }
@@ -254,7 +254,7 @@
             let Founding { revision, first, .. } = self.foundings[found];
             return Reply::Founded { revision, first };
         }
-        let next = self.current.raised();
+        let next = self.current.with_next_revision();
         let (revision, first) = (next.revision, found.is_err());
         let founding = Founding { region: region.clone(), token, revision, first };
         match found {
--- a/crates/medlarlug-core/src/home/attempt.rs
+++ b/crates/medlarlug-core/src/home/attempt.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     home::{
-        booking::Recorded,
+        booking::RecordedAnswer,
         command::{Action, Begin, BeginReply, Reply},
     },
     ids::{RegionId, RequestId, Revision},
@@ -27,7 +27,7 @@
         reply: Reply,
     },
     /// The upstream answered the call.
-    Answered(Recorded),
+    Answered(RecordedAnswer),
     /// The call was sent and its answer will not come any more.
     AnswerLost,
     /// Not one byte of the call has left, and none will.
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
     /// The upstream's answer, now or when the booking was first made.
-    Done(Recorded),
+    Done(RecordedAnswer),
     /// Nothing was run for this request.
     NotRun(NotRun),
     /// The booking may have run; it is not sent again.
@@ -98,14 +98,14 @@
     /// The call is sent; its answer is awaited.
     Sent,
     /// The answer came and is being recorded.
-    Recording(Recorded),
+    Recording(RecordedAnswer),
     /// The answer was lost and this is being recorded; it may still come.
     Losing,
     /// The loss is recorded; the answer may still come.
     Lost,
     /// Given up before the intent was known to be recorded; the call is never sent.
     GivenUp,
-    /// Recorded, and never sent; the intent is being taken back.
+    /// RecordedAnswer, and never sent; the intent is being taken back.
     Abandoning,
     /// The home group knows the end.
     Settled,
@@ -133,7 +133,7 @@
 ///     revision: Revision(1),
 ///     epoch: Revision(1),
 ///     moved: false,
-///     askable: None,
+///     queryable_service: None,
 /// };
 /// let mut out = Vec::new();
 /// let mut attempt = Attempt::new("kochi".parse().unwrap(), begin, &mut out);
@@ -166,7 +166,7 @@
     }
 
     /// Whether the call was sent and only a late answer is awaited.
-    pub fn is_lost(&self) -> bool {
+    pub fn awaits_late_answer(&self) -> bool {
         self.state == State::Lost
     }
 
@@ -242,7 +242,7 @@
         }
     }
 
-    fn on_answer(&mut self, answer: Recorded, out: &mut Vec<Effect>) {
+    fn on_answer(&mut self, answer: RecordedAnswer, out: &mut Vec<Effect>) {
         if matches!(self.state, State::Sent | State::Losing | State::Lost) {
             self.advance(State::Recording(answer), out);
         }
@@ -292,7 +292,7 @@
             State::Recording(answer) => {
                 Action::Finish { team, key, request, answer: answer.clone() }
             }
-            State::Losing => Action::Lose { team, key, request },
+            State::Losing => Action::MarkUnknown { team, key, request },
             State::Abandoning => Action::Abandon { team, key, request },
             State::Sent | State::Lost | State::Settled => return,
         };
--- a/crates/medlarlug-core/src/home/booking.rs
+++ b/crates/medlarlug-core/src/home/booking.rs
@@ -23,11 +23,11 @@
 /// of one formation ask for the founding under one token, and a group that lost its state, or was
 /// rebuilt, asks under another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct FoundToken(pub u128);
+pub struct FoundingToken(pub u128);
 
-impl From<FormationId> for FoundToken {
-    fn from(formation: FormationId) -> FoundToken {
-        FoundToken(u128::from(formation.0))
+impl From<FormationId> for FoundingToken {
+    fn from(formation: FormationId) -> FoundingToken {
+        FoundingToken(u128::from(formation.0))
     }
 }
 
@@ -54,7 +54,7 @@
 /// use medlarlug_core::{home::BookingKey, ids::Revision};
 ///
 /// let key: BookingKey = "30~parcel-77".parse().unwrap();
-/// assert_eq!(key.minted(), Some(Revision(30)));
+/// assert_eq!(key.creation_revision(), Some(Revision(30)));
 /// assert!("two words".parse::<BookingKey>().is_err());
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -68,7 +68,7 @@
     }
 
     /// The revision at which the key was made, if it names one.
-    pub fn minted(&self) -> Option<Revision> {
+    pub fn creation_revision(&self) -> Option<Revision> {
         let (number, _) = self.0.split_once('~')?;
         number.parse().ok()
     }
@@ -127,7 +127,8 @@
         /// Size of the body, in bytes.
         size: u64,
         /// Fingerprint of the body.
-        print: Fingerprint,
+        #[serde(rename = "print")]
+        fingerprint: Fingerprint,
     },
 }
 
@@ -148,13 +149,13 @@
 
     /// The size and fingerprint of `bytes`.
     pub fn omitted(bytes: &[u8]) -> Body {
-        Body::Omitted { size: bytes.len() as u64, print: Fingerprint::of(bytes) }
+        Body::Omitted { size: bytes.len() as u64, fingerprint: Fingerprint::of(bytes) }
     }
 }
 
 /// The answer of a plain service to a booking.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Recorded {
+pub struct RecordedAnswer {
     /// HTTP status.
     pub status: u16,
     /// Value of `Content-Type`.
@@ -171,7 +172,7 @@
     /// Its owner gave it up without sending; the key may be begun again.
     Abandoned,
     /// It ended with this answer.
-    Done(Recorded),
+    Done(RecordedAnswer),
     /// It may or may not have run and is never sent again.
     Unknown,
 }
@@ -186,7 +187,8 @@
     /// The request under which it was begun.
     pub request: RequestId,
     /// The service, if it can be asked about the outcome.
-    pub askable: Option<ServiceId>,
+    #[serde(rename = "askable")]
+    pub queryable_service: Option<ServiceId>,
     /// Where it stands.
     pub state: BookingState,
     /// Whether the group may have forgotten that this request was given up and the key begun again
@@ -198,7 +200,7 @@
 
 /// A booking of unknown outcome that its service can be asked about.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct OutcomeQuery {
     /// Whose booking it is.
     pub team: TeamId,
     /// Its key.
@@ -209,12 +211,12 @@
     pub service: ServiceId,
 }
 
-impl Question {
+impl OutcomeQuery {
     /// Whether upstreams in `region` may be asked: the request might have gone on there.
-    pub fn may_be_asked(&self, configuration: &Configuration, region: &RegionId) -> bool {
+    pub fn is_permitted_in(&self, configuration: &Configuration, region: &RegionId) -> bool {
         let key = ItemKey::Service(self.service.clone());
         let team = configuration.team(&self.team);
-        team.is_some_and(|it| configuration.may_go_on(it, &key, region))
+        team.is_some_and(|it| configuration.may_continue(it, &key, region))
     }
 }
 
@@ -247,7 +249,7 @@
     ///
     /// A booking that has not ended here may have been abandoned and begun again since then, so
     /// a late command of its owner must not find it.
-    pub(crate) fn distrust(&mut self) {
+    pub(crate) fn retain_outcomes(&mut self) {
         self.bookings.retain(|it| matches!(it.state, BookingState::Done(_)));
     }
 }
--- a/crates/medlarlug-core/src/home/bookings.rs
+++ b/crates/medlarlug-core/src/home/bookings.rs
@@ -6,7 +6,9 @@
 
 use crate::{
     home::{
-        booking::{Booking, BookingKey, BookingState, Owner, Question, Recorded, StateLoss},
+        booking::{
+            Booking, BookingKey, BookingState, OutcomeQuery, Owner, RecordedAnswer, StateLoss,
+        },
         command::{Begin, BeginReply, Reply},
         retention::whole_size,
     },
@@ -14,10 +16,10 @@
 };
 
 /// Keys that are kept for one team; a new booking beyond them is refused.
-pub const MAX_TEAM_KEYS: usize = 16_384;
+pub const MAX_BOOKINGS_PER_TEAM: usize = 16_384;
 
 /// Keys that are kept for all teams; a new booking beyond them is refused.
-pub const MAX_KEYS: usize = 262_144;
+pub const MAX_BOOKINGS: usize = 262_144;
 
 /// Whether the group holds the bookings of a team.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -129,10 +131,15 @@
     }
 
     /// Questions about the bookings whose outcome is unknown since `since` or later.
-    pub(crate) fn questions(&self, since: u64) -> impl Iterator<Item = Question> {
+    pub(crate) fn outcome_queries(&self, since: u64) -> impl Iterator<Item = OutcomeQuery> {
         self.unknown().filter(move |(_, it)| it.since >= since).filter_map(|(team, it)| {
             let (key, request) = (it.key.clone(), it.request.clone());
-            Some(Question { team: team.clone(), key, request, service: it.askable.clone()? })
+            Some(OutcomeQuery {
+                team: team.clone(),
+                key,
+                request,
+                service: it.queryable_service.clone()?,
+            })
         })
     }
 
@@ -161,7 +168,7 @@
             Ok(place) => place,
             Err(reason) => return reason.into(),
         };
-        let is_full = self.count >= MAX_KEYS;
+        let is_full = self.count >= MAX_BOOKINGS;
         let book = &mut self.books[place];
         let group = state_loss.filter(|it| book.held_since() < it.before);
         let found = match book.bookings.binary_search_by(|it| it.key.cmp(&begin.key)) {
@@ -176,12 +183,16 @@
             Err(found) => found,
         };
         let forgets = |it: &StateLoss| {
-            it.until > clock && begin.key.minted().is_none_or(|minted| minted < it.before)
+            it.until > clock
+                && begin
+                    .key
+                    .creation_revision()
+                    .is_none_or(|creation_revision| creation_revision < it.before)
         };
         if group.iter().chain(&book.state_loss).any(forgets) {
             return BeginReply::Unknown(None);
         }
-        if is_full || book.bookings.len() >= MAX_TEAM_KEYS {
+        if is_full || book.bookings.len() >= MAX_BOOKINGS_PER_TEAM {
             return BeginReply::Full;
         }
         book.bookings.insert(found, open(clock, begin));
@@ -195,7 +206,7 @@
         clock: u64,
         (team, key): (TeamId, BookingKey),
         request: &RequestId,
-        answer: Recorded,
+        answer: RecordedAnswer,
     ) -> Reply {
         let booking = match self.held(&team, &key, request) {
             Ok(booking) => booking,
@@ -271,7 +282,7 @@
         clock: u64,
         (team, key): (TeamId, BookingKey),
         request: &RequestId,
-        answer: Recorded,
+        answer: RecordedAnswer,
     ) -> Reply {
         match self.held(&team, &key, request) {
             Ok(booking) if matches!(booking.state, BookingState::Open(_)) => Reply::NoSuchBooking,
@@ -281,7 +292,7 @@
     }
 
     /// Marks the open bookings of `instance` as unknown whose incarnation `is_lost`.
-    pub(crate) fn lose_owner(
+    pub(crate) fn mark_owner_dead(
         &mut self,
         clock: u64,
         instance: &InstanceId,
@@ -305,7 +316,7 @@
     }
 
     /// Marks every booking as unknown that may have gone on without a record.
-    pub(crate) fn distrust(&mut self, clock: u64) {
+    pub(crate) fn mark_uncertain(&mut self, clock: u64) {
         let mut doubtful = Vec::new();
         for book in &mut self.books {
             for booking in &mut book.bookings {
@@ -367,9 +378,9 @@
 }
 
 fn open(clock: u64, begin: Begin) -> Booking {
-    let Begin { key, content, request, owner, askable, .. } = begin;
+    let Begin { key, content, request, owner, queryable_service, .. } = begin;
     let state = BookingState::Open(owner);
-    Booking { key, content, request, askable, state, is_doubtful: false, since: clock }
+    Booking { key, content, request, queryable_service, state, is_doubtful: false, since: clock }
 }
 
 fn known(booking: &Booking, begin: &Begin) -> BeginReply {
--- a/crates/medlarlug-core/src/home/command.rs
+++ b/crates/medlarlug-core/src/home/command.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     fingerprint::Fingerprint,
-    home::booking::{BookingKey, Handover, Owner, Recorded},
+    home::booking::{BookingKey, Handover, Owner, RecordedAnswer},
     ids::{
         Incarnation, InstanceId, RegionId, RequestId, Revision, ServiceId, TeamId, Term, UpstreamId,
     },
@@ -41,7 +41,8 @@
     },
     /// An incarnation seems to be lost. This is safe to say of one that still runs: what it
     /// reports later is still taken.
-    InstanceLost {
+    #[serde(rename = "InstanceLost")]
+    InstanceDead {
         /// The instance.
         instance: InstanceId,
         /// Its incarnation.
@@ -58,7 +59,7 @@
         /// The request that was sent to the upstream.
         request: RequestId,
         /// The answer.
-        answer: Recorded,
+        answer: RecordedAnswer,
     },
     /// The owner gives a booking up and has not sent it and never will.
     Abandon {
@@ -70,7 +71,8 @@
         request: RequestId,
     },
     /// The owner sent a booking and does not know whether it ran.
-    Lose {
+    #[serde(rename = "Lose")]
+    MarkUnknown {
         /// Whose booking it is.
         team: TeamId,
         /// Its key.
@@ -79,7 +81,8 @@
         request: RequestId,
     },
     /// A plain service, asked later, gave the answer to a booking of unknown outcome.
-    Settle {
+    #[serde(rename = "Settle")]
+    ResolveOutcome {
         /// Whose booking it is.
         team: TeamId,
         /// Its key.
@@ -87,7 +90,7 @@
         /// The request that was sent to the upstream.
         request: RequestId,
         /// The answer.
-        answer: Recorded,
+        answer: RecordedAnswer,
     },
     /// The team's home moves away: no booking of it is begun here any more.
     Seal {
@@ -101,7 +104,8 @@
     /// The team's home has moved here, with these bookings.
     Adopt(Handover),
     /// The team's home has moved here from a group that is lost with its state.
-    AdoptLost {
+    #[serde(rename = "AdoptLost")]
+    AdoptWithStateLoss {
         /// The team.
         team: TeamId,
         /// Revision at which its home was changed.
@@ -117,7 +121,8 @@
     /// Records of requests; a later record of a request replaces an earlier one.
     Records(#[serde(with = "crate::record::batch")] Vec<RequestRecord>),
     /// An upstream was lost without an explanation while it ran these requests.
-    Loss {
+    #[serde(rename = "Loss")]
+    Crash {
         /// The lost upstream.
         upstream: UpstreamId,
         /// Its lost incarnation.
@@ -130,7 +135,8 @@
     /// Another region quarantined a request.
     Quarantine {
         /// Fingerprint of the request.
-        print: Fingerprint,
+        #[serde(rename = "print")]
+        fingerprint: Fingerprint,
         /// Time until the quarantine ends.
         remaining: Duration,
     },
@@ -168,7 +174,8 @@
     /// Whether the team had another home before.
     pub moved: bool,
     /// The service, if it can be asked about the outcome.
-    pub askable: Option<ServiceId>,
+    #[serde(rename = "askable")]
+    pub queryable_service: Option<ServiceId>,
 }
 
 /// The reply to a [`Begin`].
@@ -181,7 +188,7 @@
         /// The request that got the answer.
         request: RequestId,
         /// The answer.
-        answer: Recorded,
+        answer: RecordedAnswer,
     },
     /// Another request with this key and content is under way.
     InProgress(RequestId),
@@ -225,7 +232,7 @@
     Handover(Handover),
     /// This group does not hold the team, or not yet; the command may be sent again later.
     NotAdopted,
-    /// Reply to [`Action::Loss`].
+    /// Reply to [`Action::Crash`].
     Suspects(Vec<Suspect>),
     /// Reply to [`Action::Lease`]: granted under this term.
     LeaseGranted {
@@ -247,20 +254,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
     /// Fingerprint of the request.
-    pub print: Fingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
     /// Losses that it is suspected of.
-    pub losses: u32,
+    #[serde(rename = "losses")]
+    pub crashes: u32,
     /// Time until its quarantine ends, if it is quarantined.
     pub quarantined: Option<Duration>,
 }
 
 /// What is known of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LookUp {
+pub enum RecordLookup {
     /// Its record.
     Found(RequestRecord),
     /// It is not recorded, or its record is no longer kept.
     Expired,
     /// No record has come yet; its instance still runs.
-    NotYet,
+    #[serde(rename = "NotYet")]
+    Pending,
 }
--- a/crates/medlarlug-core/src/home/mod.rs
+++ b/crates/medlarlug-core/src/home/mod.rs
@@ -27,9 +27,9 @@
 pub mod state;
 
 pub use booking::{
-    Body, Booking, BookingKey, BookingKeyError, BookingState, FoundToken, Handover, Owner,
-    Question, Recorded, StateLoss,
+    Body, Booking, BookingKey, BookingKeyError, BookingState, FoundingToken, Handover,
+    OutcomeQuery, Owner, RecordedAnswer, StateLoss,
 };
-pub use command::{Action, Begin, BeginReply, Command, LookUp, Reply, Suspect};
+pub use command::{Action, Begin, BeginReply, Command, RecordLookup, Reply, Suspect};
 pub use issuer_lease::IssuerLease;
 pub use state::HomeGroup;
--- a/crates/medlarlug-core/src/home/moves.rs
+++ b/crates/medlarlug-core/src/home/moves.rs
@@ -11,7 +11,7 @@
 };
 
 /// Bytes of recorded bodies that a [`Handover`] carries; the oldest are omitted beyond them.
-pub const MAX_HANDOVER_BODIES: usize = 1024 * 1024;
+pub const MAX_HANDOVER_BODY_BYTES: usize = 1024 * 1024;
 
 impl Bookings {
     /// Hands the bookings of `team` over to `to`.
@@ -149,7 +149,7 @@
     let mut bytes = 0;
     for it in newest {
         bytes += state_size(&bookings[it].state);
-        if bytes > MAX_HANDOVER_BODIES {
+        if bytes > MAX_HANDOVER_BODY_BYTES {
             omit(&mut bookings[it].state);
         }
     }
--- a/crates/medlarlug-core/src/home/quarantines.rs
+++ b/crates/medlarlug-core/src/home/quarantines.rs
@@ -11,7 +11,7 @@
 };
 
 /// Losses that quarantine a request.
-pub const QUARANTINING_LOSSES: usize = 2;
+pub const QUARANTINE_CRASH_THRESHOLD: usize = 2;
 
 /// How long a suspicion lasts after the last loss.
 pub const SUSPICION_LIFETIME: Duration = Duration::from_secs(10 * 60);
@@ -24,8 +24,10 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Entry {
-    print: Fingerprint,
-    losses: Vec<(UpstreamId, Incarnation)>,
+    #[serde(rename = "print")]
+    fingerprint: Fingerprint,
+    #[serde(rename = "losses")]
+    crashes: Vec<(UpstreamId, Incarnation)>,
     quarantined: bool,
     until: u64,
 }
@@ -33,8 +35,12 @@
 impl Entry {
     fn suspect(&self, clock: u64) -> Suspect {
         let remaining = Duration::from_micros(self.until.saturating_sub(clock));
-        let losses = u32::try_from(self.losses.len()).unwrap_or(u32::MAX);
-        Suspect { print: self.print, losses, quarantined: self.quarantined.then_some(remaining) }
+        let crashes = u32::try_from(self.crashes.len()).unwrap_or(u32::MAX);
+        Suspect {
+            fingerprint: self.fingerprint,
+            crashes,
+            quarantined: self.quarantined.then_some(remaining),
+        }
     }
 }
 
@@ -60,12 +66,12 @@
         suspects: &[Fingerprint],
     ) -> Vec<Suspect> {
         let mut result = Vec::new();
-        for print in suspects {
-            let entry = self.entry(*print);
+        for fingerprint in suspects {
+            let entry = self.entry(*fingerprint);
             let loss = (upstream.clone(), incarnation);
-            if !entry.quarantined && !entry.losses.contains(&loss) {
-                entry.losses.push(loss);
-                entry.quarantined = entry.losses.len() >= QUARANTINING_LOSSES;
+            if !entry.quarantined && !entry.crashes.contains(&loss) {
+                entry.crashes.push(loss);
+                entry.quarantined = entry.crashes.len() >= QUARANTINE_CRASH_THRESHOLD;
                 let lifetime =
                     if entry.quarantined { QUARANTINE_LIFETIME } else { SUSPICION_LIFETIME };
                 entry.until = clock.saturating_add(micros(lifetime));
@@ -76,20 +82,20 @@
         result
     }
 
-    pub(crate) fn clear(&mut self, print: Fingerprint) {
-        self.entries.retain(|it| it.print != print || it.quarantined);
+    pub(crate) fn clear(&mut self, fingerprint: Fingerprint) {
+        self.entries.retain(|it| it.fingerprint != fingerprint || it.quarantined);
     }
 
-    pub(crate) fn quarantine(&mut self, clock: u64, print: Fingerprint, remaining: Duration) {
+    pub(crate) fn quarantine(&mut self, clock: u64, fingerprint: Fingerprint, remaining: Duration) {
         let until = clock.saturating_add(micros(remaining.min(QUARANTINE_LIFETIME)));
-        let entry = self.entry(print);
+        let entry = self.entry(fingerprint);
         entry.until = if entry.quarantined { entry.until.max(until) } else { until };
         entry.quarantined = true;
         self.bound();
     }
 
-    pub(crate) fn find(&self, clock: u64, print: Fingerprint) -> Option<Suspect> {
-        let found = self.entries.binary_search_by_key(&print, |it| it.print).ok()?;
+    pub(crate) fn find(&self, clock: u64, fingerprint: Fingerprint) -> Option<Suspect> {
+        let found = self.entries.binary_search_by_key(&fingerprint, |it| it.fingerprint).ok()?;
         Some(self.entries[found].suspect(clock)).filter(|_| self.entries[found].until > clock)
     }
 
@@ -98,11 +104,12 @@
         valid.map(|it| it.suspect(clock)).collect()
     }
 
-    fn entry(&mut self, print: Fingerprint) -> &mut Entry {
-        let place = match self.entries.binary_search_by_key(&print, |it| it.print) {
+    fn entry(&mut self, fingerprint: Fingerprint) -> &mut Entry {
+        let place = match self.entries.binary_search_by_key(&fingerprint, |it| it.fingerprint) {
             Ok(found) => found,
             Err(place) => {
-                let entry = Entry { print, losses: Vec::new(), quarantined: false, until: 0 };
+                let entry =
+                    Entry { fingerprint, crashes: Vec::new(), quarantined: false, until: 0 };
                 self.entries.insert(place, entry);
                 place
             }
--- a/crates/medlarlug-core/src/home/records.rs
+++ b/crates/medlarlug-core/src/home/records.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    home::command::LookUp,
+    home::command::RecordLookup,
     ids::{Incarnation, InstanceId, RequestId},
     record::{Outcome, RequestRecord},
 };
@@ -42,15 +42,15 @@
     }
 
     /// What is known of the request `id`.
-    pub(crate) fn look_up(&self, id: &RequestId) -> LookUp {
+    pub(crate) fn look_up(&self, id: &RequestId) -> RecordLookup {
         let Ok(found) = self.find(&id.instance, id.incarnation) else {
-            return LookUp::Expired;
+            return RecordLookup::Expired;
         };
         let journal = &self.journals[found];
         match journal.records.binary_search_by_key(&id.sequence, |it| it.id.sequence) {
-            Ok(place) => LookUp::Found(journal.records[place].clone()),
-            Err(_) if journal.is_lost || id.sequence <= journal.dropped => LookUp::Expired,
-            Err(_) => LookUp::NotYet,
+            Ok(place) => RecordLookup::Found(journal.records[place].clone()),
+            Err(_) if journal.is_lost || id.sequence <= journal.dropped => RecordLookup::Expired,
+            Err(_) => RecordLookup::Pending,
         }
     }
 
--- a/crates/medlarlug-core/src/home/retention.rs
+++ b/crates/medlarlug-core/src/home/retention.rs
@@ -10,7 +10,7 @@
 };
 
 /// Bytes of recorded bodies that are kept; the oldest bodies are omitted beyond them.
-pub const MAX_BODIES: usize = 64 * 1024 * 1024;
+pub const MAX_TOTAL_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 impl Bookings {
     /// Drops the bookings that ended a retention ago.
@@ -52,7 +52,7 @@
     }
 
     fn omit_bodies(&mut self) {
-        while self.body_bytes > MAX_BODIES {
+        while self.body_bytes > MAX_TOTAL_BODY_BYTES {
             let Some(mark) = self.bodies.pop_front() else {
                 return;
             };
--- a/crates/medlarlug-core/src/home/state.rs
+++ b/crates/medlarlug-core/src/home/state.rs
@@ -30,9 +30,9 @@
 use crate::{
     fingerprint::Fingerprint,
     home::{
-        booking::{Booking, BookingKey, Handover, Owner, Question, StateLoss},
+        booking::{Booking, BookingKey, Handover, OutcomeQuery, Owner, StateLoss},
         bookings::Bookings,
-        command::{Action, Begin, BeginReply, Command, LookUp, Reply, Suspect},
+        command::{Action, Begin, BeginReply, Command, RecordLookup, Reply, Suspect},
         issuer_lease::IssuerLease,
         quarantines::Quarantines,
         records::Records,
@@ -49,9 +49,9 @@
 pub(crate) const KEY_RETENTION_MICROS: u64 = 24 * 60 * 60 * 1_000_000;
 
 /// Time for which a service is asked about a booking since its outcome became unknown.
-pub const QUESTION_SPAN: Duration = Duration::from_secs(10 * 60);
+pub const OUTCOME_QUERY_PERIOD: Duration = Duration::from_secs(10 * 60);
 
-const QUESTION_SPAN_MICROS: u64 = 10 * 60 * 1_000_000;
+const OUTCOME_QUERY_PERIOD_MICROS: u64 = 10 * 60 * 1_000_000;
 
 /// Longest lease of an issuer of orders.
 pub const MAX_LEASE: Duration = Duration::from_secs(60);
@@ -131,7 +131,7 @@
     }
 
     /// Time until keys that the group does not know are taken as new again.
-    pub fn state_loss_left(&self) -> Option<Duration> {
+    pub fn state_loss_remaining(&self) -> Option<Duration> {
         let state_loss = self.founding?.state_loss?;
         let left = state_loss.until.checked_sub(self.clock).filter(|left| *left > 0)?;
         Some(Duration::from_micros(left))
@@ -153,11 +153,11 @@
     }
 
     /// Questions to services about bookings whose outcome has become unknown within the last
-    /// [`QUESTION_SPAN`].
+    /// [`OUTCOME_QUERY_PERIOD`].
     ///
     /// The leader has them asked until they are settled.
-    pub fn questions(&self) -> impl Iterator<Item = Question> {
-        self.bookings.questions(self.clock.saturating_sub(QUESTION_SPAN_MICROS))
+    pub fn outcome_queries(&self) -> impl Iterator<Item = OutcomeQuery> {
+        self.bookings.outcome_queries(self.clock.saturating_sub(OUTCOME_QUERY_PERIOD_MICROS))
     }
 
     /// Owners of bookings under way, sorted, each once.
@@ -172,7 +172,7 @@
     ///
     /// While this is not so for a home in the group's own region that has a former one, the
     /// leader asks the former home group for the team's bookings by [`Action::Seal`].
-    pub fn is_held(&self, home: &TeamHome) -> bool {
+    pub fn has_adopted(&self, home: &TeamHome) -> bool {
         self.bookings.held_since(&home.team).is_some_and(|epoch| epoch >= home.epoch)
     }
 
@@ -182,13 +182,13 @@
     }
 
     /// What is known of a request.
-    pub fn look_up(&self, id: &RequestId) -> LookUp {
+    pub fn look_up(&self, id: &RequestId) -> RecordLookup {
         self.records.look_up(id)
     }
 
     /// Whether a request is suspected or quarantined.
-    pub fn suspect(&self, print: Fingerprint) -> Option<Suspect> {
-        self.quarantines.find(self.clock, print)
+    pub fn suspect(&self, fingerprint: Fingerprint) -> Option<Suspect> {
+        self.quarantines.find(self.clock, fingerprint)
     }
 
     /// All quarantined requests, sorted by fingerprint.
@@ -223,15 +223,15 @@
                 self.start(instance, incarnation);
                 Reply::Ok
             }
-            Action::InstanceLost { instance, incarnation } => {
-                self.bookings.lose_owner(clock, &instance, |it| it == incarnation);
+            Action::InstanceDead { instance, incarnation } => {
+                self.bookings.mark_owner_dead(clock, &instance, |it| it == incarnation);
                 self.records.lose(&instance, incarnation);
                 Reply::Ok
             }
             Action::Finish { .. }
             | Action::Abandon { .. }
-            | Action::Lose { .. }
-            | Action::Settle { .. } => self.end(action),
+            | Action::MarkUnknown { .. }
+            | Action::ResolveOutcome { .. } => self.end(action),
             Action::Seal { team, to, epoch } => {
                 let state_loss = self.state_loss();
                 let founding = self.founding;
@@ -239,21 +239,21 @@
                 self.bookings.seal(clock, (team, to, epoch), state_loss, may_lack)
             }
             Action::Adopt(handover) => self.adopt(handover),
-            Action::AdoptLost { team, epoch } => self.adopt_lost(team, epoch),
+            Action::AdoptWithStateLoss { team, epoch } => self.adopt_lost(team, epoch),
             Action::Release { team, epoch } => self.bookings.release(&team, epoch),
             Action::Records(records) => {
                 self.records.store(records);
                 Reply::Ok
             }
-            Action::Loss { upstream, incarnation, suspects } => {
+            Action::Crash { upstream, incarnation, suspects } => {
                 Reply::Suspects(self.quarantines.lose(clock, &upstream, incarnation, &suspects))
             }
-            Action::Clear(print) => {
-                self.quarantines.clear(print);
+            Action::Clear(fingerprint) => {
+                self.quarantines.clear(fingerprint);
                 Reply::Ok
             }
-            Action::Quarantine { print, remaining } => {
-                self.quarantines.quarantine(clock, print, remaining);
+            Action::Quarantine { fingerprint, remaining } => {
+                self.quarantines.quarantine(clock, fingerprint, remaining);
                 Reply::Ok
             }
             Action::Lease { holder, duration } => {
@@ -270,7 +270,7 @@
                 let reply = bookings.finish(clock, (team.clone(), key.clone()), &request, answer);
                 (team, key, reply)
             }
-            Action::Settle { team, key, request, answer } => {
+            Action::ResolveOutcome { team, key, request, answer } => {
                 let reply = bookings.settle(clock, (team.clone(), key.clone()), &request, answer);
                 (team, key, reply)
             }
@@ -278,7 +278,7 @@
                 let reply = bookings.abandon(clock, (team.clone(), key.clone()), &request);
                 (team, key, reply)
             }
-            Action::Lose { team, key, request } => {
+            Action::MarkUnknown { team, key, request } => {
                 let reply = bookings.lose(clock, (team.clone(), key.clone()), &request);
                 (team, key, reply)
             }
@@ -315,7 +315,7 @@
     fn rebuilt(&mut self) {
         self.is_rebuilt = true;
         self.founding = None;
-        self.bookings.distrust(self.clock);
+        self.bookings.mark_uncertain(self.clock);
     }
 
     fn state_loss(&self) -> Option<StateLoss> {
@@ -357,17 +357,17 @@
                 self.instances.insert(place, Started { instance: instance.clone(), incarnation });
             }
         }
-        self.bookings.lose_owner(self.clock, &instance, |it| it < incarnation);
+        self.bookings.mark_owner_dead(self.clock, &instance, |it| it < incarnation);
         self.records.start(&instance, incarnation);
     }
 
     fn adopt(&mut self, mut handover: Handover) -> Reply {
         if self.founding.is_some_and(|it| it.is_older(handover.epoch)) {
-            handover.distrust();
+            handover.retain_outcomes();
         }
         let reply = self.bookings.adopt(self.clock, handover);
         for it in &self.instances {
-            self.bookings.lose_owner(self.clock, &it.instance, |other| other < it.incarnation);
+            self.bookings.mark_owner_dead(self.clock, &it.instance, |other| other < it.incarnation);
         }
         reply
     }
--- a/crates/medlarlug-core/src/record.rs
+++ b/crates/medlarlug-core/src/record.rs
@@ -82,7 +82,7 @@
 
 /// A stage and the time since the request was received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Step {
+pub struct TimelineEntry {
     /// Time since the request was received.
     pub after: Duration,
     /// The stage.
@@ -101,5 +101,5 @@
     /// How it ended; `None` while it runs.
     pub outcome: Option<Outcome>,
     /// What happened to it, in order.
-    pub timeline: Vec<Step>,
+    pub timeline: Vec<TimelineEntry>,
 }
--- a/crates/medlarlug-core/src/record/batch.rs
+++ b/crates/medlarlug-core/src/record/batch.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     ids::{IdError, Incarnation, InstanceId, RegionId, RequestId, TeamId},
-    record::{Outcome, RequestRecord, Stage, Step},
+    record::{Outcome, RequestRecord, Stage, TimelineEntry},
     release::ItemKey,
 };
 
@@ -107,7 +107,10 @@
     Ok(packed)
 }
 
-fn pack_step(names: &mut Vec<SmolStr>, step: &Step) -> Result<(u64, PackedStage), BatchError> {
+fn pack_step(
+    names: &mut Vec<SmolStr>,
+    step: &TimelineEntry,
+) -> Result<(u64, PackedStage), BatchError> {
     let mut name = |text: SmolStr| place(names, text);
     let stage = match &step.stage {
         Stage::Received { instance } => PackedStage::Received(name(instance.to_smolstr())?),
@@ -147,7 +150,10 @@
     Ok(records)
 }
 
-fn unpack_step(names: &[SmolStr], (micros, stage): (u64, PackedStage)) -> Result<Step, BatchError> {
+fn unpack_step(
+    names: &[SmolStr],
+    (micros, stage): (u64, PackedStage),
+) -> Result<TimelineEntry, BatchError> {
     let name = |place| at(names, place).cloned();
     let stage = match stage {
         PackedStage::Received(place) => Stage::Received { instance: name(place)?.try_into()? },
@@ -157,7 +163,7 @@
         PackedStage::Retried(place) => Stage::Retried { reason: name(place)? },
         PackedStage::Ended(outcome, place) => Stage::Ended { outcome, reason: name(place)? },
     };
-    Ok(Step { after: Duration::from_micros(micros), stage })
+    Ok(TimelineEntry { after: Duration::from_micros(micros), stage })
 }
 
 fn at<T>(table: &[T], place: u32) -> Result<&T, BatchError> {
--- a/crates/medlarlug-core/src/release/configuration.rs
+++ b/crates/medlarlug-core/src/release/configuration.rs
@@ -24,7 +24,8 @@
     /// Revision at which these items are in force.
     pub revision: Revision,
     /// Revision that the last release note produced; later ones changed nothing that a note lists.
-    pub edited: Revision,
+    #[serde(rename = "edited")]
+    pub last_note_revision: Revision,
     items: Vec<Item>,
     draining: Vec<Item>,
     homes: Vec<TeamHome>,
@@ -50,12 +51,12 @@
         items.sort_by_key(Item::key);
         let mut configuration = Configuration {
             revision,
-            edited: revision,
+            last_note_revision: revision,
             items,
             draining: Vec::new(),
             homes: Vec::new(),
         };
-        configuration.settle_homes();
+        configuration.update_homes();
         configuration
     }
 
@@ -78,7 +79,7 @@
     }
 
     /// Moves the item under `key` to the draining ones.
-    pub(crate) fn drain(&mut self, key: &ItemKey) -> Option<()> {
+    pub(crate) fn start_draining(&mut self, key: &ItemKey) -> Option<()> {
         let item = self.remove(key)?;
         match self.draining.binary_search_by(|it| it.key().cmp(key)) {
             Ok(found) => self.draining[found] = item,
@@ -88,29 +89,29 @@
     }
 
     /// Ends the draining of the item under `key`.
-    pub(crate) fn end_draining(&mut self, key: &ItemKey) -> Option<Item> {
+    pub(crate) fn remove_draining(&mut self, key: &ItemKey) -> Option<Item> {
         let found = self.draining.binary_search_by(|it| it.key().cmp(key)).ok()?;
         Some(self.draining.remove(found))
     }
 
     /// The next revision, without these draining items.
     pub(crate) fn without_drained(&self, keys: &[ItemKey]) -> Result<Configuration, NoteError> {
-        let mut next = self.raised();
+        let mut next = self.with_next_revision();
         for key in keys {
-            next.end_draining(key).ok_or_else(|| NoteError::Missing(key.clone()))?;
+            next.remove_draining(key).ok_or_else(|| NoteError::Missing(key.clone()))?;
         }
         Ok(next)
     }
 
     /// The next revision, with the same items.
-    pub(crate) fn raised(&self) -> Configuration {
+    pub(crate) fn with_next_revision(&self) -> Configuration {
         let mut next = self.clone();
         next.revision = self.revision.next();
         next
     }
 
     /// Brings the record of homes up to the teams' items at this revision.
-    pub(crate) fn settle_homes(&mut self) {
+    pub(crate) fn update_homes(&mut self) {
         let teams: Vec<(TeamId, RegionId)> =
             self.teams().map(|it| (it.id.clone(), it.home.clone())).collect();
         for (team, region) in teams {
@@ -242,7 +243,7 @@
     /// Whether a request that has begun already may go on in `region`.
     ///
     /// As [`is_permitted`](Self::is_permitted), but a draining target is permitted, too.
-    pub fn may_go_on(&self, team: &Team, target: &ItemKey, region: &RegionId) -> bool {
+    pub fn may_continue(&self, team: &Team, target: &ItemKey, region: &RegionId) -> bool {
         let draining = self.draining.binary_search_by(|it| it.key().cmp(target)).ok();
         let item = self.item(target).or_else(|| draining.map(|found| &self.draining[found]));
         item.is_some_and(|it| permits(team, it, region))
--- a/crates/medlarlug-core/src/release/item.rs
+++ b/crates/medlarlug-core/src/release/item.rs
@@ -109,8 +109,8 @@
     #[serde(default)]
     pub idempotent: bool,
     /// Whether it answers `GET /outcomes/{key}` about a call that was sent to it.
-    #[serde(default)]
-    pub outcomes: bool,
+    #[serde(rename = "outcomes", default)]
+    pub reports_outcomes: bool,
     /// Where requests for it may be served, beside what the team's own rule permits.
     #[serde(default)]
     pub residency: Residency,
--- a/crates/medlarlug-core/src/release/note.rs
+++ b/crates/medlarlug-core/src/release/note.rs
@@ -13,7 +13,7 @@
 };
 
 /// Keys that a team may have at once, so that one can be replaced by another.
-pub const MAX_TEAM_KEYS: usize = 2;
+pub const MAX_BEARER_KEYS: usize = 2;
 
 /// A release note as an operator writes it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -75,7 +75,7 @@
         second: RegionId,
     },
     /// A team has too many keys.
-    #[error("team {team} has {count} keys; {MAX_TEAM_KEYS} are permitted")]
+    #[error("team {team} has {count} keys; {MAX_BEARER_KEYS} are permitted")]
     TooManyKeys {
         /// The team.
         team: TeamId,
@@ -151,7 +151,7 @@
     /// Fails when another note was accepted after the base, when an added item exists, when a
     /// changed or withdrawn one doesn't, or when the result would not be consistent.
     pub fn apply(&self, current: &Configuration) -> Result<Configuration, NoteError> {
-        if self.base() < current.edited || self.base() > current.revision {
+        if self.base() < current.last_note_revision || self.base() > current.revision {
             return Err(NoteError::Stale { base: self.base(), current: current.revision });
         }
         let mut next = current.clone();
@@ -159,7 +159,7 @@
             if next.item(&item.key()).is_some() {
                 return Err(NoteError::Exists(item.key()));
             }
-            next.end_draining(&item.key());
+            next.remove_draining(&item.key());
             next.put(item.clone());
         }
         for item in &self.0.changed {
@@ -170,14 +170,14 @@
         }
         for key in &self.0.withdrawn {
             let found = match key {
-                ItemKey::Model(_) | ItemKey::Service(_) => next.drain(key),
+                ItemKey::Model(_) | ItemKey::Service(_) => next.start_draining(key),
                 _ => next.remove(key).map(|_| ()),
             };
             found.ok_or_else(|| NoteError::Missing(key.clone()))?;
         }
         next.revision = current.revision.next();
-        next.edited = next.revision;
-        next.settle_homes();
+        next.last_note_revision = next.revision;
+        next.update_homes();
         validation::check(&next)?;
         Ok(next)
     }
--- a/crates/medlarlug-core/src/release/validation.rs
+++ b/crates/medlarlug-core/src/release/validation.rs
@@ -6,7 +6,7 @@
     release::{
         configuration::Configuration,
         item::{Item, ItemKey, Residency},
-        note::{MAX_TEAM_KEYS, NoteError},
+        note::{MAX_BEARER_KEYS, NoteError},
     },
 };
 
@@ -71,7 +71,7 @@
 fn check_keys(configuration: &Configuration) -> Result<(), NoteError> {
     let mut keys: Vec<(Fingerprint, &TeamId)> = Vec::new();
     for team in configuration.teams() {
-        if team.keys.len() > MAX_TEAM_KEYS {
+        if team.keys.len() > MAX_BEARER_KEYS {
             let count = team.keys.len();
             return Err(NoteError::TooManyKeys { team: team.id.clone(), count });
         }
--- a/crates/medlarlug-core/tests/testsuite/booking_history.rs
+++ b/crates/medlarlug-core/tests/testsuite/booking_history.rs
@@ -8,7 +8,7 @@
     fingerprint::Fingerprint,
     home::{
         Action, Begin, BeginReply, Body, BookingKey, BookingState, Command, Handover, HomeGroup,
-        Owner, Question, Recorded, Reply,
+        OutcomeQuery, Owner, RecordedAnswer, Reply,
         attempt::{Answer, Attempt, Effect, Event},
     },
     ids::{Incarnation, RegionId, RequestId, Revision, TeamId},
@@ -37,7 +37,7 @@
     Propose { from: RequestId, step: u32, region: usize, action: Action },
     Reply { to: RequestId, step: u32, reply: Reply },
     Call { request: RequestId, key: usize },
-    CallAnswer { to: RequestId, answer: Recorded },
+    CallAnswer { to: RequestId, answer: RecordedAnswer },
     Seal { to: usize },
     Adopt { region: usize, handover: Handover },
     Release { region: usize, epoch: Revision },
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 struct Acknowledged {
     key: usize,
-    answer: Recorded,
+    answer: RecordedAnswer,
     /// Whether the home group had recorded it before; not so when the deadline came first.
     is_recorded: bool,
 }
@@ -103,9 +103,9 @@
     id(REGIONS[index])
 }
 
-fn answer_to(request: &RequestId) -> Recorded {
+fn answer_to(request: &RequestId) -> RecordedAnswer {
     let body = Body::of(request.to_string().as_bytes());
-    Recorded { status: 201, content_type: "text/plain".into(), body }
+    RecordedAnswer { status: 201, content_type: "text/plain".into(), body }
 }
 
 impl World {
@@ -177,7 +177,7 @@
             revision,
             epoch: home.epoch,
             moved: home.moved,
-            askable: Some(id("jobdesk")),
+            queryable_service: Some(id("jobdesk")),
         };
         let mut out = Vec::new();
         let attempt = Attempt::new(region(home.region), begin, &mut out);
@@ -304,7 +304,7 @@
         let Home { region: to, epoch, moved } = self.homes.last().unwrap().clone();
         let from = moved.then(|| region(1 - to));
         let home = TeamHome { team: team(), region: region(to), epoch, from };
-        if moved && !self.groups[to].is_held(&home) {
+        if moved && !self.groups[to].has_adopted(&home) {
             self.messages.push(Message::Seal { to });
         } else if self.is_moving {
             self.messages.push(Message::Release { region: 1 - to, epoch });
@@ -314,15 +314,15 @@
     /// A service is asked about an unknown booking, and tells its answer if it ran.
     fn ask_service(&mut self) {
         let region = self.rng.random_range(0..REGIONS.len());
-        let questions: Vec<Question> = self.groups[region].questions().collect();
-        for Question { team, key, request, .. } in questions {
+        let questions: Vec<OutcomeQuery> = self.groups[region].outcome_queries().collect();
+        for OutcomeQuery { team, key, request, .. } in questions {
             if self.runs.iter().any(|it| it.0 == request) {
                 let answer = answer_to(&request);
                 self.messages.push(Message::Propose {
                     from: request.clone(),
                     step: u32::MAX,
                     region,
-                    action: Action::Settle { team, key, request, answer },
+                    action: Action::ResolveOutcome { team, key, request, answer },
                 });
             }
         }
@@ -404,7 +404,7 @@
         let region = self.rng.random_range(0..REGIONS.len());
         let incarnation = self.entries[entry].incarnation;
         let instance = id(&format!("entry-{entry}"));
-        self.apply(region, Action::InstanceLost { instance, incarnation });
+        self.apply(region, Action::InstanceDead { instance, incarnation });
     }
 
     fn tick(&mut self, entry: usize) {
@@ -461,9 +461,18 @@
             let (key, team) = (key(number), team());
             let (epoch, moved) = (home.epoch, home.moved);
             let revision = self.revision;
-            let askable = None;
-            let begin =
-                Begin { team, key, content, request, owner, revision, epoch, moved, askable };
+            let queryable_service = None;
+            let begin = Begin {
+                team,
+                key,
+                content,
+                request,
+                owner,
+                revision,
+                epoch,
+                moved,
+                queryable_service,
+            };
 
             let reply = self.apply(home.region, Action::Begin(begin));
 
--- a/crates/medlarlug-core/tests/testsuite/configuration_group.rs
+++ b/crates/medlarlug-core/tests/testsuite/configuration_group.rs
@@ -6,7 +6,7 @@
     configuration_group::{Command, ConfigurationGroup, Refusal, Reply},
     fingerprint::Fingerprint,
     follower::{Effect, Event, Follower, Storage, Timing, Update, UpdateRequest},
-    home::FoundToken,
+    home::FoundingToken,
     ids::{OperatorId, RegionId, ReleaseNumber, Revision},
     release::{
         Item, ItemKey, NoteError, RawNote, ReleaseNote,
@@ -100,7 +100,7 @@
     let caller = team("anna", "riga");
     apply(&mut group, withdrawing(1, vec![key.clone()]));
     assert!(!group.configuration().is_permitted(&caller, &key, &riga));
-    assert!(group.configuration().may_go_on(&caller, &key, &riga));
+    assert!(group.configuration().may_continue(&caller, &key, &riga));
 
     let early = Command::RemoveDrained { revision: Revision(1), items: vec![key.clone()] };
     let early = group.apply(early);
@@ -110,7 +110,7 @@
 
     assert_eq!(early, Reply::NotRemoved(Revision(2)));
     assert_eq!(late, Reply::Removed(Revision(3)));
-    assert!(!group.configuration().may_go_on(&caller, &key, &riga));
+    assert!(!group.configuration().may_continue(&caller, &key, &riga));
     assert_matches!(prepared, Reply::Accepted(it) => assert_eq!(it.revision, Revision(4)));
 }
 
@@ -138,7 +138,7 @@
 #[test]
 fn founding_is_first_once_and_idempotent() {
     let mut group = group_with(vec![region("riga", &["riga-a"])]);
-    let found = |token| Command::FoundHome { region: id("riga"), token: FoundToken(token) };
+    let found = |token| Command::FoundHome { region: id("riga"), token: FoundingToken(token) };
 
     let first = group.apply(found(7));
     let again = group.apply(found(7));
--- a/crates/medlarlug-core/tests/testsuite/home_limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/home_limits.rs
@@ -7,8 +7,8 @@
     fingerprint::Fingerprint,
     home::{
         Action, Begin, BeginReply, Body, Booking, BookingState, Command, Handover, HomeGroup,
-        Owner, Recorded, Reply,
-        state::{KEY_RETENTION, QUESTION_SPAN},
+        Owner, RecordedAnswer, Reply,
+        state::{KEY_RETENTION, OUTCOME_QUERY_PERIOD},
     },
     ids::{Incarnation, Revision},
 };
@@ -36,7 +36,7 @@
         revision: FOUNDED,
         epoch: Revision(epoch),
         moved: false,
-        askable: None,
+        queryable_service: None,
     }
 }
 
@@ -50,7 +50,7 @@
 fn finish(group: &mut HomeGroup, begin: &Begin, body: &[u8]) {
     let Begin { team, key, request, .. } = begin.clone();
     let body = Body::of(body);
-    let answer = Recorded { status: 201, content_type: "text/plain".into(), body };
+    let answer = RecordedAnswer { status: 201, content_type: "text/plain".into(), body };
     apply(group, Duration::ZERO, Action::Finish { team, key, request, answer });
 }
 
@@ -125,7 +125,7 @@
     let late = reply_to(&mut group, begin("boat-1", 3));
 
     assert_eq!((early, late), (BeginReply::Unknown(None), BeginReply::Started));
-    assert_eq!(group.state_loss_left(), None);
+    assert_eq!(group.state_loss_remaining(), None);
 }
 
 #[test]
@@ -197,10 +197,21 @@
 fn old_handover() -> Handover {
     let booking = |key: &str, state| {
         let Begin { key, content, request, .. } = begin(key, 3);
-        Booking { key, content, request, askable: None, state, is_doubtful: false, since: 0 }
+        Booking {
+            key,
+            content,
+            request,
+            queryable_service: None,
+            state,
+            is_doubtful: false,
+            since: 0,
+        }
+    };
+    let answer = RecordedAnswer {
+        status: 201,
+        content_type: "text/plain".into(),
+        body: Body::of(b"booked"),
     };
-    let answer =
-        Recorded { status: 201, content_type: "text/plain".into(), body: Body::of(b"booked") };
     let bookings = vec![
         booking("abandoned", BookingState::Abandoned),
         booking("done", BookingState::Done(answer)),
@@ -231,24 +242,25 @@
 #[test]
 fn services_are_asked_about_unknown_bookings_for_a_while_and_not_about_others() {
     let mut group = founded(true);
-    let askable = |key: &str| Begin { askable: Some(id("jobdesk")), ..begin(key, 3) };
-    for it in [askable("lost"), askable("settled"), askable("done"), begin("unaskable", 3)] {
+    let queryable = |key: &str| Begin { queryable_service: Some(id("jobdesk")), ..begin(key, 3) };
+    for it in [queryable("lost"), queryable("settled"), queryable("done"), begin("unaskable", 3)] {
         reply_to(&mut group, it);
     }
     finish(&mut group, &begin("done", 3), b"booked");
     let Begin { owner: Owner { instance, incarnation }, .. } = begin("lost", 3);
     let asked = |group: &HomeGroup| -> Vec<String> {
-        group.questions().map(|it| it.key.to_string()).collect()
+        group.outcome_queries().map(|it| it.key.to_string()).collect()
     };
 
     let open = asked(&group);
-    apply(&mut group, Duration::ZERO, Action::InstanceLost { instance, incarnation });
+    apply(&mut group, Duration::ZERO, Action::InstanceDead { instance, incarnation });
     let lost = asked(&group);
     let Begin { team, key, request, .. } = begin("settled", 3);
-    let answer = Recorded { status: 200, content_type: "text/plain".into(), body: Body::of(b"") };
-    apply(&mut group, Duration::ZERO, Action::Settle { team, key, request, answer });
+    let answer =
+        RecordedAnswer { status: 200, content_type: "text/plain".into(), body: Body::of(b"") };
+    apply(&mut group, Duration::ZERO, Action::ResolveOutcome { team, key, request, answer });
     let settled = asked(&group);
-    apply(&mut group, QUESTION_SPAN + Duration::from_secs(1), Action::Tick);
+    apply(&mut group, OUTCOME_QUERY_PERIOD + Duration::from_secs(1), Action::Tick);
 
     assert!(open.is_empty());
     assert_eq!(lost, ["lost", "settled"]);
--- a/crates/medlarlug-core/tests/testsuite/home_model.rs
+++ b/crates/medlarlug-core/tests/testsuite/home_model.rs
@@ -6,7 +6,7 @@
     fingerprint::Fingerprint,
     home::{
         Action, Begin, BeginReply, Body, BookingKey, BookingState, Command, HomeGroup, Owner,
-        Recorded, Reply, state::KEY_RETENTION,
+        RecordedAnswer, Reply, state::KEY_RETENTION,
     },
     ids::{Incarnation, InstanceId, RequestId, Revision, TeamId},
 };
@@ -45,7 +45,7 @@
                 self.start(&instance, incarnation);
                 Reply::Ok
             }
-            Action::InstanceLost { instance, incarnation } => {
+            Action::InstanceDead { instance, incarnation } => {
                 self.lose_where(|owner| {
                     owner.instance == instance && owner.incarnation == incarnation
                 });
@@ -54,13 +54,13 @@
             Action::Finish { team, key, request, answer } => {
                 self.end(&team, &key, &request, BookingState::Done(answer), "ou")
             }
-            Action::Settle { team, key, request, answer } => {
+            Action::ResolveOutcome { team, key, request, answer } => {
                 self.end(&team, &key, &request, BookingState::Done(answer), "u")
             }
             Action::Abandon { team, key, request } => {
                 self.end(&team, &key, &request, BookingState::Abandoned, "ou")
             }
-            Action::Lose { team, key, request } => {
+            Action::MarkUnknown { team, key, request } => {
                 self.end(&team, &key, &request, BookingState::Unknown, "o")
             }
             _ => Reply::Ok,
@@ -167,14 +167,14 @@
     let sequence = rng.random_range(0..4u64);
     let request: RequestId = id(&format!("riga.{instance}.{incarnation}.{sequence}"));
     let body = Body::of(&[rng.random_range(0..3u8)]);
-    let answer = Recorded { status: 200, content_type: "text/plain".into(), body };
+    let answer = RecordedAnswer { status: 200, content_type: "text/plain".into(), body };
     let action = match rng.random_range(0..20) {
         0 => Action::InstanceStarted { instance, incarnation },
-        1 => Action::InstanceLost { instance, incarnation },
+        1 => Action::InstanceDead { instance, incarnation },
         2..6 => Action::Finish { team, key, request, answer },
         6..8 => Action::Abandon { team, key, request },
-        8..10 => Action::Lose { team, key, request },
-        10 => Action::Settle { team, key, request, answer },
+        8..10 => Action::MarkUnknown { team, key, request },
+        10 => Action::ResolveOutcome { team, key, request, answer },
         11 => Action::Tick,
         _ => Action::Begin(Begin {
             team,
@@ -185,7 +185,7 @@
             revision: Revision(1),
             epoch: Revision(1),
             moved: false,
-            askable: None,
+            queryable_service: None,
         }),
     };
     let elapsed = match rng.random_range(0..30) {
--- a/crates/medlarlug-core/tests/testsuite/home_tables.rs
+++ b/crates/medlarlug-core/tests/testsuite/home_tables.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 use medlarlug_core::{
     fingerprint::Fingerprint,
-    home::{Action, Command, HomeGroup, LookUp, Reply},
+    home::{Action, Command, HomeGroup, RecordLookup, Reply},
     ids::{Incarnation, RequestId, Revision, UpstreamId},
     record::{Outcome, RequestRecord},
     release::ItemKey,
@@ -42,11 +42,14 @@
     let incarnation = Incarnation(2);
     apply(&mut group, Action::InstanceStarted { instance: id("entry-1"), incarnation });
 
-    assert_eq!(group.look_up(&id(open)), LookUp::Found(record(open, Some(Outcome::NotRecorded))));
+    assert_eq!(
+        group.look_up(&id(open)),
+        RecordLookup::Found(record(open, Some(Outcome::NotRecorded)))
+    );
     let answered = record(ended, Some(Outcome::Answered));
-    assert_eq!(group.look_up(&id(ended)), LookUp::Found(answered));
-    assert_eq!(group.look_up(&id("riga.entry-1.1.9")), LookUp::Expired);
-    assert_eq!(group.look_up(&id("riga.entry-1.2.1")), LookUp::NotYet);
+    assert_eq!(group.look_up(&id(ended)), RecordLookup::Found(answered));
+    assert_eq!(group.look_up(&id("riga.entry-1.1.9")), RecordLookup::Expired);
+    assert_eq!(group.look_up(&id("riga.entry-1.2.1")), RecordLookup::Pending);
 }
 
 #[test]
@@ -55,13 +58,13 @@
     let request = "riga.entry-1.1.1";
     apply(&mut group, Action::Records(vec![record(request, None)]));
     let incarnation = Incarnation(1);
-    apply(&mut group, Action::InstanceLost { instance: id("entry-1"), incarnation });
+    apply(&mut group, Action::InstanceDead { instance: id("entry-1"), incarnation });
 
     let ended = record(request, Some(Outcome::Failed));
     apply(&mut group, Action::Records(vec![ended.clone()]));
     apply(&mut group, Action::Records(vec![record(request, None)]));
 
-    assert_eq!(group.look_up(&id(request)), LookUp::Found(ended));
+    assert_eq!(group.look_up(&id(request)), RecordLookup::Found(ended));
 }
 
 #[test]
@@ -75,9 +78,9 @@
     }
 
     // 66 batches of 1,024 are 2,048 more than the 65,536 that are kept.
-    assert_eq!(group.look_up(&id("riga.entry-1.1.2047")), LookUp::Expired);
-    assert_matches!(group.look_up(&id("riga.entry-1.1.2048")), LookUp::Found(_));
-    assert_eq!(group.look_up(&id("riga.entry-1.1.70000")), LookUp::NotYet);
+    assert_eq!(group.look_up(&id("riga.entry-1.1.2047")), RecordLookup::Expired);
+    assert_matches!(group.look_up(&id("riga.entry-1.1.2048")), RecordLookup::Found(_));
+    assert_eq!(group.look_up(&id("riga.entry-1.1.70000")), RecordLookup::Pending);
 }
 
 #[test]
@@ -103,7 +106,7 @@
 
         for record in naive {
             let request: RequestId = record.id.clone();
-            assert_eq!(group.look_up(&request), LookUp::Found(record), "seed {seed}");
+            assert_eq!(group.look_up(&request), RecordLookup::Found(record), "seed {seed}");
         }
     }
 }
@@ -169,7 +172,7 @@
                 let upstream: UpstreamId = id(&format!("engine-{}", rng.random_range(0..2)));
                 let incarnation = Incarnation(rng.random_range(0..2));
                 naive.lose(print, &upstream, incarnation);
-                Action::Loss { upstream, incarnation, suspects: vec![print] }
+                Action::Crash { upstream, incarnation, suspects: vec![print] }
             };
 
             group.apply(Command { elapsed, action });
@@ -189,7 +192,7 @@
 fn one_loss_that_several_instances_report_counts_once() {
     let mut group = founded();
     let print = Fingerprint::of(b"crash");
-    let loss = |incarnation| Action::Loss {
+    let loss = |incarnation| Action::Crash {
         upstream: id("engine-1"),
         incarnation: Incarnation(incarnation),
         suspects: vec![print],
--- a/crates/medlarlug-core/tests/testsuite/record_batch.rs
+++ b/crates/medlarlug-core/tests/testsuite/record_batch.rs
@@ -4,7 +4,7 @@
 
 use medlarlug_core::{
     home::Action,
-    record::{Outcome, RequestRecord, Stage, Step},
+    record::{Outcome, RequestRecord, Stage, TimelineEntry},
     release::ItemKey,
 };
 use rand::{RngExt, SeedableRng};
@@ -25,7 +25,8 @@
     ];
     let count = rng.random_range(0..=stages.len());
     let after = Duration::from_micros(rng.random_range(0..100_000_000));
-    let timeline = stages.into_iter().take(count).map(|stage| Step { after, stage }).collect();
+    let timeline =
+        stages.into_iter().take(count).map(|stage| TimelineEntry { after, stage }).collect();
     let sequence: u64 = rng.random();
     let incarnation = rng.random_range(0..3);
     RequestRecord {
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -65,7 +65,7 @@
     Item::Service(Service {
         id: id(name),
         idempotent: false,
-        outcomes: false,
+        reports_outcomes: false,
         residency: Residency::Anywhere,
     })
 }
@@ -75,7 +75,7 @@
     Item::Service(Service {
         id: id(name),
         idempotent: true,
-        outcomes: false,
+        reports_outcomes: false,
         residency: Residency::Anywhere,
     })
 }
--- a/src/commands/request.rs
+++ b/src/commands/request.rs
@@ -3,7 +3,7 @@
 use bpaf::Bpaf;
 use medlarlug_core::{
     ids::RequestId,
-    record::{RequestRecord, Stage, Step},
+    record::{RequestRecord, Stage, TimelineEntry},
 };
 
 use crate::commands::{
@@ -42,7 +42,7 @@
     text
 }
 
-fn line(step: &Step) -> String {
+fn line(step: &TimelineEntry) -> String {
     let what = match &step.stage {
         Stage::Received { instance } => format!("received by {instance}"),
         Stage::Forwarded { zone } => format!("forwarded to {zone}"),
--- a/src/coordination/calls.rs
+++ b/src/coordination/calls.rs
@@ -323,7 +323,7 @@
     node: &Node,
     id: &RequestId,
     limit: Duration,
-) -> Result<home::LookUp, CallFailure> {
+) -> Result<home::RecordLookup, CallFailure> {
     let group = GroupId::Home(id.region.clone());
     match submit(node, &group, GroupRequest::LookUp(id.clone()), limit).await? {
         GroupReply::Known(known) => Ok(known),
--- a/src/coordination/entry/attempt.rs
+++ b/src/coordination/entry/attempt.rs
@@ -95,7 +95,7 @@
         let mut is_open = true;
         loop {
             effects.drain(..).for_each(|it| self.carry_out(it));
-            if self.attempt.is_settled() || (self.attempt.is_lost() && !is_open) {
+            if self.attempt.is_settled() || (self.attempt.awaits_late_answer() && !is_open) {
                 return;
             }
             // What the booking tells goes first, so that no call is sent after its deadline.
--- a/src/coordination/entry/callers.rs
+++ b/src/coordination/entry/callers.rs
@@ -353,7 +353,7 @@
                 moved,
                 key,
                 content: print,
-                outcomes: service.outcomes,
+                outcomes: service.reports_outcomes,
                 job,
             },
         )),
--- a/src/coordination/entry/journal.rs
+++ b/src/coordination/entry/journal.rs
@@ -9,7 +9,7 @@
 
 use medlarlug_core::{
     ids::{Incarnation, InstanceId, RegionId, RequestId, TeamId},
-    record::{Outcome, RequestRecord, Stage, Step},
+    record::{Outcome, RequestRecord, Stage, TimelineEntry},
     release::ItemKey,
     time::Time,
 };
@@ -68,7 +68,7 @@
             sequence: self.last,
         };
         let stage = Stage::Received { instance: self.instance.clone() };
-        let timeline = vec![Step { after: Default::default(), stage }];
+        let timeline = vec![TimelineEntry { after: Default::default(), stage }];
         let record = RequestRecord { id: id.clone(), team, target, outcome: None, timeline };
         self.enqueue(record.clone());
         self.open.push(Open { sequence: self.last, received: now, record });
@@ -79,7 +79,7 @@
     pub fn step(&mut self, now: Time, id: &RequestId, stage: Stage) {
         if let Some(found) = self.place(id) {
             let open = &mut self.open[found];
-            open.record.timeline.push(Step { after: now - open.received, stage });
+            open.record.timeline.push(TimelineEntry { after: now - open.received, stage });
         }
     }
 
--- a/src/coordination/entry/outcomes.rs
+++ b/src/coordination/entry/outcomes.rs
@@ -1,7 +1,7 @@
 //! Questions to plain services about bookings of unknown outcome.
 //!
 //! The owner asks the upstream that it sent the booking to once after a lost answer. Everything
-//! later is up to the leader of the home group: it hands [`Question`]s to an entry instance of
+//! later is up to the leader of the home group: it hands [`OutcomeQuery`]s to an entry instance of
 //! each permitted zone, which asks the zone's upstreams of the service, owner or not. A question
 //! sends nothing again, and of several answers the home group records one.
 //!
@@ -16,10 +16,10 @@
 use http_body_util::Full;
 use hyper::{Method, Request, StatusCode, header};
 use medlarlug_core::{
-    home::{Action, Body, BookingKey, LookUp, Question, Recorded, Reply},
+    home::{Action, Body, BookingKey, OutcomeQuery, RecordLookup, RecordedAnswer, Reply},
     ids::{RegionId, RequestId},
     membership::Target,
-    record::{Outcome, RequestRecord, Stage, Step},
+    record::{Outcome, RequestRecord, Stage, TimelineEntry},
     release::ItemKey,
 };
 use smol_str::SmolStr;
@@ -47,17 +47,17 @@
 /// What a service answered to a booking.
 pub struct Served {
     /// What is recorded of it.
-    pub recorded: Recorded,
+    pub recorded: RecordedAnswer,
     /// The whole body.
     pub content: Bytes,
 }
 
 /// Asks the own zone's services about bookings of the home group of `home`, and settles them.
-pub async fn settle_all(entry: Rc<Entry>, home: RegionId, questions: Vec<Question>) {
+pub async fn settle_all(entry: Rc<Entry>, home: RegionId, questions: Vec<OutcomeQuery>) {
     join_all(questions.iter().map(|it| settle(&entry, &home, it))).await;
 }
 
-async fn settle(entry: &Entry, home: &RegionId, question: &Question) {
+async fn settle(entry: &Entry, home: &RegionId, question: &OutcomeQuery) {
     let answers = addresses(entry, question).into_iter();
     let answers = answers.map(|it| ask(entry, it, &question.key, &question.request));
     let Some(served) = join_all(answers).await.into_iter().flatten().next() else { return };
@@ -75,10 +75,10 @@
 }
 
 /// The zone's upstreams of the service, if residency permits to ask them.
-fn addresses(entry: &Entry, question: &Question) -> Vec<SocketAddr> {
+fn addresses(entry: &Entry, question: &OutcomeQuery) -> Vec<SocketAddr> {
     let node = &entry.node;
     let Some(configuration) = entry.configuration() else { return Vec::new() };
-    if !question.may_be_asked(&configuration, &node.region) {
+    if !question.is_permitted_in(&configuration, &node.region) {
         return Vec::new();
     }
     let target = Target::Service(question.service.clone());
@@ -90,21 +90,21 @@
 async fn settle_booking(
     entry: &Entry,
     home: &RegionId,
-    question: &Question,
-    answer: Recorded,
+    question: &OutcomeQuery,
+    answer: RecordedAnswer,
 ) -> Result<Reply, CallFailure> {
-    let Question { team, key, request, .. } = question.clone();
-    let action = Action::Settle { team, key, request, answer };
+    let OutcomeQuery { team, key, request, .. } = question.clone();
+    let action = Action::ResolveOutcome { team, key, request, answer };
     calls::act(&entry.node, home, action, GROUP_LIMIT).await
 }
 
 /// Notes in the record of a booking's request that the service told its outcome.
-async fn record(entry: &Entry, question: &Question) -> Result<Reply, CallFailure> {
+async fn record(entry: &Entry, question: &OutcomeQuery) -> Result<Reply, CallFailure> {
     let request = &question.request;
     let mut record = match calls::look_up(&entry.node, request, GROUP_LIMIT).await? {
-        LookUp::Found(record) => record,
+        RecordLookup::Found(record) => record,
         // The owner was lost before it sent the record.
-        LookUp::Expired | LookUp::NotYet => RequestRecord {
+        RecordLookup::Expired | RecordLookup::Pending => RequestRecord {
             id: request.clone(),
             team: question.team.clone(),
             target: ItemKey::Service(question.service.clone()),
@@ -120,7 +120,7 @@
     let stage = Stage::Ended { outcome: Outcome::Answered, reason };
     // When the request was received is not known here.
     let after = record.timeline.last().map(|it| it.after).unwrap_or_default();
-    record.timeline.push(Step { after, stage });
+    record.timeline.push(TimelineEntry { after, stage });
     let action = Action::Records(vec![record]);
     calls::act(&entry.node, &request.region, action, GROUP_LIMIT).await
 }
@@ -157,7 +157,7 @@
         serde_json::Value::String(text) => text.clone().into_bytes(),
         other => serde_json::to_vec(other).ok()?,
     };
-    let recorded = Recorded {
+    let recorded = RecordedAnswer {
         status: 200,
         content_type: SmolStr::new_static("application/json"),
         body: Body::of(&content),
--- a/src/coordination/entry/services.rs
+++ b/src/coordination/entry/services.rs
@@ -13,7 +13,7 @@
 use medlarlug_core::{
     fingerprint::Fingerprint,
     home::{
-        Begin, Body, BookingKey, Owner, Recorded,
+        Begin, Body, BookingKey, Owner, RecordedAnswer,
         attempt::{self as attempt_core, Event, NotRun},
     },
     ids::{RegionId, RequestId, Revision, ServiceId, TeamId},
@@ -122,7 +122,7 @@
         revision: booking.revision,
         epoch: booking.epoch,
         moved: booking.moved,
-        askable: booking.askable(),
+        queryable_service: booking.askable(),
     }
 }
 
@@ -273,7 +273,7 @@
         return Err(FailedAttempt { place, failure: Failure::Lost, reason });
     }
     inference::pay_for_retries(entry, &facts.target, &place, head.status);
-    let recorded = Recorded {
+    let recorded = RecordedAnswer {
         status: head.status.as_u16(),
         content_type: media.unwrap_or("application/octet-stream").into(),
         body: Body::of(&content),
@@ -303,17 +303,18 @@
 }
 
 /// Status and media type of a recorded answer.
-fn head_of(answer: &Recorded) -> (StatusCode, Option<header::HeaderValue>) {
+fn head_of(answer: &RecordedAnswer) -> (StatusCode, Option<header::HeaderValue>) {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     (status, header::HeaderValue::from_str(&answer.content_type).ok())
 }
 
-fn recorded_answer(id: &RequestId, answer: &Recorded) -> Answer {
+fn recorded_answer(id: &RequestId, answer: &RecordedAnswer) -> Answer {
     let (status, media) = head_of(answer);
     let content = match &answer.body {
         Body::Whole(content) => Bytes::from(content.clone()),
-        Body::Omitted { size, print } => {
-            let note = serde_json::json!({ "omitted": { "bytes": size, "fingerprint": print } });
+        Body::Omitted { size, fingerprint } => {
+            let note =
+                serde_json::json!({ "omitted": { "bytes": size, "fingerprint": fingerprint } });
             Bytes::from(note.to_string())
         }
     };
--- a/src/coordination/keeper/duties/confirmations.rs
+++ b/src/coordination/keeper/duties/confirmations.rs
@@ -125,7 +125,7 @@
 
 async fn remove_drained(keeper: &Keeper, newest: &Configuration, draining: &mut DrainTracker) {
     let node = &keeper.node;
-    let force = keeper.confirmations.force(node, newest.edited);
+    let force = keeper.confirmations.force(node, newest.last_note_revision);
     let is_everywhere = force.is_some_and(|it| it.is_complete());
     let items = draining.removable_items(node.now(), newest, is_everywhere);
     if items.is_empty() {
--- a/src/coordination/keeper/duties/founding.rs
+++ b/src/coordination/keeper/duties/founding.rs
@@ -4,7 +4,7 @@
 
 use medlarlug_core::{
     configuration_group,
-    home::{self, FoundToken},
+    home::{self, FoundingToken},
     ids::RegionId,
 };
 use tokio::{sync::watch, time::interval};
@@ -56,7 +56,11 @@
     keeper.leads(&group) && is_founded == Some(false) && is_configured()
 }
 
-async fn found(keeper: &Keeper, region: &RegionId, token: FoundToken) -> Result<(), CallFailure> {
+async fn found(
+    keeper: &Keeper,
+    region: &RegionId,
+    token: FoundingToken,
+) -> Result<(), CallFailure> {
     let node = &keeper.node;
     // A new leader may not have applied its log yet; a linearizable read tells.
     if calls::founding(node, region, CALL_LIMIT).await?.is_some() {
--- a/src/coordination/keeper/duties/moves.rs
+++ b/src/coordination/keeper/duties/moves.rs
@@ -85,7 +85,7 @@
         let (team, from, to) = (it.team.clone(), it.from.clone()?, it.region.clone());
         Some(HomeMove { team, from, to, epoch: it.epoch })
     });
-    for it in moves.filter(|it| !is_held(keeper, it)) {
+    for it in moves.filter(|it| !has_adopted(keeper, it)) {
         match carry_out(keeper, &it).await {
             Ok(()) => tracing::info!(team = %it.team, from = %it.from, "team adopted again"),
             Err(error) => tracing::warn!(team = %it.team, %error, "team not adopted again yet"),
@@ -109,7 +109,7 @@
 async fn carry_out(keeper: &Keeper, it: &HomeMove) -> Result<(), MoveError> {
     let node = &keeper.node;
     let (team, epoch) = (it.team.clone(), it.epoch);
-    if !is_held(keeper, it) {
+    if !has_adopted(keeper, it) {
         let seal = Action::Seal { team: team.clone(), to: it.to.clone(), epoch };
         let handover = match calls::act(node, &it.from, seal, CALL_LIMIT).await? {
             Reply::Handover(handover) => handover,
@@ -129,7 +129,7 @@
     Ok(())
 }
 
-fn is_held(keeper: &Keeper, it: &HomeMove) -> bool {
+fn has_adopted(keeper: &Keeper, it: &HomeMove) -> bool {
     let home = TeamHome {
         team: it.team.clone(),
         region: it.to.clone(),
@@ -137,11 +137,11 @@
         from: Some(it.from.clone()),
     };
     let group = GroupId::Home(it.to.clone());
-    let is_held = keeper.with_machine(&group, |machine| match machine {
-        Machine::Home(machine) => machine.is_held(&home),
+    let has_adopted = keeper.with_machine(&group, |machine| match machine {
+        Machine::Home(machine) => machine.has_adopted(&home),
         Machine::Configuration(_) | Machine::Publication(_) => false,
     });
-    is_held.unwrap_or(false)
+    has_adopted.unwrap_or(false)
 }
 
 fn not_ready(region: &RegionId, reply: Reply) -> MoveError {
--- a/src/coordination/keeper/duties/outcomes.rs
+++ b/src/coordination/keeper/duties/outcomes.rs
@@ -6,7 +6,7 @@
 
 use std::rc::Rc;
 
-use medlarlug_core::{home::Question, ids::RegionId};
+use medlarlug_core::{home::OutcomeQuery, ids::RegionId};
 use tokio::{sync::watch, time::interval};
 
 use crate::{
@@ -40,10 +40,10 @@
 fn hand_out(keeper: &Keeper, region: &RegionId, round: usize) {
     let group = GroupId::Home(region.clone());
     let questions = keeper.with_machine(&group, |machine| match machine {
-        Machine::Home(machine) => machine.questions().collect(),
+        Machine::Home(machine) => machine.outcome_queries().collect(),
         Machine::Configuration(_) | Machine::Publication(_) => Vec::new(),
     });
-    let mut questions: Vec<Question> = questions.unwrap_or_default();
+    let mut questions: Vec<OutcomeQuery> = questions.unwrap_or_default();
     if questions.is_empty() {
         return;
     }
@@ -57,8 +57,8 @@
         if entries.is_empty() {
             continue;
         }
-        let is_permitted = |it: &&Question| it.may_be_asked(&configuration, &zone.region);
-        let questions: Vec<Question> = questions.iter().filter(is_permitted).cloned().collect();
+        let is_permitted = |it: &&OutcomeQuery| it.is_permitted_in(&configuration, &zone.region);
+        let questions: Vec<OutcomeQuery> = questions.iter().filter(is_permitted).cloned().collect();
         if !questions.is_empty() {
             let entry = entries[round % entries.len()];
             let home = region.clone();
--- a/src/coordination/keeper/duties/owners.rs
+++ b/src/coordination/keeper/duties/owners.rs
@@ -77,7 +77,7 @@
 async fn lose(node: &Node, region: &RegionId, owner: Owner) {
     let Owner { instance, incarnation } = owner;
     tracing::info!(%region, %instance, "owner of bookings lost");
-    let action = home::Action::InstanceLost { instance, incarnation };
+    let action = home::Action::InstanceDead { instance, incarnation };
     if let Err(error) = calls::act(node, region, action, CALL_LIMIT).await {
         tracing::warn!(%region, %error, "loss of an instance not recorded");
     }
--- a/src/coordination/lookup.rs
+++ b/src/coordination/lookup.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use medlarlug_core::{home::LookUp, ids::RequestId, record::RequestRecord};
+use medlarlug_core::{home::RecordLookup, ids::RequestId, record::RequestRecord};
 
 use crate::coordination::{calls, calls::CallFailure, node::Node};
 
@@ -32,8 +32,8 @@
     limit: Duration,
 ) -> Result<RecordStatus, CallFailure> {
     match calls::look_up(node, id, limit).await? {
-        LookUp::Found(record) => Ok(RecordStatus::Recorded(record)),
-        LookUp::Expired => Ok(RecordStatus::Expired),
-        LookUp::NotYet => Ok(RecordStatus::NotSeen),
+        RecordLookup::Found(record) => Ok(RecordStatus::Recorded(record)),
+        RecordLookup::Expired => Ok(RecordStatus::Expired),
+        RecordLookup::Pending => Ok(RecordStatus::NotSeen),
     }
 }
--- a/src/protocol/message.rs
+++ b/src/protocol/message.rs
@@ -94,7 +94,7 @@
         /// Region of the home group that records the bookings.
         home: RegionId,
         /// The bookings.
-        questions: Vec<home::Question>,
+        questions: Vec<home::OutcomeQuery>,
     },
 }
 
@@ -131,7 +131,7 @@
     /// The reply of a home group's state machine.
     Acted(home::Reply),
     /// What is known of a request.
-    Known(home::LookUp),
+    Known(home::RecordLookup),
     /// The accepted release notes, the newest last.
     History(Vec<configuration_group::Accepted>),
     /// The newest revision.
--- a/tests/testsuite/budget.rs
+++ b/tests/testsuite/budget.rs
@@ -19,7 +19,7 @@
         EntryLoad, Heartbeat, LoadUpdate, Message as Membership, Millis, QueueTime, Scope, Sketch,
         Status, Summaries, Target, TargetSummary, UpstreamKey, UpstreamUpdate, ZoneUpdate,
     },
-    record::{Outcome, RequestRecord, Stage, Step},
+    record::{Outcome, RequestRecord, Stage, TimelineEntry},
     release::{Item, ItemKey, RawNote},
     replication::{self, Body, FormationId, Position, StorageId},
 };
@@ -255,7 +255,7 @@
 #[test]
 fn records_of_ten_requests_take_half_of_the_budget() {
     // 3,200 requests a second over the entry instances are 10 a second for each.
-    let step = |millis: u64, stage| Step { after: Duration::from_millis(millis), stage };
+    let step = |millis: u64, stage| TimelineEntry { after: Duration::from_millis(millis), stage };
     let timeline = vec![
         step(0, Stage::Received { instance: id("entry-117") }),
         step(1, Stage::Sent { upstream: id("engine-344") }),
--- a/tests/testsuite/cli.rs
+++ b/tests/testsuite/cli.rs
@@ -16,7 +16,7 @@
 use medlarlug_core::{
     fingerprint::Fingerprint,
     ids::{ReleaseNumber, Revision},
-    record::{Outcome, RequestRecord, Stage, Step},
+    record::{Outcome, RequestRecord, Stage, TimelineEntry},
     release::{ItemKey, RawNote},
 };
 use serde::Serialize;
@@ -318,7 +318,8 @@
 
 #[test]
 fn fate_of_a_request_is_told_as_a_timeline_or_as_json() {
-    let step = |millis, stage| Step { after: std::time::Duration::from_millis(millis), stage };
+    let step =
+        |millis, stage| TimelineEntry { after: std::time::Duration::from_millis(millis), stage };
     let ended = Stage::Ended { outcome: Outcome::Answered, reason: "whole".into() };
     let record = RequestRecord {
         id: id("riga.entry-1.3.42"),
--- a/tests/testsuite/processes/outcomes.rs
+++ b/tests/testsuite/processes/outcomes.rs
@@ -21,7 +21,7 @@
     let mut items = items(Residency::Anywhere);
     for it in &mut items {
         if let Item::Service(service) = it {
-            service.outcomes = true;
+            service.reports_outcomes = true;
         }
     }
     items
