--- a/crates/medlarlug-core/src/home/attempt.rs
+++ b/crates/medlarlug-core/src/home/attempt.rs
@@ -105,7 +105,7 @@
     Lost,
     /// Given up before the intent was known to be recorded; the call is never sent.
     GivenUp,
-    /// RecordedAnswer, and never sent; the intent is being taken back.
+    /// Recorded, and never sent; the intent is being taken back.
     Abandoning,
     /// The home group knows the end.
     Settled,
--- a/crates/medlarlug-core/src/home/command.rs
+++ b/crates/medlarlug-core/src/home/command.rs
@@ -121,8 +121,7 @@
     /// Records of requests; a later record of a request replaces an earlier one.
     Records(#[serde(with = "crate::record::batch")] Vec<RequestRecord>),
     /// An upstream was lost without an explanation while it ran these requests.
-    #[serde(rename = "Loss")]
-    Crash {
+    Loss {
         /// The lost upstream.
         upstream: UpstreamId,
         /// Its lost incarnation.
@@ -232,7 +231,7 @@
     Handover(Handover),
     /// This group does not hold the team, or not yet; the command may be sent again later.
     NotAdopted,
-    /// Reply to [`Action::Crash`].
+    /// Reply to [`Action::Loss`].
     Suspects(Vec<Suspect>),
     /// Reply to [`Action::Lease`]: granted under this term.
     LeaseGranted {
--- a/crates/medlarlug-core/src/home/state.rs
+++ b/crates/medlarlug-core/src/home/state.rs
@@ -245,7 +245,7 @@
                 self.records.store(records);
                 Reply::Ok
             }
-            Action::Crash { upstream, incarnation, suspects } => {
+            Action::Loss { upstream, incarnation, suspects } => {
                 Reply::Suspects(self.quarantines.lose(clock, &upstream, incarnation, &suspects))
             }
             Action::Clear(fingerprint) => {
--- a/crates/medlarlug-core/tests/testsuite/home_tables.rs
+++ b/crates/medlarlug-core/tests/testsuite/home_tables.rs
@@ -172,7 +172,7 @@
                 let upstream: UpstreamId = id(&format!("engine-{}", rng.random_range(0..2)));
                 let incarnation = Incarnation(rng.random_range(0..2));
                 naive.lose(print, &upstream, incarnation);
-                Action::Crash { upstream, incarnation, suspects: vec![print] }
+                Action::Loss { upstream, incarnation, suspects: vec![print] }
             };
 
             group.apply(Command { elapsed, action });
@@ -192,7 +192,7 @@
 fn one_loss_that_several_instances_report_counts_once() {
     let mut group = founded();
     let print = Fingerprint::of(b"crash");
-    let loss = |incarnation| Action::Crash {
+    let loss = |incarnation| Action::Loss {
         upstream: id("engine-1"),
         incarnation: Incarnation(incarnation),
         suspects: vec![print],
