--- a/src/coordination/entry/outcomes.rs
+++ b/src/coordination/entry/outcomes.rs
@@ -144,11 +144,11 @@
     }
     let reading = body::read(answer.into_body(), ANSWER_BYTES);
     let content = timeout(QUESTION_LIMITS.head, reading).await.ok()?.ok()?;
-    answer_in(&content, request)
+    parse_outcome(&content, request)
 }
 
 /// The answer in a service's document, if it says that the call of `request` ran.
-pub fn answer_in(document: &[u8], request: &RequestId) -> Option<Served> {
+pub fn parse_outcome(document: &[u8], request: &RequestId) -> Option<Served> {
     let document: serde_json::Value = serde_json::from_slice(document).ok()?;
     if document["state"] != "ran" || document["request"] != request.to_string().as_str() {
         return None;
--- a/tests/testsuite/service_answers.rs
+++ b/tests/testsuite/service_answers.rs
@@ -1,6 +1,6 @@
 //! What a plain service tells about an earlier call.
 
-use medlarlug::coordination::entry::outcomes::answer_in;
+use medlarlug::coordination::entry::outcomes::parse_outcome;
 use medlarlug_core::{home::Body, ids::RequestId};
 use test_support::id;
 
@@ -11,10 +11,10 @@
     let ran = br#"{"state": "ran", "request": "riga.entry-1.1.1", "answer": "done"}"#;
     let running = br#"{"state": "running", "request": "riga.entry-1.1.1"}"#;
 
-    let answer = answer_in(ran, &own).map(|it| it.recorded.body);
+    let answer = parse_outcome(ran, &own).map(|it| it.recorded.body);
 
     assert_eq!(answer, Some(Body::Whole(b"done".to_vec())));
-    assert!(answer_in(ran, &other).is_none());
-    assert!(answer_in(running, &own).is_none());
-    assert!(answer_in(b"no document", &own).is_none());
+    assert!(parse_outcome(ran, &other).is_none());
+    assert!(parse_outcome(running, &own).is_none());
+    assert!(parse_outcome(b"no document", &own).is_none());
 }
