--- a/crates/medlarlug-gateway/src/keeper/loops.rs
+++ b/crates/medlarlug-gateway/src/keeper/loops.rs
@@ -50,8 +50,8 @@
         };
     let now = keeper.now();
     let is_new = keeper.contacts.borrow_mut().update(now, info.clone(), None, Duration::ZERO);
-    tracing::info!(instance = %info.id, part = ?info.part, is_new, "link accepted");
-    let link = keeper.subscribers.borrow_mut().add(info.id.clone(), info.part, sender);
+    tracing::info!(instance = %info.id, part = ?info.kind, is_new, "link accepted");
+    let link = keeper.subscribers.borrow_mut().add(info.id.clone(), info.kind, sender);
     keeper.links.connect_new(&keeper);
     keeper.push();
     let error = loop {
