--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -41,18 +41,18 @@
 use medlarlug_core::{
     gateway::{
         availability::AvailabilityTracker,
+        away::REFERENCE_PROMPT_TOKENS,
+        budget::RetryWindow,
         cold::{ColdDetector, ColdSendPacer},
         contacts::{Contacts, InstanceInfo, InstanceKind, RegionWait, ServiceWait, Status},
         health::HealthTracker,
-        keeper_view::{KEEPER_SOURCES, KeeperView},
         load_exchange::Member,
         peer_loads::{LoadReport, ReportSource},
-        placement::{Demand, Loads},
-        prefill_queue::QueueWaits,
-        remote_region::REFERENCE_PROMPT_TOKENS,
-        retry_budget::RetryWindow,
+        placing::{Demand, Loads},
         table::{RouteTable, ServiceName, TableVersion},
+        turns::QueueWaits,
         upstreams::{Birth, Effect, UpstreamState, Upstreams},
+        view::{KEEPER_SOURCES, KeeperView},
     },
     ids::{InstanceId, RegionId, UpstreamId, ZoneId},
     time::Time,
@@ -403,7 +403,7 @@
         let mut contacts = self.contacts.borrow_mut();
         for (info, ready, age) in changed {
             let age = Duration::from_millis(age.into());
-            let status = Status { ready, spare: Vec::new() };
+            let status = Status { ready, service_waits: Vec::new() };
             contacts.update(now, info, Some(status), age);
         }
         for (id, age) in instance_heartbeats {
@@ -542,7 +542,7 @@
     }
 
     fn status(&self) -> Status {
-        Status { ready: self.is_ready(), spare: self.spare() }
+        Status { ready: self.is_ready(), service_waits: self.spare() }
     }
 
     fn is_primary(&self, address: SocketAddr) -> bool {
@@ -551,7 +551,7 @@
 
     fn keepers(&self) -> Vec<SocketAddr> {
         let contacts = self.contacts.borrow();
-        let known = contacts.all().iter().filter(|it| it.info.part == InstanceKind::Keeper);
+        let known = contacts.all().iter().filter(|it| it.info.kind == InstanceKind::Keeper);
         let mut all = self.settings.borrow().contacts.clone();
         all.extend(known.map(|it| it.info.internal));
         all.sort();
--- a/crates/medlarlug-gateway/src/settings.rs
+++ b/crates/medlarlug-gateway/src/settings.rs
@@ -8,8 +8,8 @@
 
 use medlarlug_core::{
     gateway::{
+        budget::RetryBounds,
         contacts::{InstanceInfo, InstanceKind},
-        retry_budget::RetryBounds,
         table::{RouteTable, TableVersion},
     },
     ids::{IdError, InstanceId, RegionId, ZoneId},
@@ -67,7 +67,7 @@
 
     /// Whether the process runs as a keeper rather than as an entry instance.
     pub fn is_keeper(&self) -> bool {
-        self.info.part == InstanceKind::Keeper
+        self.info.kind == InstanceKind::Keeper
     }
 }
 
