--- a/benches/capacity/replication.rs
+++ b/benches/capacity/replication.rs
@@ -6,10 +6,11 @@
 use medlarlug_core::{
     home,
     ids::{Incarnation, InstanceId, LogIndex, RequestId, Term},
-    record::{Outcome, RequestRecord, Stage, Step},
+    record::{Outcome, RequestRecord, Stage, TimelineEntry},
     release::ItemKey,
     replication::{
-        self, Config, Effect, Entry, Event, MemberKey, Payload, Replica, Restored, Role, StorageId,
+        self, Config, Effect, Entry, Event, MemberKey, Payload, Replica, Role, StorageId,
+        StoredState,
     },
     time::Time,
 };
@@ -44,8 +45,8 @@
     let replica = |number: usize| {
         let key = MemberKey { id: instance(number), storage: StorageId(u64::MAX - number as u64) };
         let config = Config::new(key, (0..voters).map(instance).collect());
-        let config = config.with_heartbeat(HEARTBEAT);
-        Replica::new(config, Restored::default(), number as u64, Time::ZERO)
+        let config = config.with_heartbeat_interval(HEARTBEAT);
+        Replica::new(config, StoredState::default(), number as u64, Time::ZERO)
     };
     let mut replicas: Vec<Replica> = (0..voters).map(replica).collect();
     let mut bytes = vec![0.0; voters];
@@ -116,7 +117,7 @@
         incarnation: Incarnation(1_764_720_000_000),
         sequence,
     };
-    let step = |millis: u64, stage| Step { after: Duration::from_millis(millis), stage };
+    let step = |millis: u64, stage| TimelineEntry { after: Duration::from_millis(millis), stage };
     let begun = vec![step(0, Stage::Received { instance: id("entry-117") })];
     let mut ended = begun.clone();
     ended.push(step(1, Stage::Sent { upstream: id("engine-344") }));
--- a/crates/medlarlug-core/benches/state_machines.rs
+++ b/crates/medlarlug-core/benches/state_machines.rs
@@ -7,8 +7,8 @@
 use medlarlug_core::{
     configuration_group::{Command as ConfigurationCommand, ConfigurationGroup},
     fingerprint::Fingerprint,
-    follower::Ask,
-    home::{Action, Begin, Body, Command, HomeGroup, Owner, Recorded},
+    follower::UpdateRequest,
+    home::{Action, Begin, Body, Command, HomeGroup, Owner, RecordedAnswer},
     ids::{Incarnation, Revision, TeamId},
     release::{Item, RawNote, ReleaseNote, item::Team},
 };
@@ -42,8 +42,9 @@
         group.apply(ConfigurationCommand::Apply(ReleaseNote::try_from(raw).unwrap()));
     }
     let each = start.elapsed() / CHANGES as u32;
-    let ask = |revision, full| Ask { token: 1, revision: Revision(revision), full };
-    let size = |ask: Ask| postcard::to_allocvec(&group.update_for(&ask).unwrap()).unwrap().len();
+    let ask = |revision, full| UpdateRequest { token: 1, revision: Revision(revision), full };
+    let size =
+        |ask: UpdateRequest| postcard::to_allocvec(&group.update_for(&ask).unwrap()).unwrap().len();
     println!("configuration of {TEAMS} teams: {} B", size(ask(0, true)));
     println!("one change: {} B", size(ask(CHANGES, false)));
     println!("{CHANGES} changes: {} B", size(ask(1, false)));
@@ -62,7 +63,7 @@
         revision: Revision(1),
         epoch: Revision(1),
         moved: false,
-        askable: None,
+        queryable_service: None,
     }
 }
 
@@ -71,7 +72,7 @@
     let mut apply = |action| group.apply(Command { elapsed: Duration::from_millis(1), action });
     apply(Action::Found { revision: Revision(1), first: true });
     let begins: Vec<Begin> = (0..KEYS).map(begin).collect();
-    let answer = Recorded {
+    let answer = RecordedAnswer {
         status: 201,
         content_type: "application/json".into(),
         body: Body::of(&[0; 200]),
--- a/crates/medlarlug-core/src/configuration_group/draining.rs
+++ b/crates/medlarlug-core/src/configuration_group/draining.rs
@@ -1,12 +1,12 @@
-//! When withdrawn items are removed.
+//! Removal of withdrawn items.
 //!
-//! The leader of the configuration group removes the draining items when no request can use them
-//! any more. No count of running requests is collected for this; time has to pass instead: from
-//! the moment when every live instance uses the newest note, or when the configuration leases of
-//! the others have run out, the longest request time.
+//! The leader of the configuration group removes draining items once no request can use them any more.
+//! It does not count running requests. Instead it waits until every live instance uses the newest note,
+//! or the configuration leases of those that do not have expired, and then for
+//! [`MAX_REQUEST_DURATION`].
 //!
-//! The time counts from the newest note, whatever it withdrew. A note that comes in between delays the
-//! removal of all draining items.
+//! The wait restarts with every note, whatever the note withdrew: a further note delays the removal of
+//! all draining items.
 
 use std::time::Duration;
 
@@ -16,56 +16,56 @@
     time::Time,
 };
 
-/// Longest time that a request is taken to run; what runs longer than this after the withdrawal
-/// of its item can't be resumed.
-pub const LONGEST_REQUEST: Duration = Duration::from_secs(10 * 60);
+/// Longest assumed duration of a request. A request that runs longer than this after its item was
+/// withdrawn cannot be resumed.
+pub const MAX_REQUEST_DURATION: Duration = Duration::from_secs(10 * 60);
 
-/// Waits until the draining items of a configuration are unused.
+/// Tracks when the draining items of a configuration can be removed.
 ///
 /// ```
 /// use medlarlug_core::{
-///     configuration_group::Draining, ids::Revision, release::Configuration, time::Time,
+///     configuration_group::DrainTracker, ids::Revision, release::Configuration, time::Time,
 /// };
 ///
-/// let mut draining = Draining::default();
+/// let mut draining = DrainTracker::default();
 /// let nothing = Configuration::new(Revision(1), Vec::new());
-/// assert!(draining.unused(Time::ZERO, &nothing, true).is_empty());
+/// assert!(draining.removable_items(Time::ZERO, &nothing, true).is_empty());
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Draining {
-    // The note that is in force everywhere, and since when.
-    settled: Option<(Revision, Time)>,
+pub struct DrainTracker {
+    // Revision of the last note whose rollout completed, and when this leader first saw it complete.
+    in_effect: Option<(Revision, Time)>,
 }
 
-impl Draining {
-    /// The draining items that no request uses any more.
+impl DrainTracker {
+    /// Keys of the draining items that no request uses any more.
     ///
-    /// `is_everywhere` tells whether the newest revision is in force at every instance that may
+    /// `is_rollout_complete` says whether the newest note is in effect at every instance that may
     /// send a request to another region; see
-    /// [`Force::is_everywhere`](crate::configuration_group::Force::is_everywhere).
-    pub fn unused(
+    /// [`Rollout::is_complete`](crate::configuration_group::Rollout::is_complete).
+    pub fn removable_items(
         &mut self,
         now: Time,
         configuration: &Configuration,
-        is_everywhere: bool,
+        is_rollout_complete: bool,
     ) -> Vec<ItemKey> {
-        let edited = configuration.edited;
-        let since = match self.settled {
-            Some((settled, since)) if settled == edited => since,
-            _ if is_everywhere => {
-                self.settled = Some((edited, now));
+        let last_note = configuration.last_note_revision;
+        let since = match self.in_effect {
+            Some((in_effect, since)) if in_effect == last_note => since,
+            _ if is_rollout_complete => {
+                self.in_effect = Some((last_note, now));
                 now
             }
             _ => return Vec::new(),
         };
-        if now - since < LONGEST_REQUEST {
+        if now - since < MAX_REQUEST_DURATION {
             return Vec::new();
         }
         configuration.draining().iter().map(|it| it.key()).collect()
     }
 
-    /// Forgets what was seen, as this process does not lead any more.
+    /// Discards the state, for use when this process stops being the leader.
     pub fn reset(&mut self) {
-        self.settled = None;
+        self.in_effect = None;
     }
 }
--- a/crates/medlarlug-core/src/gateway/patience.rs
+++ b/crates/medlarlug-core/src/gateway/patience.rs
@@ -1,63 +1,67 @@
-//! How long an attempt may take until its first token or answer.
+//! Timeout of an attempt until its first token or answer.
 //!
-//! Giving an attempt up throws away what its upstream has done for it, and another upstream begins
-//! anew. So a call that merely waits behind others, in a queue that is longer than predicted, stays
-//! where it is: upstreams that are gone are noticed by their connections. What is left for this
-//! limit are upstreams that take calls and say nothing.
+//! When an attempt is given up, the work that its upstream has done is lost, and another upstream
+//! starts over. So a call that merely waits in a queue that is longer than predicted stays where it
+//! is; dead upstreams are detected by their connections. The timeout is for upstreams that accept
+//! calls and never respond.
 //!
-//! A call that was handed over is repeated by the instance that has it. The first instance cannot
-//! tell how often that was, so it has no attempt of its own to save time for.
+//! A call that was forwarded to another region is retried by the instance there. The first instance
+//! can't know how often that happened, so it keeps no time for an attempt of its own.
 
 use std::time::Duration;
 
-use crate::gateway::silence::Source;
+use crate::gateway::silence::StreamSource;
 
-/// Limit as a multiple of the predicted wait: predictions are rarely off by more.
+/// Timeout as a multiple of the predicted wait; predictions are rarely off by more.
 const PREDICTION_FACTOR: u32 = 4;
-/// Limit as a multiple of the latency objective: the answer would be late by then in any case.
+/// Timeout as a multiple of the latency objective; a later answer would miss the objective in any
+/// case.
 const OBJECTIVE_FACTOR: f64 = 2.0;
-/// Shortest limit: the way to another region and back, and a few calls of a plain service.
-const SHORTEST: Duration = Duration::from_millis(800);
-/// Part of the time left that an attempt gets if another one is to follow it.
-const LEFT_SHARE: f64 = 0.6;
+/// Shortest timeout: a round trip to another region, and a few calls of a plain service.
+const MIN_TIMEOUT: Duration = Duration::from_millis(800);
+/// Share of the remaining time that an attempt gets if another one may follow.
+const TIME_LEFT_SHARE: f64 = 0.6;
 
-/// What an attempt has to go by.
+/// The inputs of the timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempt {
-    /// Where it goes.
-    pub source: Source,
+    /// Where the attempt is sent.
+    pub source: StreamSource,
     /// Predicted time to the first token or the answer.
-    pub wait: Duration,
-    /// Latency objective of its route.
+    pub predicted_wait: Duration,
+    /// Latency objective of the route.
     pub objective: Duration,
     /// Time until the call has to be answered.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Whether no other attempt may follow.
     pub is_last: bool,
 }
 
-/// Time until the first token or answer after which the attempt is given up.
+/// Time without a first token or answer after which the attempt is given up.
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::{patience::{Attempt, limit}, silence::Source};
+/// use medlarlug_core::gateway::{
+///     patience::{Attempt, first_token_timeout},
+///     silence::StreamSource,
+/// };
 ///
 /// let second = Duration::from_secs(1);
 /// let attempt = Attempt {
-///     source: Source::Upstream,
-///     wait: second / 10,
+///     source: StreamSource::Upstream,
+///     predicted_wait: second / 10,
 ///     objective: second,
-///     left: second * 5,
+///     time_left: second * 5,
 ///     is_last: false,
 /// };
-/// assert_eq!(limit(attempt), second * 2);
+/// assert_eq!(first_token_timeout(attempt), second * 2);
 /// ```
-pub fn limit(attempt: Attempt) -> Duration {
-    if attempt.is_last || attempt.source == Source::Instance {
-        return attempt.left;
+pub fn first_token_timeout(attempt: Attempt) -> Duration {
+    if attempt.is_last || attempt.source == StreamSource::Instance {
+        return attempt.time_left;
     }
-    let usual = (attempt.wait * PREDICTION_FACTOR)
+    let timeout = (attempt.predicted_wait * PREDICTION_FACTOR)
         .max(attempt.objective.mul_f64(OBJECTIVE_FACTOR))
-        .max(SHORTEST);
-    usual.min(attempt.left.mul_f64(LEFT_SHARE).max(SHORTEST)).min(attempt.left)
+        .max(MIN_TIMEOUT);
+    timeout.min(attempt.time_left.mul_f64(TIME_LEFT_SHARE).max(MIN_TIMEOUT)).min(attempt.time_left)
 }
--- a/crates/medlarlug-core/src/suspects/fact_log.rs
+++ b/crates/medlarlug-core/src/suspects/fact_log.rs
@@ -1,82 +1,88 @@
-//! Facts in the order in which they became known, to be passed on.
+//! Facts in the order in which they were received, for forwarding to other processes.
 
 use std::collections::VecDeque;
 
 use crate::{
-    suspects::{Fact, LossLedger},
+    suspects::{CrashLedger, Fact},
     time::Time,
 };
 
-/// Contents that the log names at most; the oldest facts go first. At 19 bytes each, a receiver that
-/// has just connected is sent 150 KB.
-pub const MAX_CONTENTS_TOLD: usize = 8_192;
+/// Maximum number of contents that the facts in the log name; the oldest facts are dropped first. At 19
+/// bytes each, a receiver that has just connected is sent 150 KB.
+pub const MAX_LOGGED_CONTENTS: usize = 8_192;
 
-/// The facts that a process passes on to others, each of which has been told a first part of them.
+/// The facts that a process forwards to others; each receiver has been sent all facts up to its own
+/// position.
 ///
 /// ```
 /// use medlarlug_core::{
 ///     fingerprint::Fingerprint,
 ///     ids::Incarnation,
-///     suspects::{Fact, FactLog, LossKey, LossReport},
+///     suspects::{CrashId, CrashReport, Fact, FactLog},
 ///     time::Time,
 /// };
 /// use std::time::Duration;
 ///
-/// let key = LossKey { upstream: "engine-1".parse().unwrap(), incarnation: Incarnation(1) };
-/// let flying = vec![Fingerprint::of(b"crash")];
-/// let fact = Fact::Lost(LossReport { key, age: Duration::ZERO, flying, tried: Vec::new() });
+/// let key = CrashId { upstream: "engine-1".parse().unwrap(), incarnation: Incarnation(1) };
+/// let in_flight = vec![Fingerprint::of(b"crash")];
+/// let fact = Fact::Crashed(CrashReport { key, age: Duration::ZERO, in_flight, trials: Vec::new() });
 /// let mut log = FactLog::default();
-/// let told = log.end();
-/// log.learn(Time::ZERO, &fact);
-/// log.learn(Time::ZERO, &fact);
-/// assert_eq!(log.since(Time::ZERO, told), [fact]);
+/// let position = log.end();
+/// log.apply(Time::ZERO, &fact);
+/// log.apply(Time::ZERO, &fact);
+/// assert_eq!(log.since(Time::ZERO, position), [fact]);
 /// assert!(log.since(Time::ZERO, log.end()).is_empty());
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct FactLog {
-    ledger: LossLedger,
-    /// Number of the first fact that is kept.
+    ledger: CrashLedger,
+    /// Position of the oldest fact that is kept.
     first: u64,
     facts: VecDeque<(Fact, Time)>,
-    /// Contents that the kept facts name.
+    /// Number of contents that the kept facts name.
     contents: usize,
 }
 
 impl FactLog {
-    /// Takes a fact in; tells whether it was new.
-    pub fn learn(&mut self, now: Time, fact: &Fact) -> bool {
-        if !self.ledger.learn(now, fact) {
+    /// Applies a fact; returns whether it was new.
+    pub fn apply(&mut self, now: Time, fact: &Fact) -> bool {
+        if !self.ledger.apply(now, fact) {
             return false;
         }
-        self.contents += fact.contents();
+        self.contents += fact.content_count();
         self.facts.push_back((fact.clone(), now));
-        while self.contents > MAX_CONTENTS_TOLD
+        while self.contents > MAX_LOGGED_CONTENTS
             && let Some((dropped, _)) = self.facts.pop_front()
         {
-            self.contents -= dropped.contents();
+            self.contents -= dropped.content_count();
             self.first += 1;
         }
         true
     }
 
-    /// The losses of contents that more than one loss counts against.
-    pub fn repeated_losses(&self, now: Time) -> Vec<Fact> {
-        self.ledger.repeated_losses(now)
+    /// Reports that cover the contents with more than one crash against them.
+    pub fn repeated_crashes(&self, now: Time) -> Vec<Fact> {
+        self.ledger.repeated_crashes(now)
     }
 
-    /// Forgets the facts that are too old.
+    /// Makes the ledger forget facts older than [`FACT_LIFETIME`](super::FACT_LIFETIME); the log is
+    /// bounded by its number of contents only.
     pub fn expire(&mut self, now: Time) {
         self.ledger.expire(now);
     }
 
-    /// Number of facts so far.
+    /// Position after the newest fact: the number of facts ever logged.
     pub fn end(&self) -> u64 {
         self.first + self.facts.len() as u64
     }
 
-    /// The facts after the first `told`, as they are told now.
-    pub fn since(&self, now: Time, told: u64) -> Vec<Fact> {
-        let skipped = told.saturating_sub(self.first) as usize;
-        self.facts.iter().skip(skipped).map(|(fact, learned)| fact.after(now - *learned)).collect()
+    /// The facts from `position` on, with their ages as of `now`.
+    pub fn since(&self, now: Time, position: u64) -> Vec<Fact> {
+        let skipped = position.saturating_sub(self.first) as usize;
+        self.facts
+            .iter()
+            .skip(skipped)
+            .map(|(fact, received)| fact.aged_by(now - *received))
+            .collect()
     }
 }
--- a/crates/medlarlug-core/tests/testsuite/configuration_group.rs
+++ b/crates/medlarlug-core/tests/testsuite/configuration_group.rs
@@ -1,12 +1,12 @@
-//! The configuration group: equal numbers, resends, validation, moves of homes; and the whole of it
-//! against a naive model.
+//! State machine of the configuration group: used numbers, retries, validation, moves of homes, and a
+//! comparison with a naive model.
 
 use assert_matches::assert_matches;
 use medlarlug_core::{
     configuration_group::{Command, ConfigurationGroup, Refusal, Reply},
     fingerprint::Fingerprint,
-    follower::{Ask, Effect, Event, Follower, Storage, Timing, Update},
-    home::FoundToken,
+    follower::{Effect, Event, Follower, Storage, Timing, Update, UpdateRequest},
+    home::FoundingToken,
     ids::{OperatorId, RegionId, ReleaseNumber, Revision},
     release::{
         Item, ItemKey, NoteError, RawNote, ReleaseNote,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn same_note_gets_its_first_answer_long_after() {
+fn retried_note_gets_its_first_reply_after_later_notes() {
     let mut group = ConfigurationGroup::default();
     let first = apply(&mut group, note(0, vec![region("riga", &["riga-a"])]));
     for base in 1..100 {
@@ -100,7 +100,7 @@
     let caller = team("anna", "riga");
     apply(&mut group, withdrawing(1, vec![key.clone()]));
     assert!(!group.configuration().is_permitted(&caller, &key, &riga));
-    assert!(group.configuration().may_go_on(&caller, &key, &riga));
+    assert!(group.configuration().may_continue(&caller, &key, &riga));
 
     let early = Command::RemoveDrained { revision: Revision(1), items: vec![key.clone()] };
     let early = group.apply(early);
@@ -110,7 +110,7 @@
 
     assert_eq!(early, Reply::NotRemoved(Revision(2)));
     assert_eq!(late, Reply::Removed(Revision(3)));
-    assert!(!group.configuration().may_go_on(&caller, &key, &riga));
+    assert!(!group.configuration().may_continue(&caller, &key, &riga));
     assert_matches!(prepared, Reply::Accepted(it) => assert_eq!(it.revision, Revision(4)));
 }
 
@@ -138,7 +138,7 @@
 #[test]
 fn founding_is_first_once_and_idempotent() {
     let mut group = group_with(vec![region("riga", &["riga-a"])]);
-    let found = |token| Command::FoundHome { region: id("riga"), token: FoundToken(token) };
+    let found = |token| Command::FoundHome { region: id("riga"), token: FoundingToken(token) };
 
     let first = group.apply(found(7));
     let again = group.apply(found(7));
@@ -150,11 +150,11 @@
 }
 
 #[test]
-fn rebuilt_group_goes_on_above_every_revision_that_it_may_have_lost() {
+fn rebuilt_group_continues_above_every_revision_that_it_may_have_lost() {
     let mut survivor = group_with(vec![region("riga", &["riga-a"])]);
     let mut lost = survivor.clone();
     apply(&mut lost, note(1, vec![region("kurzeme", &["liepaja-a"])]));
-    let ask = Ask { token: 1, revision: lost.configuration().revision, full: false };
+    let ask = UpdateRequest { token: 1, revision: lost.configuration().revision, full: false };
 
     let reply = survivor.apply(Command::Rebuilt);
     let update = survivor.update_for(&ask);
@@ -163,14 +163,14 @@
     assert_eq!(update, Some(Update::Full(survivor.configuration().clone())));
 }
 
-/// Accepted notes as a list; the configuration is computed from all of them each time.
+/// Naive model: a list of the accepted notes, from which the configuration is computed each time.
 #[derive(Debug, Default)]
-struct Naive {
+struct NaiveModel {
     accepted: Vec<(RawNote, Revision)>,
     revision: u64,
 }
 
-impl Naive {
+impl NaiveModel {
     fn items(&self) -> Vec<Item> {
         let mut items: Vec<Item> = Vec::new();
         for (note, _) in &self.accepted {
@@ -184,7 +184,7 @@
         items
     }
 
-    /// The revision of the note, or `None` when it is refused.
+    /// Revision of the note, or `None` if it is refused.
     fn accept(&mut self, note: &RawNote) -> Option<Revision> {
         if let Some((held, revision)) = self.accepted.iter().find(|it| it.0.number == note.number) {
             return (held == note).then_some(*revision);
@@ -247,11 +247,11 @@
 }
 
 #[test]
-fn group_equals_a_list_of_notes_and_its_changes_lead_to_it() {
+fn group_matches_the_naive_model_and_its_changes_reproduce_it() {
     let mut accepted = 0;
     for seed in 0..1_500 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut group, mut naive) = (ConfigurationGroup::default(), Naive::default());
+        let (mut group, mut naive) = (ConfigurationGroup::default(), NaiveModel::default());
         let mut sent: Vec<RawNote> = Vec::new();
         let mut past = vec![group.configuration().clone()];
         for _ in 0..60 {
@@ -261,7 +261,7 @@
             let Ok(note) = ReleaseNote::try_from(raw.clone()) else {
                 continue;
             };
-            // The naive model knows no moves: they end at once.
+            // The naive model has no moves, so they are completed immediately.
             let moving = group.moves().first().cloned();
             if let Some(it) = moving {
                 group.apply(Command::HomeAdopted { team: it.team, epoch: it.epoch });
@@ -291,11 +291,11 @@
             accepted += usize::from(revision.is_some());
         }
         for old in past {
-            let ask = Ask { token: 1, revision: old.revision, full: false };
+            let ask = UpdateRequest { token: 1, revision: old.revision, full: false };
             let mut follower = Follower::new(Timing::default(), Storage::Disk(Some(old)), 0);
             if let Some(update) = group.update_for(&ask) {
                 assert_matches!(update, Update::Changes { .. });
-                let event = Event::Push(update);
+                let event = Event::Pushed(update);
                 let mut out = Vec::new();
                 follower.handle(Default::default(), event, &mut out);
                 let Some(Effect::Save(save)) = out.pop() else { panic!("nothing to save") };
--- a/crates/medlarlug-core/tests/testsuite/drain.rs
+++ b/crates/medlarlug-core/tests/testsuite/drain.rs
@@ -34,15 +34,15 @@
     let after = draining.stop_cause(Time::from_millis(29_999));
 
     assert_eq!((before, after), (None, Some(StopCause::Empty)));
-    assert_eq!(draining.finish().cut(), 0);
+    assert_eq!(draining.finish().aborted(), 0);
 }
 
 #[test]
-fn deadline_stops_the_instance_and_counts_what_it_cuts() {
+fn deadline_stops_the_instance_and_counts_aborted_requests() {
     let draining = serving(2).begin(Time::ZERO, Duration::from_secs(30));
 
     let cause = draining.stop_cause(Time::from_millis(30_000));
 
     assert_eq!(cause, Some(StopCause::Deadline));
-    assert_eq!(draining.finish().cut(), 2);
+    assert_eq!(draining.finish().aborted(), 2);
 }
--- a/crates/medlarlug-gateway/src/entry/plan.rs
+++ b/crates/medlarlug-gateway/src/entry/plan.rs
@@ -1,4 +1,4 @@
-//! How one call is served: its route, its times, and what was tried.
+//! The state of one call while it is served.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,176 +8,179 @@
         handover::{Attempts, Handover},
         patience,
         placing::Choice,
-        silence::{self, Source},
+        silence::{self, StreamSource},
         table::{Route, RouteTable, ServiceName},
-        turns::{self, Turn},
+        turns::{self, PrefillDecision},
     },
     time::Time,
 };
 
 use super::{
     Entry,
-    attempt::{self, Attempted, NotRun, Outcome},
+    attempt::{self, AttemptContext, NotRun, Outcome},
     call::Call,
     choice::{Hop, Tried},
     forwarded,
     limited::PermitWait,
-    serve::Ended,
+    serve::CallOutcome,
 };
 use crate::metrics as names;
 
-/// Requests of one call that may reach upstreams, those included that refused it.
+/// Maximum number of requests of one call that may reach upstreams, including those that were
+/// refused there.
 pub(super) const MAX_ARRIVALS: u32 = 4;
 
-/// How a call is served: its route, its times, and what was tried.
+/// The state of one call while it is served: its route, its deadlines, and the attempts so far.
 pub(super) struct Plan {
     pub(super) table: Rc<RouteTable>,
     pub(super) route: Route,
     pub(super) service: ServiceName,
     /// When the call arrived.
     pub(super) began: Time,
-    /// When it has to be answered: its caller's deadline or its route's timeout.
-    pub(super) end: Time,
+    /// When it has to be answered: its caller's deadline or the timeout of its route, whichever is
+    /// earlier.
+    pub(super) answer_by: Time,
     pub(super) deadline: Time,
-    /// Whether another region may serve it.
-    pub(super) may_leave: bool,
+    /// Whether it may be forwarded to another region.
+    pub(super) may_forward: bool,
     /// Whether it is the trial of a quarantined content.
     pub(super) is_trial: bool,
     pub(super) last_event: Option<u64>,
     pub(super) tried: Tried,
-    /// Upstreams that may run it and requests that may reach one, those of other instances
-    /// included.
+    /// Requests that may have run and requests that may have reached an upstream, including those
+    /// of other instances that the call was forwarded to.
     pub(super) attempts: Attempts,
-    /// What the call has spent of the retry budget at this instance.
+    /// What the call has taken from the retry budget at this instance.
     pub(super) spending: Spending,
     pub(super) unreachable: u32,
-    /// The hops that were tried, each with its predicted wait, the age of the news that the choice
-    /// rests on, and what came of it, for the log.
+    /// For the log: the hops that were tried, each with its predicted waiting time, the age of the
+    /// announcement that the choice is based on, and the outcome.
     pub(super) path: Vec<String>,
-    /// The upstream whose turn it waits for.
-    pub(super) waiting: Option<Waiting>,
-    /// Whether it has asked for permits of upstreams with a limit.
-    pub(super) has_asked: bool,
-    /// Set while it waits for one.
-    pub(super) permit: Option<PermitWait>,
-    pub(super) _running: Running,
+    /// The upstream at which the call is queued for prefill.
+    pub(super) admission_wait: Option<AdmissionWait>,
+    /// Whether it has requested permits for upstreams with a rate limit before.
+    pub(super) has_requested_permits: bool,
+    /// Set while it waits for a permit.
+    pub(super) permit_wait: Option<PermitWait>,
+    pub(super) _running: RunningCall,
 }
 
-/// Counts a call that waits for its turn at an upstream, for as long as it does.
-pub(super) struct Waiting {
+/// Counts a call that is queued for prefill at an upstream, until it is dropped.
+pub(super) struct AdmissionWait {
     entry: Rc<Entry>,
     choice: Choice,
 }
 
-impl Waiting {
-    fn begin(entry: &Rc<Entry>, choice: &Choice) -> Waiting {
-        entry.loads.borrow_mut().waits(choice);
-        entry.exchange.note(&choice.id);
-        Waiting { entry: entry.clone(), choice: choice.clone() }
+impl AdmissionWait {
+    fn begin(entry: &Rc<Entry>, choice: &Choice) -> AdmissionWait {
+        entry.loads.borrow_mut().enqueue(choice);
+        entry.exchange.report_at_once(&choice.id);
+        AdmissionWait { entry: entry.clone(), choice: choice.clone() }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for AdmissionWait {
     fn drop(&mut self) {
-        self.entry.loads.borrow_mut().waits_no_longer(&self.choice);
-        self.entry.exchange.note(&self.choice.id);
+        self.entry.loads.borrow_mut().dequeue(&self.choice);
+        self.entry.exchange.report_at_once(&self.choice.id);
     }
 }
 
-/// Counts a call that runs.
-pub(super) struct Running(Rc<Entry>);
+/// Counts a call that is being served, until it is dropped.
+pub(super) struct RunningCall(Rc<Entry>);
 
-impl Running {
-    pub(super) fn begin(entry: &Rc<Entry>) -> Running {
+impl RunningCall {
+    pub(super) fn begin(entry: &Rc<Entry>) -> RunningCall {
         entry.running.set(entry.running.get() + 1);
-        Running(entry.clone())
+        RunningCall(entry.clone())
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningCall {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
     }
 }
 
 impl Plan {
-    /// The next hop; `None` if there is none, or the call may not run anywhere.
+    /// Chooses the next hop; `None` if there is none, or the content of the call is quarantined.
     pub(super) fn next_hop(&self, entry: &Entry, call: &Call) -> Option<Hop> {
         let may_try = self.is_trial && self.attempts.arrivals() == 0;
         if !may_try && entry.is_quarantined(call.content) {
             return None;
         }
-        // The call does not stand in its own way.
-        let own = self.waiting.as_ref().map(|it| &it.choice);
+        // The call's own place in the prefill queue must not count against it.
+        let own = self.admission_wait.as_ref().map(|it| &it.choice);
         if let Some(choice) = own {
-            entry.loads.borrow_mut().waits_no_longer(choice);
+            entry.loads.borrow_mut().dequeue(choice);
         }
         let hop = entry.choose(self, &call.demand);
         if let Some(choice) = own {
-            entry.loads.borrow_mut().waits(choice);
+            entry.loads.borrow_mut().enqueue(choice);
         }
         hop
     }
 
-    /// Asks for permits of the upstreams with a limit, and tells whether the call waits for one: if it has no
-    /// hop, and those that wait already can expect theirs in time.
+    /// Requests permits for the upstreams with a rate limit. Returns whether the call has to wait
+    /// for one: it has no hop, and there are enough permits for the calls that wait already.
     pub(super) fn waits_for_permit(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> bool {
         let limited = entry.limited_upstreams(self);
-        let is_asked = entry.want_permits(&limited, !self.has_asked);
-        self.has_asked |= is_asked;
+        let is_asked = entry.request_permits(&limited, !self.has_requested_permits);
+        self.has_requested_permits |= is_asked;
         if hop.is_some() || !is_asked || !self.attempts.may_send() {
-            self.permit = None;
+            self.permit_wait = None;
             return false;
         }
-        if let Some(wait) = &self.permit {
+        if let Some(wait) = &self.permit_wait {
             return !wait.is_over();
         }
-        self.permit = PermitWait::begin(entry, &limited);
-        self.permit.is_some()
+        self.permit_wait = PermitWait::begin(entry, &limited);
+        self.permit_wait.is_some()
     }
 
-    /// Whether the call goes to a hop now; only first attempts at engines wait for their turn.
-    pub(super) fn turn(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> Turn {
-        let turn = self.next_turn(entry, hop);
-        self.waiting = match hop {
-            Some(Hop::Upstream { choice, .. }) if turn == Turn::Wait => {
-                let same = self.waiting.take().filter(|it| it.choice.id == choice.id);
-                same.or_else(|| Some(Waiting::begin(entry, choice)))
+    /// Decides whether the call is sent to the hop now. Only first attempts with long prompts at
+    /// engines are queued for prefill.
+    pub(super) fn admission(&mut self, entry: &Rc<Entry>, hop: Option<&Hop>) -> PrefillDecision {
+        let decision = self.next_admission(entry, hop);
+        self.admission_wait = match hop {
+            Some(Hop::Upstream { choice, .. }) if decision == PrefillDecision::Wait => {
+                let current = self.admission_wait.take().filter(|it| it.choice.id == choice.id);
+                current.or_else(|| Some(AdmissionWait::begin(entry, choice)))
             }
             _ => None,
         };
-        turn
+        decision
     }
 
-    fn next_turn(&self, entry: &Entry, hop: Option<&Hop>) -> Turn {
-        let Some(Hop::Upstream { choice, .. }) = hop else { return Turn::Go };
+    fn next_admission(&self, entry: &Entry, hop: Option<&Hop>) -> PrefillDecision {
+        let Some(Hop::Upstream { choice, .. }) = hop else { return PrefillDecision::Send };
         if self.attempts.arrivals() > 0 || !choice.is_long() {
-            return Turn::Go;
+            return PrefillDecision::Send;
         }
         let now = entry.now();
         let waited = now - self.began;
-        let is_free = entry.loads.borrow().is_free(now, choice, entry.exchange.instances());
-        let turn = turns::turn(is_free, waited, self.route.objective, self.route.priority);
-        if turn != Turn::Wait {
-            entry.turn_waits.borrow_mut().count(now, waited);
+        let is_free = entry.loads.borrow().can_admit(now, choice, entry.exchange.instances());
+        let decision = turns::decide(is_free, waited, self.route.objective, self.route.priority);
+        if decision != PrefillDecision::Wait {
+            entry.queue_waits.borrow_mut().record(now, waited);
         }
-        turn
+        decision
     }
 
-    /// A stream broke off. Another instance has gone on elsewhere before it gave up, which it can no
-    /// longer tell.
+    /// Counts a stream that broke off. If it came from another instance, that one has resumed it
+    /// elsewhere before it gave up, but can no longer report its attempts.
     pub(super) fn count_broken(&mut self, hop: &Hop) {
         if matches!(hop, Hop::Peer { .. }) {
-            self.attempts.unreported();
+            self.attempts.record_missing_report();
         }
     }
 
-    /// How long a stream from a hop may be silent before another hop goes on with it.
-    pub(super) fn silence_limit(&self, hop: &Hop) -> Option<Duration> {
+    /// How long the stream of a hop may pause before another hop resumes it; `None` for no limit.
+    pub(super) fn idle_timeout(&self, hop: &Hop) -> Option<Duration> {
         let source = hop.source();
-        // Nothing is left after another instance, see `count_broken`.
-        let is_left = source == Source::Upstream && self.attempts.may_send();
-        silence::limit(source, self.route.pause, self.route.kind.is_repeatable() && is_left)
+        // No attempt is left after another instance broke off, see `count_broken`.
+        let is_left = source == StreamSource::Upstream && self.attempts.may_send();
+        silence::idle_timeout(source, self.route.pause, self.route.kind.is_retryable() && is_left)
     }
 
     /// Whether the call goes to model engines.
@@ -185,13 +188,14 @@
         self.table.service(&self.service).is_some_and(|service| service.engine.is_some())
     }
 
-    /// Whether another request may go out that repeats an earlier one, and counts it.
-    pub(super) fn may_repeat(&mut self, entry: &Entry, call: &Call) -> bool {
+    /// Whether another request may be sent. Takes a retry from the budget unless the request is
+    /// covered already.
+    pub(super) fn may_send(&mut self, entry: &Entry, call: &Call) -> bool {
         if !self.attempts.may_send() {
             return false;
         }
         if !self.spending.is_covered() {
-            if !entry.take_repeat(call, &self.service) {
+            if !entry.take_retry(call, &self.service) {
                 return false;
             }
             self.spending.pay();
@@ -205,68 +209,68 @@
             Hop::Upstream { choice, age, .. } => {
                 self.tried.upstreams.push(choice.id.clone());
                 let (wait, age) = (choice.wait.as_millis(), age.as_millis());
-                let unread = choice.unread;
+                let unread = choice.prefill_tokens;
                 self.path.push(format!("{}(wait={wait}ms,unread={unread},age={age}ms)", choice.id));
             }
             Hop::Peer { id, .. } => {
                 self.tried.peers.push(id.clone());
                 let wait = hop.wait().as_millis();
                 self.path.push(format!("{id}(wait={wait}ms)"));
-                metrics::counter!(names::FORWARDED).increment(1);
+                metrics::counter!(names::FORWARDED_CALLS).increment(1);
             }
         }
-        let left = self.end - entry.now();
-        let patience = patience::limit(patience::Attempt {
+        let left = self.answer_by - entry.now();
+        let answer_timeout = patience::first_token_timeout(patience::Attempt {
             source: hop.source(),
-            wait: hop.wait(),
+            predicted_wait: hop.wait(),
             objective: self.route.objective,
-            left,
-            is_last: !self.route.kind.is_repeatable() || self.attempts.left() <= 1,
+            time_left: left,
+            is_last: !self.route.kind.is_retryable() || self.attempts.runs_left() <= 1,
         });
         let forwarded = match hop {
             Hop::Peer { .. } => forwarded::encode(&Handover {
                 version: self.table.version(),
-                route: Route { attempts: self.attempts.left().max(1), ..self.route.clone() },
+                route: Route { attempts: self.attempts.runs_left().max(1), ..self.route.clone() },
                 service: self.service.clone(),
                 arrivals: self.attempts.arrivals_left(),
             }),
             Hop::Upstream { .. } => None,
         };
-        let attempted = Attempted {
+        let context = AttemptContext {
             call,
             kind: self.route.kind,
             priority: self.route.priority,
             forwarded,
-            end: self.end,
+            answer_by: self.answer_by,
             deadline: self.deadline,
             last_event: self.last_event,
-            patience,
+            answer_timeout,
         };
         let before = self.attempts.arrivals();
-        let outcome = attempt::send(entry, &attempted, hop, &mut self.attempts).await;
+        let outcome = attempt::send(entry, &context, hop, &mut self.attempts).await;
         if let Some(hop) = self.path.last_mut() {
             hop.push('=');
             hop.push_str(outcome.name());
         }
         if self.attempts.arrivals() > before {
-            // What followed the first arrival at another instance was paid for there.
-            self.spending.arrived();
+            // Retries at the other instance were taken from the budget there.
+            self.spending.record_arrival();
         }
         match (&outcome, hop) {
             (Outcome::NotRun(NotRun::Unreachable | NotRun::Misdirected), _) => {
                 self.unreachable += 1;
             }
-            // The other region is as busy.
-            (Outcome::NotRun(NotRun::Refused { .. }), Hop::Peer { .. }) => self.may_leave = false,
+            // The other region is full as well.
+            (Outcome::NotRun(NotRun::Refused { .. }), Hop::Peer { .. }) => self.may_forward = false,
             _ => {}
         }
         outcome
     }
 
     /// Logs and counts the end of the call.
-    pub(super) fn end(&self, entry: &Entry, call: &Call, ended: Ended) {
+    pub(super) fn record_outcome(&self, entry: &Entry, call: &Call, ended: CallOutcome) {
         let took = entry.now() - self.began;
-        metrics::counter!(names::CALLS, "outcome" => ended.to_string()).increment(1);
+        metrics::counter!(names::CALLS_ENDED, "outcome" => ended.to_string()).increment(1);
         tracing::info!(
             request = %call.id,
             route = %self.route.name,
--- a/crates/medlarlug-gateway/src/entry/relay.rs
+++ b/crates/medlarlug-gateway/src/entry/relay.rs
@@ -1,13 +1,14 @@
-//! Passes a stream on to its caller, and goes on elsewhere when its upstream breaks off.
+//! Passes a stream on to its caller, and resumes it at another upstream when its upstream breaks
+//! off.
 //!
-//! Only whole events are passed on, so that another upstream can go on right after the last one.
-//! The answer ends well only when an upstream has ended the stream; in every other case the
-//! connection is cut, so that a caller never takes a part for the whole.
+//! Only complete events are passed on, so that another upstream can resume right after the last
+//! one. The answer ends properly only if an upstream has ended the stream; in every other case the
+//! connection is cut, so that a caller never mistakes a part for the whole.
 
 use std::rc::Rc;
 
 use medlarlug::{protocol::events, transport::body::Part};
-use medlarlug_core::gateway::health::CallEnd;
+use medlarlug_core::gateway::health::UpstreamOutcome;
 use tokio::{
     sync::mpsc::Sender,
     time::{sleep, timeout},
@@ -18,24 +19,24 @@
     attempt::{self, EventStream, Outcome, Piece},
     call::Call,
     choice::Hop,
-    limited::PERMIT_PAUSE,
+    limited::PERMIT_POLL_INTERVAL,
     plan::Plan,
-    serve::Ended,
+    serve::CallOutcome,
 };
 
-/// What has become of a stream.
+/// Why passing on the stream of one upstream stopped.
 enum Step {
-    /// All of it was passed on.
+    /// The stream is complete.
     Done,
-    /// The caller has left.
+    /// The caller has disconnected.
     Left,
-    /// The time is up.
+    /// The time of the call is up.
     Late,
-    /// The upstream broke off.
+    /// The upstream broke the stream off or stopped sending.
     Broken,
 }
 
-/// Passes a stream on until it ends, its caller leaves or the time is up.
+/// Passes a stream on until it ends, its caller disconnects or the time is up.
 pub(super) async fn run(
     entry: Rc<Entry>,
     call: Call,
@@ -50,19 +51,19 @@
             Step::Done => {
                 stream.finish(&entry);
                 let _ = sender.send(Part::End).await;
-                return plan.end(&entry, &call, Ended::Answered);
+                return plan.record_outcome(&entry, &call, CallOutcome::Answered);
             }
-            Step::Left => return plan.end(&entry, &call, Ended::Left),
-            Step::Late => return plan.end(&entry, &call, Ended::TimedOut),
+            Step::Left => return plan.record_outcome(&entry, &call, CallOutcome::Left),
+            Step::Late => return plan.record_outcome(&entry, &call, CallOutcome::TimedOut),
             Step::Broken => {}
         }
-        attempt::ended(&entry, stream.hop(), CallEnd::Broken);
+        attempt::record_health(&entry, stream.hop(), UpstreamOutcome::Broken);
         plan.count_broken(stream.hop());
-        // Closes the connection before another upstream goes on.
+        // Closes the connection before another upstream resumes the stream.
         drop(stream);
         match resume(&entry, &call, &mut plan, &sender).await {
             Some(next) => stream = next,
-            None => return plan.end(&entry, &call, Ended::BrokenOff),
+            None => return plan.record_outcome(&entry, &call, CallOutcome::BrokenOff),
         }
     }
 }
@@ -74,23 +75,23 @@
     stream: &mut EventStream,
     sender: &Sender<Part>,
 ) -> Step {
-    let silence = plan.silence_limit(stream.hop());
+    let idle_timeout = plan.idle_timeout(stream.hop());
     loop {
-        let left = plan.end - entry.now();
+        let left = plan.answer_by - entry.now();
         if left.is_zero() {
             return Step::Late;
         }
         let piece = tokio::select! {
-            piece = timeout(silence.map_or(left, |limit| limit.min(left)), stream.next()) => piece,
+            piece = timeout(idle_timeout.map_or(left, |limit| limit.min(left)), stream.next()) => piece,
             () = sender.closed() => return Step::Left,
         };
         let events = match piece {
             Ok(Piece::Events(events)) => events,
             Ok(Piece::End) => return Step::Done,
             Ok(Piece::Broken) => return Step::Broken,
-            Err(_) if entry.now() >= plan.end => return Step::Late,
+            Err(_) if entry.now() >= plan.answer_by => return Step::Late,
             Err(_) => {
-                stream.give_up();
+                stream.abandon();
                 return Step::Broken;
             }
         };
@@ -107,37 +108,37 @@
     }
 }
 
-/// The next hop; waits for a permit where only upstreams with a limit are left.
+/// Chooses the next hop. Waits for a permit if only upstreams with a rate limit are left.
 async fn permitted_hop(entry: &Rc<Entry>, call: &Call, plan: &mut Plan) -> Option<Hop> {
     loop {
         let hop = plan.next_hop(entry, call);
         if !plan.waits_for_permit(entry, hop.as_ref()) {
             return hop;
         }
-        sleep(PERMIT_PAUSE).await;
+        sleep(PERMIT_POLL_INTERVAL).await;
     }
 }
 
-/// Has another upstream go on, if the route allows it.
+/// Resumes the stream at another upstream if the route allows it; `None` if that is not possible.
 async fn resume(
     entry: &Rc<Entry>,
     call: &Call,
     plan: &mut Plan,
     sender: &Sender<Part>,
 ) -> Option<Box<EventStream>> {
-    while plan.route.kind.is_repeatable() && plan.last_event.is_some() {
+    while plan.route.kind.is_retryable() && plan.last_event.is_some() {
         let hop = tokio::select! {
             hop = permitted_hop(entry, call, plan) => hop?,
             () = sender.closed() => return None,
         };
-        if !plan.may_repeat(entry, call) {
+        if !plan.may_send(entry, call) {
             return None;
         }
         let outcome = tokio::select! {
             outcome = plan.attempt(entry, call, &hop) => outcome,
             () = sender.closed() => return None,
         };
-        tracing::info!(request = %call.id, after = plan.last_event, "stream goes on elsewhere");
+        tracing::info!(request = %call.id, after = plan.last_event, "resuming stream at another hop");
         match outcome {
             Outcome::Stream(stream) => return Some(stream),
             Outcome::Answer(_) | Outcome::NotRun(_) | Outcome::Unknown(_) => {}
--- a/crates/medlarlug-gateway/src/subscribers.rs
+++ b/crates/medlarlug-gateway/src/subscribers.rs
@@ -1,100 +1,104 @@
-//! The links that other processes opened to a keeper, and the news that each still lacks.
+//! The links that other processes opened to a keeper, and which changes each has been sent.
 //!
-//! What changes is told to everybody at once. That nothing has changed, renewals of upstreams and
-//! signs of life of instances, would be most of the news, and grow with upstreams times instances. An
-//! entry instance gets it from the few keepers that it has chosen, and of upstreams only who is late; a
-//! keeper gets it from whoever has heard it first.
+//! Changes are sent to all links at once. Renewals of upstreams and signs of life of instances
+//! would be most of the traffic, and grow with upstreams times instances. They go to an entry
+//! instance only from the few keepers that it has chosen as primary, and for upstreams as a
+//! heartbeat that lists only the late ones; another keeper receives a renewal from the keeper that
+//! the upstream renewed itself at.
 
 use std::{cell::OnceCell, time::Duration};
 
 use medlarlug_core::{
     gateway::{
-        cold::Suspicions,
-        contacts::{Contacts, Part, RegionWait},
-        upstreams::{Known, Pulse, Renewal, Upstreams},
+        cold::ColdDetector,
+        contacts::{Contacts, InstanceKind, RegionWait},
+        upstreams::{Heartbeat, KnownUpstream, Renewal, Upstreams},
     },
     ids::InstanceId,
     suspects::FactLog,
     time::Time,
 };
 
-use crate::link::{Head, LinkSender, Message, News};
+use crate::link::{LinkSender, Message, PublicationHead, Update};
 
-/// Time between two tellings of the signs of life of all instances on one link.
-const LIFE_INTERVAL: Duration = Duration::from_millis(800);
+/// Time between two transmissions of the signs of life of all instances on one link.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Late upstreams up to which a pulse goes out in each round of news: behind a cut, all are late.
-const FEW_LATE: usize = 60;
+/// Up to this number of late upstreams, a heartbeat is sent in every round of updates. Behind a
+/// network partition all upstreams are late, and the heartbeat goes out once per
+/// [`HEARTBEAT_INTERVAL`] only.
+const MAX_LATE_EVERY_ROUND: usize = 60;
 
-/// One link that another process opened.
+/// A link that another process opened.
 #[derive(Debug)]
 struct Subscriber {
     id: InstanceId,
-    part: Part,
-    /// Differs for each link, also of one process.
+    part: InstanceKind,
+    /// Number of the link, unique in this process; one peer may have several links.
     link: u64,
     sender: LinkSender,
-    /// Whether renewals, signs of life and waits are wanted.
+    /// Whether the peer wants renewals, heartbeats and waiting times.
     is_primary: bool,
-    /// Last changes that were sent.
-    sent: Sent,
-    /// Number of the last news that was sent.
+    /// What has been sent so far.
+    sent: SentState,
+    /// Sequence number of the last update that was sent.
     number: u64,
-    /// Number of the last news that was taken in.
-    seen: u64,
+    /// Sequence number of the last update that the peer acknowledged.
+    acknowledged: u64,
 }
 
-/// Up to where a link has been told.
+/// How far the changes of each kind have been sent on a link.
 #[derive(Debug, Default)]
-struct Sent {
+struct SentState {
     upstreams: u64,
     renewals: u64,
     contacts: u64,
-    head: Option<Head>,
+    head: Option<PublicationHead>,
     /// When the signs of life of all instances were last sent.
-    lives: Option<Time>,
+    heartbeats_sent: Option<Time>,
     waits: Vec<RegionWait>,
     facts: u64,
 }
 
-/// What a keeper knows and tells.
+/// The state of a keeper that updates are made from.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Knowledge<'a> {
+pub(crate) struct KeeperState<'a> {
     pub(crate) upstreams: &'a Upstreams,
     pub(crate) contacts: &'a Contacts,
-    pub(crate) head: &'a Head,
-    pub(crate) suspicions: &'a Suspicions,
+    pub(crate) head: &'a PublicationHead,
+    pub(crate) cold_detector: &'a ColdDetector,
     pub(crate) facts: &'a FactLog,
 }
 
-/// What is the same for all links that are told it in one round.
-struct Round<'a> {
+/// Parts of an update that are computed once per round and shared by all links.
+struct UpdateRound<'a> {
     now: Time,
-    knowledge: Knowledge<'a>,
-    pulse: OnceCell<Pulse>,
-    pulses: OnceCell<Vec<(InstanceId, u32)>>,
+    state: KeeperState<'a>,
+    heartbeat: OnceCell<Heartbeat>,
+    instance_heartbeats: OnceCell<Vec<(InstanceId, u32)>>,
     waits: OnceCell<Vec<RegionWait>>,
 }
 
-impl<'a> Round<'a> {
-    fn new(now: Time, knowledge: Knowledge<'a>) -> Round<'a> {
-        let (pulse, pulses, waits) = (OnceCell::new(), OnceCell::new(), OnceCell::new());
-        Round { now, knowledge, pulse, pulses, waits }
+impl<'a> UpdateRound<'a> {
+    fn new(now: Time, state: KeeperState<'a>) -> UpdateRound<'a> {
+        let (heartbeat, instance_heartbeats, waits) =
+            (OnceCell::new(), OnceCell::new(), OnceCell::new());
+        UpdateRound { now, state, heartbeat, instance_heartbeats, waits }
     }
 
-    fn pulse(&self) -> &Pulse {
-        self.pulse.get_or_init(|| self.knowledge.upstreams.pulse(self.now))
+    fn heartbeat(&self) -> &Heartbeat {
+        self.heartbeat.get_or_init(|| self.state.upstreams.heartbeat(self.now))
     }
 
-    fn pulses(&self) -> &Vec<(InstanceId, u32)> {
-        self.pulses.get_or_init(|| {
-            let live = self.knowledge.contacts.live(self.now);
-            live.map(|it| (it.card.id.clone(), millis(self.now - it.heard))).collect()
+    fn instance_heartbeats(&self) -> &Vec<(InstanceId, u32)> {
+        self.instance_heartbeats.get_or_init(|| {
+            let live = self.state.contacts.live(self.now);
+            live.map(|it| (it.info.id.clone(), millis(self.now - it.last_seen))).collect()
         })
     }
 
     fn waits(&self) -> &Vec<RegionWait> {
-        self.waits.get_or_init(|| self.knowledge.contacts.waits(self.now))
+        self.waits.get_or_init(|| self.state.contacts.waits(self.now))
     }
 }
 
@@ -107,12 +111,12 @@
 
 impl Subscribers {
     /// Adds a link and returns its number.
-    pub(crate) fn add(&mut self, id: InstanceId, part: Part, sender: LinkSender) -> u64 {
+    pub(crate) fn add(&mut self, id: InstanceId, part: InstanceKind, sender: LinkSender) -> u64 {
         self.last += 1;
         let link = self.last;
-        let sent = Sent::default();
+        let sent = SentState::default();
         // Keepers always want renewals.
-        let is_primary = part == Part::Keeper;
+        let is_primary = part == InstanceKind::Keeper;
         self.links.push(Subscriber {
             id,
             part,
@@ -121,138 +125,142 @@
             is_primary,
             sent,
             number: 0,
-            seen: 0,
+            acknowledged: 0,
         });
         link
     }
 
-    /// Removes a link.
     pub(crate) fn remove(&mut self, link: u64) {
         self.links.retain(|it| it.link != link);
     }
 
-    /// The peer has taken in the news up to `number`.
-    pub(crate) fn seen(&mut self, link: u64, number: u64) {
-        if let Ok(at) = self.place(link) {
+    /// The peer acknowledged the updates up to `number`.
+    pub(crate) fn acknowledged(&mut self, link: u64, number: u64) {
+        if let Ok(at) = self.position(link) {
             let it = &mut self.links[at];
-            it.seen = it.seen.max(number);
+            it.acknowledged = it.acknowledged.max(number);
         }
     }
 
-    /// The peer wants renewals, or no longer does.
+    /// Sets whether the peer wants renewals. Keepers always do.
     pub(crate) fn set_primary(&mut self, link: u64, is_primary: bool) {
-        if let Ok(at) = self.place(link) {
+        if let Ok(at) = self.position(link) {
             let it = &mut self.links[at];
-            it.is_primary = is_primary || it.part == Part::Keeper;
+            it.is_primary = is_primary || it.part == InstanceKind::Keeper;
         }
     }
 
-    /// Sends a message to a process over its newest link.
+    /// Sends a message to a process over its newest link. Returns false if there is none.
     pub(crate) fn send(&self, id: &InstanceId, message: &Message) -> bool {
         let link = self.links.iter().rfind(|it| it.id == *id);
         link.is_some_and(|it| it.sender.send(message))
     }
 
-    /// Sends to each link what it lacks.
-    pub(crate) fn push(&mut self, now: Time, knowledge: Knowledge) {
-        let round = Round::new(now, knowledge);
+    /// Sends each link the changes that it has not been sent yet.
+    pub(crate) fn push(&mut self, now: Time, state: KeeperState) {
+        let round = UpdateRound::new(now, state);
         for link in &mut self.links {
-            if let Some(news) = link.news(&round) {
-                link.sender.send(&Message::News(news));
+            if let Some(update) = link.next_update(&round) {
+                link.sender.send(&Message::Update(update));
             }
         }
     }
 
-    fn place(&self, link: u64) -> Result<usize, usize> {
+    fn position(&self, link: u64) -> Result<usize, usize> {
         self.links.binary_search_by_key(&link, |it| it.link)
     }
 
-    /// The news that entry instances have been sent and not taken in yet: pairs of link and number.
-    pub(crate) fn unseen_by_entries(&self) -> Vec<(u64, u64)> {
-        let is_waiting = |it: &&Subscriber| it.part == Part::Entry && it.seen < it.number;
+    /// The updates that entry instances have been sent but have not acknowledged, as pairs of link
+    /// and sequence number.
+    pub(crate) fn unacknowledged_by_entries(&self) -> Vec<(u64, u64)> {
+        let is_waiting =
+            |it: &&Subscriber| it.part == InstanceKind::Entry && it.acknowledged < it.number;
         self.links.iter().filter(is_waiting).map(|it| (it.link, it.number)).collect()
     }
 
-    /// Whether none of `waited` is missing any more; links that ended don't count.
-    pub(crate) fn have_seen(&self, waited: &[(u64, u64)]) -> bool {
-        let has_seen = |(link, number): &(u64, u64)| {
-            self.place(*link).map_or(true, |at| self.links[at].seen >= *number)
+    /// Whether all of `waited` have been acknowledged; closed links count as acknowledged.
+    pub(crate) fn all_acknowledged(&self, waited: &[(u64, u64)]) -> bool {
+        let is_acknowledged = |(link, number): &(u64, u64)| {
+            self.position(*link).map_or(true, |at| self.links[at].acknowledged >= *number)
         };
-        waited.iter().all(has_seen)
+        waited.iter().all(is_acknowledged)
     }
 }
 
 impl Subscriber {
-    fn news(&mut self, round: &Round) -> Option<News> {
+    fn next_update(&mut self, round: &UpdateRound) -> Option<Update> {
         let now = round.now;
-        let Knowledge { upstreams, contacts, head, suspicions, facts } = round.knowledge;
-        let mut news = News::default();
-        let is_keeper = self.part == Part::Keeper;
-        // Another keeper hears the rest from whoever has heard it first.
-        let is_told = |known: &&Known| !is_keeper || known.is_local;
+        let KeeperState { upstreams, contacts, head, cold_detector, facts } = round.state;
+        let mut update = Update::default();
+        let is_keeper = self.part == InstanceKind::Keeper;
+        // Other keepers receive the remaining upstreams from the keeper that those announced
+        // themselves to.
+        let is_forwarded = |known: &&KnownUpstream| !is_keeper || known.is_local;
         if upstreams.change() > self.sent.upstreams {
-            let changed = upstreams.since(self.sent.upstreams).filter(is_told);
-            let told = changed.map(|it| (it.upstream.clone(), millis(now - it.heard)));
-            news.upstreams = told.collect();
+            let changed = upstreams.changed_since(self.sent.upstreams).filter(is_forwarded);
+            let with_ages = changed.map(|it| (it.upstream.clone(), millis(now - it.announced_at)));
+            update.upstreams = with_ages.collect();
             self.sent.upstreams = upstreams.change();
         }
         if contacts.change() > self.sent.contacts {
-            let changed = contacts.since(self.sent.contacts);
-            let told = changed.map(|it| (it.card.clone(), it.status.ready, millis(now - it.heard)));
-            news.contacts = told.collect();
+            let changed = contacts.changed_since(self.sent.contacts);
+            let with_ages =
+                changed.map(|it| (it.info.clone(), it.status.ready, millis(now - it.last_seen)));
+            update.contacts = with_ages.collect();
             self.sent.contacts = contacts.change();
         }
         if self.sent.head.as_ref() != Some(head) {
-            news.head = Some(head.clone());
-            let restored = suspicions.all_restored().iter();
-            news.restored = restored.map(|it| (it.0.clone(), millis(now - it.1))).collect();
+            update.head = Some(head.clone());
+            let restored = cold_detector.restored_zones().iter();
+            update.restored = restored.map(|it| (it.0.clone(), millis(now - it.1))).collect();
             self.sent.head = Some(head.clone());
         }
         if is_keeper {
-            let renewed = upstreams.renewed_since(self.sent.renewals).filter(is_told);
-            news.renewals = renewed.map(|known| renewal(now, known)).collect();
+            let renewed = upstreams.renewed_since(self.sent.renewals).filter(is_forwarded);
+            update.renewals = renewed.map(|known| renewal(now, known)).collect();
             self.sent.renewals = upstreams.renewal();
         } else if self.is_primary {
-            let is_due = self.sent.lives.is_none_or(|sent| now - sent >= LIFE_INTERVAL);
-            if is_due || round.pulse().late.len() <= FEW_LATE {
-                news.pulse = Some(round.pulse().clone());
+            let is_due =
+                self.sent.heartbeats_sent.is_none_or(|sent| now - sent >= HEARTBEAT_INTERVAL);
+            if is_due || round.heartbeat().late.len() <= MAX_LATE_EVERY_ROUND {
+                update.heartbeat = Some(round.heartbeat().clone());
             }
             if is_due {
-                self.sent.lives = Some(now);
-                news.pulses.clone_from(round.pulses());
+                self.sent.heartbeats_sent = Some(now);
+                update.instance_heartbeats.clone_from(round.instance_heartbeats());
             }
         }
         if self.is_primary && !is_keeper && *round.waits() != self.sent.waits {
-            news.waits.clone_from(round.waits());
+            update.waits.clone_from(round.waits());
             self.sent.waits.clone_from(round.waits());
         }
-        // One keeper has heard them from another, and entry instances from any: two sources are
-        // enough for what is new. Whoever has just connected knows nothing, and is told with the table's
-        // version, before it has the table.
+        // Keepers forward facts to each other, so for new facts the two primary keepers of an entry
+        // instance suffice. A process that has just connected knows none of them, and gets all
+        // together with the version of the table, before it can fetch the table and serve calls.
         let is_first = self.number == 0;
         if (self.is_primary || is_first) && facts.end() > self.sent.facts {
-            news.facts = facts.since(now, self.sent.facts);
+            update.facts = facts.since(now, self.sent.facts);
             self.sent.facts = facts.end();
         }
-        if news == News::default() {
+        if update == Update::default() {
             return None;
         }
         self.number += 1;
-        news.number = self.number;
-        Some(news)
+        update.number = self.number;
+        Some(update)
     }
 }
 
-fn renewal(now: Time, known: &Known) -> Renewal {
+fn renewal(now: Time, known: &KnownUpstream) -> Renewal {
     Renewal {
         id: known.upstream.id.clone(),
         birth: known.upstream.birth,
         sequence: known.upstream.sequence,
-        age_ms: millis(now - known.heard),
+        age_ms: millis(now - known.announced_at),
     }
 }
 
-/// An age in milliseconds, as it is sent.
+/// Converts an age to milliseconds for the wire.
 fn millis(age: Duration) -> u32 {
     u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
 }
--- a/src/coordination/entry/orders.rs
+++ b/src/coordination/entry/orders.rs
@@ -94,14 +94,14 @@
             return;
         }
         let engines = self.engines(now);
-        let open = self.issuer.open_orders().map(|it| &it.task);
+        let open = self.issuer.in_flight_orders().map(|it| &it.task);
         let answered = self.answered.iter().map(|it| &it.0);
         let under_way: Vec<Task> =
             answered.chain(open).chain(self.issuer.waiting_tasks()).cloned().collect();
         for task in self.planner.plan(&configuration, &engines, &under_way) {
             let engine = engines.iter().find(|it| it.id == task.upstream);
             let fencing = engine.is_some_and(|it| it.fencing);
-            self.handle(Event::Wanted { task, fencing });
+            self.handle(Event::Requested { task, fencing });
         }
     }
 
@@ -114,7 +114,7 @@
     fn note_answered(&mut self, event: &Event) {
         let Event::Answered { upstream, fence } = event else { return };
         let is_answered = |it: &&Order| it.task.upstream == *upstream && it.fence == *fence;
-        let answered = self.issuer.open_orders().find(is_answered).map(|it| it.task.clone());
+        let answered = self.issuer.in_flight_orders().find(is_answered).map(|it| it.task.clone());
         let now = self.entry.node.now();
         self.answered.extend(answered.map(|task| (task, now)));
     }
@@ -126,7 +126,7 @@
                 task::spawn_local(acquire(entry, events, token, duration));
             }
             Effect::Send(order) => self.send(order),
-            Effect::GivenUp(order) => {
+            Effect::TimedOut(order) => {
                 tracing::warn!(fence = %order.fence, upstream = %order.task.upstream,
                     "order given up without an answer");
             }
@@ -160,7 +160,7 @@
     let action = Action::Lease { holder, duration };
     let event = match calls::act(node, &node.region, action, LEASE_LIMIT).await {
         Ok(Reply::LeaseGranted { term, duration }) => Event::Granted { token, term, duration },
-        Ok(_) => Event::Held,
+        Ok(_) => Event::HeldElsewhere,
         Err(error) => return tracing::debug!(%error, "lease of the issuer not asked for"),
     };
     // The desk is gone when the instance is about to stop.
--- a/src/coordination/entry/services.rs
+++ b/src/coordination/entry/services.rs
@@ -13,7 +13,7 @@
 use medlarlug_core::{
     fingerprint::Fingerprint,
     home::{
-        Begin, Body, BookingKey, Owner, Recorded,
+        Begin, Body, BookingKey, Owner, RecordedAnswer,
         attempt::{self as attempt_core, Event, NotRun},
     },
     ids::{RegionId, RequestId, Revision, ServiceId, TeamId},
@@ -122,7 +122,7 @@
         revision: booking.revision,
         epoch: booking.epoch,
         moved: booking.moved,
-        askable: booking.askable(),
+        queryable_service: booking.askable(),
     }
 }
 
@@ -231,7 +231,7 @@
         inference::exclude(&mut booking.job, &failed);
         match decision {
             Decision::GiveUp(refusal) => return End::NotSent(refusal),
-            Decision::RetryHere | Decision::RetryElsewhere => {
+            Decision::RetryInZone | Decision::RetryInOtherZone => {
                 entry.step(&id, Stage::Retried { reason: failed.reason });
             }
         }
@@ -247,33 +247,33 @@
     exchange: Exchange,
 ) -> Result<Served, FailedAttempt> {
     let request = facts.id.clone();
-    let (place, ticket) = (exchange.place, exchange.ticket);
+    let (place, attempt_id) = (exchange.place, exchange.attempt_id);
     let (head, incoming) = exchange.answer.into_parts();
     let content = match tokio::time::timeout(ANSWER_LIMIT, body::read(incoming, ANSWER_BYTES)).await
     {
         Ok(Ok(content)) => content,
         _ => {
-            entry.routed(router::Event::Failed(ticket));
-            entry.suspect(suspects::Event::Ended { request });
+            entry.routed(router::Event::Failed(attempt_id));
+            entry.suspect(suspects::Event::Inconclusive { request });
             let reason = "the answer was cut before its end".into();
             return Err(FailedAttempt { place, failure: Failure::Lost, reason });
         }
     };
-    entry.suspect(suspects::Event::Answered { request });
+    entry.suspect(suspects::Event::Completed { request });
     if inference::says_not_started(head.status, &content) {
-        entry.routed(router::Event::Failed(ticket));
+        entry.routed(router::Event::Failed(attempt_id));
         let reason = "the service did not begin it".into();
         return Err(FailedAttempt { place, failure: Failure::NotSent, reason });
     }
-    entry.routed(router::Event::FirstToken(ticket));
-    entry.routed(router::Event::Ended(ticket));
+    entry.routed(router::Event::FirstToken(attempt_id));
+    entry.routed(router::Event::Ended(attempt_id));
     let media = head.headers.get(header::CONTENT_TYPE).and_then(|it| it.to_str().ok());
     if head.headers.get(headers::OUTCOME).is_some_and(|it| it == "unknown") {
         let reason = "the receiving zone does not know the outcome".into();
         return Err(FailedAttempt { place, failure: Failure::Lost, reason });
     }
     inference::pay_for_retries(entry, &facts.target, &place, head.status);
-    let recorded = Recorded {
+    let recorded = RecordedAnswer {
         status: head.status.as_u16(),
         content_type: media.unwrap_or("application/octet-stream").into(),
         body: Body::of(&content),
@@ -303,17 +303,18 @@
 }
 
 /// Status and media type of a recorded answer.
-fn head_of(answer: &Recorded) -> (StatusCode, Option<header::HeaderValue>) {
+fn head_of(answer: &RecordedAnswer) -> (StatusCode, Option<header::HeaderValue>) {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     (status, header::HeaderValue::from_str(&answer.content_type).ok())
 }
 
-fn recorded_answer(id: &RequestId, answer: &Recorded) -> Answer {
+fn recorded_answer(id: &RequestId, answer: &RecordedAnswer) -> Answer {
     let (status, media) = head_of(answer);
     let content = match &answer.body {
         Body::Whole(content) => Bytes::from(content.clone()),
-        Body::Omitted { size, print } => {
-            let note = serde_json::json!({ "omitted": { "bytes": size, "fingerprint": print } });
+        Body::Omitted { size, fingerprint } => {
+            let note =
+                serde_json::json!({ "omitted": { "bytes": size, "fingerprint": fingerprint } });
             Bytes::from(note.to_string())
         }
     };
--- a/src/protocol/message.rs
+++ b/src/protocol/message.rs
@@ -61,9 +61,9 @@
     /// Between instances that watch each other.
     Membership(membership::Message),
     /// Asks for the newest configuration.
-    Ask(follower::Ask),
+    Ask(follower::UpdateRequest),
     /// The answer to [`Message::Ask`].
-    Answer(Box<follower::Answer>),
+    Answer(Box<follower::UpdateResponse>),
     /// Between entry instances of a region: the demand of teams.
     Demand {
         /// The sender's demand.
@@ -94,7 +94,7 @@
         /// Region of the home group that records the bookings.
         home: RegionId,
         /// The bookings.
-        questions: Vec<home::Question>,
+        questions: Vec<home::OutcomeQuery>,
     },
 }
 
@@ -131,7 +131,7 @@
     /// The reply of a home group's state machine.
     Acted(home::Reply),
     /// What is known of a request.
-    Known(home::LookUp),
+    Known(home::RecordLookup),
     /// The accepted release notes, the newest last.
     History(Vec<configuration_group::Accepted>),
     /// The newest revision.
@@ -139,9 +139,9 @@
     /// The revision at which the home group was founded, if it was.
     Founding(Option<Revision>),
     /// The teams that are on their way to a new home region.
-    Moves(Vec<configuration_group::Move>),
+    Moves(Vec<configuration_group::HomeMove>),
     /// Where a revision is in force.
-    Force(configuration_group::Force),
+    Force(configuration_group::Rollout),
     /// A command of the publication group is in force.
     Accepted,
     /// The newest route table and the evacuated zones.
