--- a/crates/medlarlug-core/src/gateway/availability.rs
+++ b/crates/medlarlug-core/src/gateway/availability.rs
@@ -124,8 +124,8 @@
 ///
 /// let (mut tracker, id) = (AvailabilityTracker::default(), "engine-1".parse().unwrap());
 /// tracker.record_leaving(Time::ZERO, &id, Birth(1));
-/// assert_eq!(tracker.of(Time::ZERO, &id, Birth(1)), Availability::Leaving);
-/// assert_eq!(tracker.of(Time::ZERO, &id, Birth(2)), Availability::Available);
+/// assert_eq!(tracker.get(Time::ZERO, &id, Birth(1)), Availability::Leaving);
+/// assert_eq!(tracker.get(Time::ZERO, &id, Birth(2)), Availability::Available);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct AvailabilityTracker {
@@ -144,11 +144,11 @@
         jitter: f64,
     ) -> Option<Duration> {
         let until = backoff.end(now, jitter);
-        let before = self.of(now, id, birth);
+        let before = self.get(now, id, birth);
         self.record(now, id, birth, State::BackingOff { until }, |state| {
             state.extend_backoff(until)
         });
-        match (before, self.of(now, id, birth)) {
+        match (before, self.get(now, id, birth)) {
             (
                 Availability::BackingOff { remaining: before },
                 Availability::BackingOff { remaining: left },
@@ -160,14 +160,14 @@
 
     /// Records that an incarnation is leaving. Returns whether that was not known before.
     pub fn record_leaving(&mut self, now: Time, id: &UpstreamId, birth: Birth) -> bool {
-        let before = self.of(now, id, birth);
+        let before = self.get(now, id, birth);
         let leaving = State::Leaving { since: now };
         self.record(now, id, birth, leaving, |_| leaving);
         before != Availability::Leaving
     }
 
     /// Whether an incarnation accepts requests.
-    pub fn of(&self, now: Time, id: &UpstreamId, birth: Birth) -> Availability {
+    pub fn get(&self, now: Time, id: &UpstreamId, birth: Birth) -> Availability {
         let record = self.index_of(id).ok().map(|at| &self.records[at]);
         match record.filter(|it| it.birth >= birth && !it.state.is_expired(now)) {
             None => Availability::Available,
--- a/crates/medlarlug-core/src/gateway/cold.rs
+++ b/crates/medlarlug-core/src/gateway/cold.rs
@@ -157,24 +157,24 @@
 #[derive(Debug, Clone, Default)]
 pub struct ColdSendPacer {
     /// The earliest time of the next request, sorted by upstream.
-    next: Vec<(UpstreamId, Time)>,
+    next_send: Vec<(UpstreamId, Time)>,
 }
 
 impl ColdSendPacer {
     /// Whether a request may be sent now to an upstream that tolerates `rate` requests per second.
     pub fn may_send(&self, now: Time, upstream: &UpstreamId, rate: f64) -> bool {
-        let at = self.next.binary_search_by(|it| it.0.cmp(upstream));
-        rate > 0.0 && at.map_or(true, |at| self.next[at].1 <= now)
+        let at = self.next_send.binary_search_by(|it| it.0.cmp(upstream));
+        rate > 0.0 && at.map_or(true, |at| self.next_send[at].1 <= now)
     }
 
     /// Counts a request that is sent now.
     pub fn record_send(&mut self, now: Time, upstream: &UpstreamId, rate: f64) {
         let interval = Duration::from_secs_f64(1.0 / (rate * USED_RATE_SHARE).max(0.01));
-        self.next.retain(|it| it.1 > now);
+        self.next_send.retain(|it| it.1 > now);
         let next = now + interval;
-        match self.next.binary_search_by(|it| it.0.cmp(upstream)) {
-            Ok(at) => self.next[at].1 = next,
-            Err(at) => self.next.insert(at, (upstream.clone(), next)),
+        match self.next_send.binary_search_by(|it| it.0.cmp(upstream)) {
+            Ok(at) => self.next_send[at].1 = next,
+            Err(at) => self.next_send.insert(at, (upstream.clone(), next)),
         }
     }
 }
--- a/crates/medlarlug-core/src/gateway/contacts.rs
+++ b/crates/medlarlug-core/src/gateway/contacts.rs
@@ -159,7 +159,7 @@
     }
 
     /// Number of the last change.
-    pub fn change(&self) -> u64 {
+    pub fn last_change(&self) -> u64 {
         self.change
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Forgets instances without a heartbeat for longer than `limit`.
-    pub fn forget(&mut self, now: Time, limit: Duration) {
+    pub fn forget_expired(&mut self, now: Time, limit: Duration) {
         self.known.retain(|contact| now - contact.last_seen <= limit);
     }
 
--- a/crates/medlarlug-core/src/gateway/load_exchange.rs
+++ b/crates/medlarlug-core/src/gateway/load_exchange.rs
@@ -69,10 +69,10 @@
     /// let zone: medlarlug_core::ids::ZoneId = "riga-a".parse().unwrap();
     /// let member = |at| Member { id: format!("entry-{at}").parse().unwrap(), zone: zone.clone() };
     /// let few: Vec<Member> = (0..3).map(member).collect();
-    /// let plan = ExchangePlan::of(&few[0], &few);
+    /// let plan = ExchangePlan::new(&few[0], &few);
     /// assert_eq!((plan.role, plan.report_to.len()), (Role::Direct, 2));
     /// ```
-    pub fn of(own: &Member, region: &[Member]) -> ExchangePlan {
+    pub fn new(own: &Member, region: &[Member]) -> ExchangePlan {
         if region.len() <= MAX_DIRECT_INSTANCES {
             let others = region.iter().filter(|it| it.id != own.id);
             let report_to = others.map(|it| it.id.clone()).collect();
--- a/crates/medlarlug-core/src/gateway/named_limits.rs
+++ b/crates/medlarlug-core/src/gateway/named_limits.rs
@@ -117,7 +117,7 @@
 /// let (mut limits, id) = (UpstreamLimits::default(), "engine-1".parse().unwrap());
 /// let header = LimitHeader::Limit("1.7".parse().unwrap());
 /// limits.record_answer(Time::from_millis(20), Time::from_millis(10), &id, Birth(1), header);
-/// assert!(limits.of(&id, Birth(1)).is_some());
+/// assert!(limits.get(&id, Birth(1)).is_some());
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamLimits {
@@ -192,7 +192,7 @@
     }
 
     /// The limit of an incarnation, if it has one.
-    pub fn of(&self, id: &UpstreamId, birth: Birth) -> Option<UpstreamLimit> {
+    pub fn get(&self, id: &UpstreamId, birth: Birth) -> Option<UpstreamLimit> {
         let known = self.index_of(id).ok().map(|at| &self.known[at]);
         known.filter(|it| it.birth >= birth).map(|it| it.limit)
     }
--- a/crates/medlarlug-core/src/gateway/peer_loads.rs
+++ b/crates/medlarlug-core/src/gateway/peer_loads.rs
@@ -26,7 +26,7 @@
 
 impl UpstreamKey {
     /// The key of the upstream with `id`.
-    pub fn of(id: &UpstreamId) -> UpstreamKey {
+    pub fn new(id: &UpstreamId) -> UpstreamKey {
         // FNV-1a.
         let hash = id
             .as_str()
@@ -74,7 +74,7 @@
             && self.queued_tokens == 0
     }
 
-    fn plus(self, other: LoadReport) -> LoadReport {
+    fn saturating_add(self, other: LoadReport) -> LoadReport {
         LoadReport {
             upstream: self.upstream,
             running: self.running.saturating_add(other.running),
@@ -84,7 +84,7 @@
         }
     }
 
-    fn minus(self, other: LoadReport) -> LoadReport {
+    fn saturating_sub(self, other: LoadReport) -> LoadReport {
         LoadReport {
             upstream: self.upstream,
             running: self.running.saturating_sub(other.running),
@@ -178,7 +178,7 @@
             return (load_of(&self.total, upstream), instances);
         }
         let loads = fresh.map(|it| load_of(&it.loads, upstream));
-        (loads.fold(LoadReport::idle(upstream), LoadReport::plus), instances)
+        (loads.fold(LoadReport::idle(upstream), LoadReport::saturating_add), instances)
     }
 
     /// Drops reports older than [`REPORT_LIFETIME`].
@@ -217,7 +217,7 @@
     fn add(&mut self, loads: &[LoadReport]) {
         for load in loads {
             match self.total.binary_search_by(|it| it.upstream.cmp(&load.upstream)) {
-                Ok(at) => self.total[at] = self.total[at].plus(*load),
+                Ok(at) => self.total[at] = self.total[at].saturating_add(*load),
                 Err(at) => self.total.insert(at, *load),
             }
         }
@@ -226,7 +226,7 @@
     fn subtract(&mut self, loads: &[LoadReport]) {
         for load in loads {
             if let Ok(at) = self.total.binary_search_by(|it| it.upstream.cmp(&load.upstream)) {
-                self.total[at] = self.total[at].minus(*load);
+                self.total[at] = self.total[at].saturating_sub(*load);
             }
         }
         // Upstreams come and go; idle ones are not kept.
--- a/crates/medlarlug-core/src/gateway/placing.rs
+++ b/crates/medlarlug-core/src/gateway/placing.rs
@@ -167,7 +167,7 @@
 struct CachedPart {
     part: u64,
     tokens: u32,
-    used: Time,
+    last_used: Time,
 }
 
 #[derive(Debug, Clone)]
@@ -192,19 +192,19 @@
     value: u64,
     average: f64,
     /// When the average was last updated.
-    updated: Time,
+    updated_at: Time,
 }
 
 impl Averaged {
     fn average_at(&self, now: Time) -> f64 {
-        let age = (now - self.updated).as_secs_f64() / AVERAGING_TIME.as_secs_f64();
+        let age = (now - self.updated_at).as_secs_f64() / AVERAGING_TIME.as_secs_f64();
         let value = self.value as f64;
         value + (self.average - value) * (-age).exp()
     }
 
     fn change(&mut self, now: Time, value: u64) {
         self.average = self.average_at(now);
-        self.updated = now;
+        self.updated_at = now;
         self.value = value;
     }
 }
@@ -355,7 +355,7 @@
 
     /// The in-flight load of this instance at one upstream.
     pub fn report_of(&self, id: &UpstreamId) -> LoadReport {
-        let idle = || LoadReport::idle(UpstreamKey::of(id));
+        let idle = || LoadReport::idle(UpstreamKey::new(id));
         self.index_of(id).map_or_else(|_| idle(), |at| self.known[at].report())
     }
 
@@ -396,7 +396,7 @@
 
     /// The in-flight load of the other `peers` at an upstream.
     fn peer_load(&self, now: Time, id: &UpstreamId, peers: usize) -> PeerLoad {
-        let (reported, instances) = self.peers.load_at(now, UpstreamKey::of(id));
+        let (reported, instances) = self.peers.load_at(now, UpstreamKey::new(id));
         let mut load = PeerLoad {
             running: f64::from(reported.running),
             prefill_tokens: f64::from(reported.prefill_tokens),
@@ -513,7 +513,7 @@
     fn report(&self) -> LoadReport {
         let count = |value: u64| u32::try_from(value).unwrap_or(u32::MAX);
         LoadReport {
-            upstream: UpstreamKey::of(&self.id),
+            upstream: UpstreamKey::new(&self.id),
             running: count(self.running.value),
             prefill_tokens: count(self.prefill_tokens.value),
             urgent_tokens: count(self.urgent_tokens.value),
@@ -534,16 +534,16 @@
     fn cached_tokens(&self, now: Time, parts: &[PromptPart]) -> u32 {
         let is_cached = |part: &&PromptPart| {
             let at = self.cached.binary_search_by(|cached| cached.part.cmp(&part.id));
-            at.is_ok_and(|at| now - self.cached[at].used < CACHE_LIFETIME)
+            at.is_ok_and(|at| now - self.cached[at].last_used < CACHE_LIFETIME)
         };
         parts.iter().take_while(is_cached).map(|part| part.tokens).sum()
     }
 
     fn touch_part(&mut self, now: Time, part: PromptPart) {
         match self.cached.binary_search_by(|cached| cached.part.cmp(&part.id)) {
-            Ok(at) => self.cached[at].used = now,
+            Ok(at) => self.cached[at].last_used = now,
             Err(at) => {
-                let cached = CachedPart { part: part.id, tokens: part.tokens, used: now };
+                let cached = CachedPart { part: part.id, tokens: part.tokens, last_used: now };
                 self.cached.insert(at, cached);
             }
         }
@@ -554,10 +554,10 @@
         let limit = (memory as f64 * CACHE_SHARE) as u64;
         let mut total: u64 = self.cached.iter().map(|cached| u64::from(cached.tokens)).sum();
         while total > limit {
-            let oldest = self.cached.iter().enumerate().min_by_key(|(_, cached)| cached.used);
+            let oldest = self.cached.iter().enumerate().min_by_key(|(_, cached)| cached.last_used);
             let Some((at, _)) = oldest else { return };
             total -= u64::from(self.cached.remove(at).tokens);
         }
-        self.cached.retain(|cached| now - cached.used < CACHE_LIFETIME);
+        self.cached.retain(|cached| now - cached.last_used < CACHE_LIFETIME);
     }
 }
--- a/crates/medlarlug-core/src/gateway/upstreams.rs
+++ b/crates/medlarlug-core/src/gateway/upstreams.rs
@@ -357,7 +357,7 @@
     }
 
     /// Forgets upstreams without an announcement for [`FORGET_AFTER`], and returns their ids.
-    pub fn forget(&mut self, now: Time) -> Vec<UpstreamId> {
+    pub fn forget_expired(&mut self, now: Time) -> Vec<UpstreamId> {
         let is_old = |known: &KnownUpstream| now - known.announced_at > FORGET_AFTER;
         let ids = self.known.iter().filter(|it| is_old(it)).map(|it| it.upstream.id.clone());
         let ids = ids.collect();
@@ -376,12 +376,15 @@
     }
 
     /// The upstreams of `service`.
-    pub fn of<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a KnownUpstream> {
+    pub fn of_service<'a>(
+        &'a self,
+        service: &'a ServiceName,
+    ) -> impl Iterator<Item = &'a KnownUpstream> {
         self.known.iter().filter(move |known| known.upstream.service == *service)
     }
 
     /// Number of the last change.
-    pub fn change(&self) -> u64 {
+    pub fn last_change(&self) -> u64 {
         self.change
     }
 
@@ -391,7 +394,7 @@
     }
 
     /// Number of the last renewal.
-    pub fn renewal(&self) -> u64 {
+    pub fn last_renewal(&self) -> u64 {
         self.renewal
     }
 
--- a/crates/medlarlug-core/tests/testsuite/gateway/announcements.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/announcements.rs
@@ -122,8 +122,8 @@
     let mut upstreams = Upstreams::default();
     upstreams.announce(Time::ZERO, upstream("engine-1", 1), NOW);
 
-    let early = upstreams.forget(Time::from_millis(39_000));
-    let late = upstreams.forget(Time::from_millis(41_000));
+    let early = upstreams.forget_expired(Time::from_millis(39_000));
+    let late = upstreams.forget_expired(Time::from_millis(41_000));
 
     assert_eq!((early.len(), late.len()), (0, 1));
 }
--- a/crates/medlarlug-core/tests/testsuite/gateway/availability.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/availability.rs
@@ -31,7 +31,7 @@
     let granted = tracker.record_backoff(at(0), &engine(), Birth(1), backoff("0.25"), 0.0);
 
     assert_eq!(granted, Some(Duration::from_millis(250)));
-    assert_eq!(tracker.of(at(250), &engine(), Birth(1)), Availability::Available);
+    assert_eq!(tracker.get(at(250), &engine(), Birth(1)), Availability::Available);
 }
 
 #[test]
@@ -58,7 +58,7 @@
     let left = Duration::from_millis(4_900);
     assert_eq!(granted, None);
     assert_eq!(
-        tracker.of(at(100), &engine(), Birth(1)),
+        tracker.get(at(100), &engine(), Birth(1)),
         Availability::BackingOff { remaining: left }
     );
 }
@@ -68,7 +68,7 @@
     let mut tracker = AvailabilityTracker::default();
     tracker.record_leaving(at(0), &engine(), Birth(1));
 
-    let younger = tracker.of(at(0), &engine(), Birth(2));
+    let younger = tracker.get(at(0), &engine(), Birth(2));
     tracker.record_backoff(at(0), &engine(), Birth(2), backoff("2"), 0.0);
     // A late answer of the older incarnation.
     tracker.record_leaving(at(10), &engine(), Birth(1));
@@ -76,7 +76,7 @@
     let left = Duration::from_millis(1_990);
     assert_eq!(younger, Availability::Available);
     assert_eq!(
-        tracker.of(at(10), &engine(), Birth(2)),
+        tracker.get(at(10), &engine(), Birth(2)),
         Availability::BackingOff { remaining: left }
     );
 }
@@ -175,7 +175,7 @@
     }
 
     fn call(&mut self) {
-        let availability = self.tracker.of(at(self.now), &engine(), Birth(self.birth));
+        let availability = self.tracker.get(at(self.now), &engine(), Birth(self.birth));
         if !self.ignores_answers && availability != Availability::Available {
             return;
         }
--- a/crates/medlarlug-core/tests/testsuite/gateway/contacts.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/contacts.rs
@@ -72,7 +72,7 @@
 #[test]
 fn heartbeat_without_a_change_does_not_count_as_changed() {
     let mut contacts = two_regions();
-    let before = contacts.change();
+    let before = contacts.last_change();
 
     contacts.update(Time::from_millis(1), entry("e-1", "kochi"), ready(), NOW);
     let renewed = contacts.changed_since(before).count();
@@ -101,7 +101,7 @@
     let mut contacts = two_regions();
 
     let later = Time::from_millis(90_000);
-    contacts.forget(later, Duration::from_secs(60));
+    contacts.forget_expired(later, Duration::from_secs(60));
     contacts.update(later, entry("e-1", "kochi"), ready(), NOW);
 
     assert_eq!(contacts.live_entries(later).count(), 1);
--- a/crates/medlarlug-core/tests/testsuite/gateway/load_exchange.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/load_exchange.rs
@@ -21,7 +21,7 @@
 }
 
 fn load(upstream: &str, running: u32, prefill_tokens: u32) -> LoadReport {
-    let upstream = UpstreamKey::of(&upstream.parse().unwrap());
+    let upstream = UpstreamKey::new(&upstream.parse().unwrap());
     LoadReport { upstream, running, prefill_tokens, urgent_tokens: 0, queued_tokens: 0 }
 }
 
@@ -34,7 +34,7 @@
     let region = region(8);
 
     let plans: Vec<ExchangePlan> =
-        region.iter().map(|own| ExchangePlan::of(own, &region)).collect();
+        region.iter().map(|own| ExchangePlan::new(own, &region)).collect();
 
     assert!(plans.iter().all(|it| it.role == Role::Direct && it.report_to.len() == 7));
 }
@@ -44,7 +44,7 @@
     let region = region(75);
 
     for own in &region {
-        let plan = ExchangePlan::of(own, &region);
+        let plan = ExchangePlan::new(own, &region);
 
         let zone_of = |id: &InstanceId| &region.iter().find(|it| it.id == *id).unwrap().zone;
         assert!(plan.report_to.iter().all(|id| *zone_of(id) == own.zone));
@@ -59,7 +59,7 @@
 fn messages_of_a_round_grow_with_the_instances() {
     let messages = |instances: usize| {
         let region = region(instances);
-        let plans = region.iter().map(|own| ExchangePlan::of(own, &region));
+        let plans = region.iter().map(|own| ExchangePlan::new(own, &region));
         // A collector answers every instance of its zone in the same round.
         let messages = plans.map(|it| {
             let aggregates = if it.role == Role::Reporter { 1 } else { 0 };
@@ -78,7 +78,7 @@
     let mut reversed = all.clone();
     reversed.reverse();
 
-    let plans = [&all, &reversed].map(|region| ExchangePlan::of(&all[4], region));
+    let plans = [&all, &reversed].map(|region| ExchangePlan::new(&all[4], region));
 
     assert_eq!(plans[0], plans[1]);
 }
@@ -86,11 +86,12 @@
 #[test]
 fn other_collectors_stay_when_the_first_one_dies() {
     let all = region(30);
-    let reporter = all.iter().find(|it| ExchangePlan::of(it, &all).role == Role::Reporter).unwrap();
-    let before = ExchangePlan::of(reporter, &all);
+    let reporter =
+        all.iter().find(|it| ExchangePlan::new(it, &all).role == Role::Reporter).unwrap();
+    let before = ExchangePlan::new(reporter, &all);
 
     let left: Vec<Member> = all.iter().filter(|it| it.id != before.report_to[0]).cloned().collect();
-    let after = ExchangePlan::of(reporter, &left);
+    let after = ExchangePlan::new(reporter, &left);
 
     let stayed: Vec<_> =
         after.report_to.iter().filter(|it| before.report_to.contains(it)).collect();
@@ -104,7 +105,7 @@
     let own =
         |at: usize| vec![load("engine-1", 1 + at as u32, 100), load(&format!("e-{at}"), 1, 0)];
     let mut collectors: Vec<(ExchangePlan, usize, PeerLoads)> = (0..20)
-        .map(|at| (ExchangePlan::of(&region[at], &region), at, PeerLoads::default()))
+        .map(|at| (ExchangePlan::new(&region[at], &region), at, PeerLoads::default()))
         .filter(|it| it.0.role == Role::Collector { place: 0 })
         .collect();
 
@@ -139,7 +140,7 @@
         for other in (0..20).filter(|other| other != at && region[*other].zone == *zone) {
             let (instances, loads) =
                 peer_loads.aggregate(&sorted(own(*at)), |source| *source == peer(other));
-            let engine = UpstreamKey::of(&"engine-1".parse().unwrap());
+            let engine = UpstreamKey::new(&"engine-1".parse().unwrap());
             let running = loads.iter().find(|it| it.upstream == engine).unwrap().running;
             let all: u32 = (0..20).map(|at| 1 + at as u32).sum();
             assert_eq!((instances, running), (19, all - (1 + other as u32)));
@@ -156,7 +157,7 @@
 
 #[test]
 fn aggregate_of_a_collector_replaces_single_reports_and_vice_versa() {
-    let key = UpstreamKey::of(&"engine-1".parse().unwrap());
+    let key = UpstreamKey::new(&"engine-1".parse().unwrap());
     let mut peer_loads = PeerLoads::default();
 
     peer_loads.apply_report(Time::ZERO, peer(1), 1, vec![load("engine-1", 2, 0)]);
--- a/crates/medlarlug-core/tests/testsuite/gateway/named_limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/named_limits.rs
@@ -36,7 +36,7 @@
         limits.record_answer(at(200), at(90), &engine(), Birth(1), LimitHeader::Absent);
 
     assert!(!has_changed);
-    assert_eq!(limits.of(&engine(), Birth(1)), Some(limit("1.7")));
+    assert_eq!(limits.get(&engine(), Birth(1)), Some(limit("1.7")));
 }
 
 #[test]
@@ -47,7 +47,7 @@
         limits.record_answer(at(200), at(110), &engine(), Birth(1), LimitHeader::Absent);
 
     assert!(has_changed);
-    assert_eq!(limits.of(&engine(), Birth(1)), None);
+    assert_eq!(limits.get(&engine(), Birth(1)), None);
 }
 
 #[test]
@@ -55,22 +55,22 @@
     let mut limits = limited("2");
 
     limits.record_answer(at(200), at(90), &engine(), Birth(1), LimitHeader::Limit(limit("9")));
-    let after_higher = limits.of(&engine(), Birth(1));
+    let after_higher = limits.get(&engine(), Birth(1));
     limits.record_answer(at(210), at(90), &engine(), Birth(1), LimitHeader::Limit(limit("1")));
 
     assert_eq!(after_higher, Some(limit("2")));
-    assert_eq!(limits.of(&engine(), Birth(1)), Some(limit("1")));
+    assert_eq!(limits.get(&engine(), Birth(1)), Some(limit("1")));
 }
 
 #[test]
 fn limit_ends_with_its_incarnation() {
     let mut limits = limited("2");
 
-    assert_eq!(limits.of(&engine(), Birth(2)), None);
+    assert_eq!(limits.get(&engine(), Birth(2)), None);
     limits.record_answer(at(300), at(200), &engine(), Birth(2), LimitHeader::Limit(limit("5")));
     limits.record_answer(at(400), at(310), &engine(), Birth(1), LimitHeader::Absent);
 
-    assert_eq!(limits.of(&engine(), Birth(2)), Some(limit("5")));
+    assert_eq!(limits.get(&engine(), Birth(2)), Some(limit("5")));
 }
 
 #[test]
@@ -81,8 +81,8 @@
     limits.record_answer(at(300), at(200), &engine(), Birth(1), LimitHeader::Invalid);
     unknown.record_answer(at(300), at(200), &engine(), Birth(1), LimitHeader::Invalid);
 
-    assert_eq!(limits.of(&engine(), Birth(1)), Some(limit("2")));
-    assert_eq!(unknown.of(&engine(), Birth(1)), Some(UpstreamLimit::MIN));
+    assert_eq!(limits.get(&engine(), Birth(1)), Some(limit("2")));
+    assert_eq!(unknown.get(&engine(), Birth(1)), Some(UpstreamLimit::MIN));
 }
 
 #[test]
--- a/crates/medlarlug-core/tests/testsuite/gateway/placing.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/placing.rs
@@ -47,7 +47,7 @@
 /// A report without urgent tokens.
 fn load(upstream: &UpstreamId, running: u32, prefill_tokens: u32) -> LoadReport {
     LoadReport {
-        upstream: UpstreamKey::of(upstream),
+        upstream: UpstreamKey::new(upstream),
         running,
         prefill_tokens,
         urgent_tokens: 0,
--- a/crates/medlarlug-gateway/src/entry/choice.rs
+++ b/crates/medlarlug-gateway/src/entry/choice.rs
@@ -156,7 +156,7 @@
         let entries = OnceCell::new();
         let upstreams = self.upstreams.borrow();
         let usable: Vec<&KnownUpstream> = upstreams
-            .of(service)
+            .of_service(service)
             .filter(|known| !tried.contains(&known.upstream.id))
             .filter(|known| self.is_usable(now, known, spec.cold_rate, &entries))
             .collect();
@@ -190,7 +190,7 @@
     /// The availability of an upstream according to its answers.
     fn availability(&self, now: Time, known: &KnownUpstream) -> Availability {
         let KnownUpstream { upstream, .. } = known;
-        self.availabilities.borrow().of(now, &upstream.id, upstream.birth)
+        self.availabilities.borrow().get(now, &upstream.id, upstream.birth)
     }
 
     /// Time until the first of the region's upstreams of a service ends its backoff; `None` if no
@@ -200,7 +200,7 @@
         let settings = self.settings.borrow();
         let own = Some(&settings.info.region);
         let upstreams = self.upstreams.borrow();
-        let in_region = upstreams.of(service).filter(|known| {
+        let in_region = upstreams.of_service(service).filter(|known| {
             known.upstream.state == UpstreamState::Ready
                 && settings.region_of(&known.upstream.zone) == own
         });
@@ -339,7 +339,7 @@
     pub(super) fn upstreams_in(&self, region: &RegionId, service: &ServiceName) -> usize {
         let settings = self.settings.borrow();
         let upstreams = self.upstreams.borrow();
-        let ready = upstreams.of(service).filter(|known| {
+        let ready = upstreams.of_service(service).filter(|known| {
             known.upstream.state == UpstreamState::Ready
                 && settings.region_of(&known.upstream.zone) == Some(region)
         });
--- a/crates/medlarlug-gateway/src/entry/limited.rs
+++ b/crates/medlarlug-gateway/src/entry/limited.rs
@@ -139,7 +139,7 @@
         if !limits.record_answer(self.now(), sent, id, birth, header) {
             return;
         }
-        let limit = limits.of(id, birth);
+        let limit = limits.get(id, birth);
         match limit {
             Some(limit) => {
                 metrics::counter!(names::NAMED_LIMITS).increment(1);
@@ -157,14 +157,14 @@
     /// Whether the upstream has no limit, or a permit for it is available now.
     pub(super) fn is_permitted(&self, now: Time, known: &KnownUpstream) -> bool {
         let (id, birth) = (&known.upstream.id, known.upstream.birth);
-        self.limited.limits.borrow().of(id, birth).is_none()
+        self.limited.limits.borrow().get(id, birth).is_none()
             || self.limited.permits.borrow().has(now, id, birth)
     }
 
     /// Uses a permit for a request to an upstream with a limit. Returns the limit; `None` if there
     /// is none.
     pub(super) fn use_permit(&self, id: &UpstreamId, birth: Birth) -> Option<UpstreamLimit> {
-        let limit = self.limited.limits.borrow().of(id, birth)?;
+        let limit = self.limited.limits.borrow().get(id, birth)?;
         self.limited.permits.borrow_mut().take(self.now(), id, birth);
         Some(limit)
     }
@@ -205,13 +205,13 @@
         let Some(spec) = plan.table.service(&plan.service) else { return Vec::new() };
         let (now, entries) = (self.now(), OnceCell::new());
         let upstreams = self.upstreams.borrow();
-        let open = upstreams.of(&plan.service).filter(|known| {
+        let open = upstreams.of_service(&plan.service).filter(|known| {
             !plan.tried.upstreams.contains(&known.upstream.id)
                 && self.is_usable_with_permit(now, known, spec.cold_rate, &entries)
         });
         let limited = open.map(|known| &known.upstream).filter_map(|upstream| {
             let (id, birth) = (upstream.id.clone(), upstream.birth);
-            let limit = limits.of(&id, birth)?;
+            let limit = limits.get(&id, birth)?;
             Some(LimitedUpstream { id, birth, limit })
         });
         limited.collect()
@@ -235,7 +235,7 @@
                     tracing::debug!(%upstream, %from, "permit request ignored; this instance is not the allocator");
                     return;
                 }
-                let own = self.limited.limits.borrow().of(&upstream, birth);
+                let own = self.limited.limits.borrow().get(&upstream, birth);
                 let limit = own.map_or(limit, |own| if own < limit { own } else { limit });
                 let permit_request = PermitRequest { from, upstream, birth, calls };
                 self.limited.allocator.borrow_mut().request(
@@ -273,7 +273,7 @@
         let mut messages = Vec::new();
         for permit_request in permit_requests {
             let Some(limit) =
-                self.limited.limits.borrow().of(&permit_request.upstream, permit_request.birth)
+                self.limited.limits.borrow().get(&permit_request.upstream, permit_request.birth)
             else {
                 continue;
             };
--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -587,9 +587,9 @@
     loop {
         ticks.tick().await;
         let now = entry.now();
-        entry.contacts.borrow_mut().forget(now, CONTACT_EXPIRY);
+        entry.contacts.borrow_mut().forget_expired(now, CONTACT_EXPIRY);
         entry.expire_crashes();
-        for id in entry.upstreams.borrow_mut().forget(now) {
+        for id in entry.upstreams.borrow_mut().forget_expired(now) {
             entry.forget_limit(&id);
             tracing::info!(upstream = %id, "upstream expired");
         }
--- a/crates/medlarlug-gateway/src/keeper/loops.rs
+++ b/crates/medlarlug-gateway/src/keeper/loops.rs
@@ -94,8 +94,8 @@
     loop {
         ticks.tick().await;
         let now = keeper.now();
-        keeper.contacts.borrow_mut().forget(now, contacts::FORGET_AFTER);
-        for id in keeper.upstreams.borrow_mut().forget(now) {
+        keeper.contacts.borrow_mut().forget_expired(now, contacts::FORGET_AFTER);
+        for id in keeper.upstreams.borrow_mut().forget_expired(now) {
             tracing::info!(upstream = %id, silent_s = upstreams::FORGET_AFTER.as_secs(), "upstream expired");
         }
         keeper.facts.borrow_mut().expire(now);
--- a/crates/medlarlug-gateway/src/loads.rs
+++ b/crates/medlarlug-gateway/src/loads.rs
@@ -104,7 +104,7 @@
     pub(crate) fn report_at_once(&self, upstream: &UpstreamId) {
         insert_sorted(&mut self.changed.borrow_mut(), upstream.clone());
         self.has_changed.notify_one();
-        self.forward(UpstreamKey::of(upstream), true);
+        self.forward(UpstreamKey::new(upstream), true);
     }
 
     /// At a collector: queues the load of an upstream for forwarding; `is_own_zone` tells whether
@@ -133,7 +133,7 @@
     /// Assigns roles from the instances that are alive now.
     fn plan(&self, own: &Member, region: &[(Member, SocketAddr)]) {
         let members: Vec<Member> = region.iter().map(|it| it.0.clone()).collect();
-        let plan = ExchangePlan::of(own, &members);
+        let plan = ExchangePlan::new(own, &members);
         let addressed = |ids: &[InstanceId]| -> Vec<Peer> {
             let known = ids.iter().filter_map(|id| region.iter().find(|it| it.0.id == *id));
             known.map(|(member, address)| (member.id.clone(), *address)).collect()
--- a/crates/medlarlug-gateway/src/subscribers.rs
+++ b/crates/medlarlug-gateway/src/subscribers.rs
@@ -196,18 +196,18 @@
         // Other keepers receive the remaining upstreams from the keeper that those announced
         // themselves to.
         let is_forwarded = |known: &&KnownUpstream| !is_keeper || known.is_local;
-        if upstreams.change() > self.sent.upstreams {
+        if upstreams.last_change() > self.sent.upstreams {
             let changed = upstreams.changed_since(self.sent.upstreams).filter(is_forwarded);
             let with_ages = changed.map(|it| (it.upstream.clone(), millis(now - it.announced_at)));
             update.upstreams = with_ages.collect();
-            self.sent.upstreams = upstreams.change();
+            self.sent.upstreams = upstreams.last_change();
         }
-        if contacts.change() > self.sent.contacts {
+        if contacts.last_change() > self.sent.contacts {
             let changed = contacts.changed_since(self.sent.contacts);
             let with_ages =
                 changed.map(|it| (it.info.clone(), it.status.ready, millis(now - it.last_seen)));
             update.contacts = with_ages.collect();
-            self.sent.contacts = contacts.change();
+            self.sent.contacts = contacts.last_change();
         }
         if self.sent.head.as_ref() != Some(head) {
             update.head = Some(head.clone());
@@ -218,7 +218,7 @@
         if is_keeper {
             let renewed = upstreams.renewed_since(self.sent.renewals).filter(is_forwarded);
             update.renewals = renewed.map(|known| renewal(now, known)).collect();
-            self.sent.renewals = upstreams.renewal();
+            self.sent.renewals = upstreams.last_renewal();
         } else if self.is_primary {
             let is_due =
                 self.sent.heartbeats_sent.is_none_or(|sent| now - sent >= HEARTBEAT_INTERVAL);
