--- a/crates/medlarlug-core/src/membership/peers.rs
+++ b/crates/medlarlug-core/src/membership/peers.rs
@@ -26,8 +26,8 @@
     /// Whether it counts as alive, by its messages.
     pub state: PeerState,
     last_received: Time,
-    /// For an instance that was never seen: when a new connection was last requested, or the first
-    /// check.
+    /// For an instance that was never seen: when a new connection to it was last requested, or else
+    /// when it was first checked.
     last_reconnect: Option<Time>,
     digest_mismatches: u8,
 }
--- a/crates/medlarlug-core/src/membership/summary.rs
+++ b/crates/medlarlug-core/src/membership/summary.rs
@@ -128,5 +128,5 @@
     }
 }
 
-/// Queueing times that differ by no more than this count as equal.
+/// Queueing times that differ by no more than this many milliseconds count as equal.
 const MIN_DIFFERENCE_MS: u32 = 50;
--- a/crates/medlarlug-core/src/membership/timing.rs
+++ b/crates/medlarlug-core/src/membership/timing.rs
@@ -4,9 +4,9 @@
 
 /// Interval of [`Event::Tick`](super::Event::Tick).
 pub const TICK: Duration = Duration::from_millis(250);
-/// An upstream whose latest announcement is older gets no requests. Renewals are due every second.
-/// Users rely on a failed upstream getting no requests after three seconds, which leaves half a
-/// second for the update to reach other instances.
+/// Time after its latest announcement from which an upstream gets no requests. Renewals are due
+/// every second. Users rely on a failed upstream getting no requests after three seconds, which
+/// leaves half a second for the update to reach other instances.
 pub const UPSTREAM_LEASE: Duration = Duration::from_millis(2_500);
 /// Time for which the tombstone of an incarnation that left is kept.
 pub const TOMBSTONE_LIFETIME: Duration = Duration::from_secs(600);
@@ -21,8 +21,8 @@
 /// upstream announces itself to relays the renewals.
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(1_250);
 
-/// Shortest interval between two relayed renewals of one upstream. Of an upstream that renews every
-/// 500 ms every second renewal is relayed, and of one that renews every second each one.
+/// Shortest interval between two relayed renewals of one upstream. If the upstream renews every 500
+/// ms, every other renewal is relayed; if it renews every 1 s, all are.
 pub const RELAY_INTERVAL: Duration = Duration::from_millis(750);
 /// Most cache events of each kind that are collected for the next relayed renewal.
 pub const MAX_PENDING_CACHE_EVENTS: usize = 32;
--- a/crates/medlarlug-core/src/routing/route.rs
+++ b/crates/medlarlug-core/src/routing/route.rs
@@ -106,7 +106,7 @@
         retry_after: Duration,
     },
     /// The first token is predicted too late to meet the deadline safely.
-    #[error("the first token is predicted after {predicted:?}, too late for {deadline:?}")]
+    #[error("first token predicted after {predicted:?}, too late for the deadline of {deadline:?}")]
     Deadline {
         /// Predicted time to the first token.
         predicted: Duration,
--- a/src/coordination/entry/forward.rs
+++ b/src/coordination/entry/forward.rs
@@ -1,8 +1,9 @@
 //! Requests that cross from one zone to another.
 //!
-//! The sender wraps the call and the authorized's header in one postcard document, authenticated by
-//! the deployment key. The receiver serves it in its own zone or refuses it; what it received is a
-//! [`ForwardedRequest`](medlarlug_core::routing::ForwardedRequest), which can't be handed on.
+//! The sender encodes the call and the header of the forwarded request in one postcard document,
+//! authenticated by the deployment key. The receiver serves it in its own zone or refuses it; what
+//! it received is a [`ForwardedRequest`](medlarlug_core::routing::ForwardedRequest), which can't be
+//! forwarded again.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -102,7 +103,7 @@
     receivers
 }
 
-/// A authorized that brought no answer.
+/// A forwarded request that got no answer.
 pub enum Refused {
     /// The zone refused the request, or what became of it is not known.
     ByZone(FailedAttempt),
