--- a/crates/medlarlug-gateway/src/entry/attempt.rs
+++ b/crates/medlarlug-gateway/src/entry/attempt.rs
@@ -42,8 +42,7 @@
 /// Longest stream, in bytes: ten times the longest answer of the first deployments, which has 200
 /// events of 4 KB.
 const MAX_STREAM_BYTES: usize = 8 << 20;
-/// Priority of calls at engines whose route has a lower one than engines know; these support 0 to
-/// 9.
+/// Lowest priority that engines support, which is 0 to 9; routes with a lower one get this.
 const LOWEST_PRIORITY: u8 = 9;
 
 /// What all attempts of a call have in common.
--- a/crates/medlarlug-gateway/src/loads.rs
+++ b/crates/medlarlug-gateway/src/loads.rs
@@ -35,7 +35,7 @@
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(400);
 /// Time between two rounds in which a collector forwards changes: a fraction of the time in which
 /// an engine processes a long prompt.
-const FORWARD_PAUSE: Duration = Duration::from_millis(20);
+const FORWARD_INTERVAL: Duration = Duration::from_millis(20);
 /// Time for which a collector sends aggregates to an instance that requested them.
 const SUBSCRIPTION_LIFETIME: Duration = Duration::from_secs(1);
 /// Longest datagram, in bytes; below the usual packet size, so that it is not fragmented.
@@ -237,7 +237,7 @@
                 send_zone_aggregate(&entry, &socket, Some(&from_own_zone));
             }
         }
-        sleep(FORWARD_PAUSE).await;
+        sleep(FORWARD_INTERVAL).await;
     }
 }
 
