--- a/crates/medlarlug-core/src/gateway/availability.rs
+++ b/crates/medlarlug-core/src/gateway/availability.rs
@@ -25,7 +25,7 @@
 /// before.
 const LEAVING_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
-/// Time for which an upstream wants no requests, at most [a day](MAX_BACKOFF).
+/// Time for which an upstream wants no requests, at most 24 hours.
 ///
 /// ```
 /// use medlarlug_core::gateway::availability::Backoff;
@@ -151,9 +151,9 @@
         match (before, self.get(now, id, birth)) {
             (
                 Availability::BackingOff { remaining: before },
-                Availability::BackingOff { remaining: left },
-            ) => (left > before).then_some(left),
-            (_, Availability::BackingOff { remaining: left }) => Some(left),
+                Availability::BackingOff { remaining },
+            ) => (remaining > before).then_some(remaining),
+            (_, Availability::BackingOff { remaining }) => Some(remaining),
             _ => None,
         }
     }
--- a/crates/medlarlug-core/src/gateway/away.rs
+++ b/crates/medlarlug-core/src/gateway/away.rs
@@ -50,8 +50,8 @@
 pub fn predicted_cost(service: RemoteService, demand: &Demand) -> Duration {
     let queued_ms =
         service.pending_tokens as f64 / PREFILL_TOKENS_PER_MS / service.upstreams.max(1) as f64;
-    let recomputed = f64::from(demand.shared()) * UNCACHED_SHARE;
-    let own_tokens = f64::from(demand.prompt_tokens.saturating_sub(demand.shared()));
+    let recomputed = f64::from(demand.shared_tokens()) * UNCACHED_SHARE;
+    let own_tokens = f64::from(demand.prompt_tokens.saturating_sub(demand.shared_tokens()));
     let extra_ms = (own_tokens + recomputed - f64::from(REFERENCE_PROMPT_TOKENS)).max(0.0)
         / PREFILL_TOKENS_PER_MS;
     let delay_ms = recomputed * RECOMPUTE_WEIGHT / PREFILL_TOKENS_PER_MS;
--- a/crates/medlarlug-core/src/gateway/budget.rs
+++ b/crates/medlarlug-core/src/gateway/budget.rs
@@ -5,8 +5,8 @@
 //! itself, so this part of the sum holds whichever instances freeze, join or are cut off.
 //!
 //! The allowance is divided by the largest number of entry instances that were ever known, and an
-//! instance gets its share once its [`view`](super::view) has been complete. Half of
-//! the allowance is never granted.
+//! instance gets its share once its [`view`](super::view) has been complete. Half of the allowance
+//! is never granted.
 //!
 //! What an instance has spent is lost when it restarts. Its successor makes no retries until a
 //! window has passed, so that no window contains retries of both processes.
@@ -81,9 +81,9 @@
 
 /// Calls and retries of one service at this entry instance.
 ///
-/// Retries taken from the budget in one window may arrive up to [`MAX_DELIVERY_TIME`] later,
-/// together with those of the next window. Calls therefore count for a shorter time than a window,
-/// and retries for a longer one.
+/// Retries taken from the budget in one window may arrive up to a second later, together with those
+/// of the next window. Calls therefore count for a shorter time than a window, and retries for a
+/// longer one.
 #[derive(Debug, Clone, Default)]
 pub struct RetryWindow {
     calls: VecDeque<Time>,
@@ -110,11 +110,11 @@
     /// State of the budget as of the last change.
     pub fn balance(&self, bounds: RetryBounds, share: InstanceShare) -> Balance {
         let (calls, retries) = (self.calls.len(), self.retries.len());
-        let left = match share.overlaps_predecessor(bounds) {
+        let remaining = match share.overlaps_predecessor(bounds) {
             true => 0.0,
             false => bounds.ratio * calls as f64 + share.allowance(bounds) - retries as f64,
         };
-        Balance { calls, retries, remaining: left }
+        Balance { calls, retries, remaining }
     }
 
     fn trim(&mut self, now: Time, bounds: RetryBounds) {
--- a/crates/medlarlug-core/src/gateway/cold.rs
+++ b/crates/medlarlug-core/src/gateway/cold.rs
@@ -2,9 +2,9 @@
 //!
 //! The limit holds for all entry instances together. Instances that see the same peers agree on a
 //! single sender for each cold upstream, the instance with the highest rendezvous rank for it. It
-//! sends only while its [`view`](super::view) is settled. Behind a network partition,
-//! after a freeze or a start, and while keepers are down, a cold upstream gets no requests and
-//! becomes warm by itself.
+//! sends only while its [`view`](super::view) is settled. Behind a network partition, after a
+//! freeze or a start, and while keepers are down, a cold upstream gets no requests and becomes warm
+//! by itself.
 
 use std::time::Duration;
 
@@ -148,8 +148,8 @@
         let restored = before.zones.iter().filter(|zone| lacks(self.zones, zone));
         let evacuated = self.zones.iter().filter(|zone| lacks(before.zones, zone));
         let restored: Vec<ZoneId> = restored.cloned().collect();
-        let seen = (restored.len() + evacuated.count()) as u64;
-        (self.round.saturating_sub(before.round) <= seen).then_some(restored)
+        let visible_changes = (restored.len() + evacuated.count()) as u64;
+        (self.round.saturating_sub(before.round) <= visible_changes).then_some(restored)
     }
 }
 
--- a/crates/medlarlug-core/src/gateway/contacts.rs
+++ b/crates/medlarlug-core/src/gateway/contacts.rs
@@ -27,7 +27,7 @@
 /// What an instance says about itself when it connects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceInfo {
-    /// The id of the instance, which it keeps over restarts.
+    /// Id under which the other instances know it.
     pub id: InstanceId,
     /// Whether it is an entry instance or a keeper.
     #[serde(rename = "part")]
--- a/crates/medlarlug-core/src/gateway/load_exchange.rs
+++ b/crates/medlarlug-core/src/gateway/load_exchange.rs
@@ -29,7 +29,7 @@
 /// A live entry instance of the own region.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its id.
+    /// Id under which the other instances know it.
     pub id: InstanceId,
     /// The availability zone that it runs in.
     pub zone: ZoneId,
@@ -83,7 +83,7 @@
             Some(place) => Role::Collector { place },
             None => Role::Reporter,
         };
-        let sum_to = match role {
+        let aggregate_to = match role {
             Role::Collector { .. } => {
                 let mut zones: Vec<&ZoneId> = region.iter().map(|it| &it.zone).collect();
                 zones.sort();
@@ -96,7 +96,7 @@
         let mut report_to: Vec<InstanceId> =
             collectors.into_iter().filter(|it| *it != own.id).collect();
         report_to.sort_by_key(|it| rendezvous_rank(own.id.as_str(), it.as_str()));
-        ExchangePlan { role, report_to, aggregate_to: sum_to }
+        ExchangePlan { role, report_to, aggregate_to }
     }
 }
 
--- a/crates/medlarlug-core/src/gateway/mod.rs
+++ b/crates/medlarlug-core/src/gateway/mod.rs
@@ -7,14 +7,13 @@
 //!
 //! Upstreams announce themselves to the keepers, which forward the announcements to every entry
 //! instance. [`upstreams`] orders announcements by incarnation and sequence number. An entry
-//! instance picks an upstream by [`placing`], using the in-flight load that the other instances
-//! of its region report ([`load_exchange`], [`peer_loads`]). It limits requests to upstreams that
-//! have just started ([`cold`]), retries calls within the [`budget`] of their service, and
-//! avoids upstreams that [`health`] found broken. Where an upstream limits the requests of all
-//! instances together ([`named_limits`]), they share the limit through [`allotment`]. [`contacts`]
-//! tracks the instances of the system itself, and [`view`] tells whether an instance sees
-//! enough of the others to act on its share of a common limit. [`stall`] detects that a process was
-//! stalled.
+//! instance picks an upstream by [`placing`], using the in-flight load that the other instances of
+//! its region report ([`load_exchange`], [`peer_loads`]). It limits requests to upstreams that have
+//! just started ([`cold`]), retries calls within the [`budget`] of their service, and avoids
+//! upstreams that [`health`] found broken. Where an upstream limits the requests of all instances
+//! together ([`named_limits`]), they share the limit through [`allotment`]. [`contacts`] tracks the
+//! instances of the system itself, and [`view`] tells whether an instance sees enough of the others
+//! to act on its share of a common limit. [`stall`] detects that a process was stalled.
 
 pub mod allotment;
 pub mod availability;
--- a/crates/medlarlug-core/src/gateway/named_limits.rs
+++ b/crates/medlarlug-core/src/gateway/named_limits.rs
@@ -6,8 +6,8 @@
 //! limit ends the limit only if its request was sent after the limit was last named, and an answer
 //! to an older request can lower a limit but not raise it.
 //!
-//! Instances of a region notify each other of changes. [`allotment`](super::allotment) divides a limit
-//! among them.
+//! Instances of a region notify each other of changes. [`allotment`](super::allotment) divides a
+//! limit among them.
 
 use std::{fmt, str::FromStr};
 
@@ -19,7 +19,7 @@
 /// Lowest rate that is kept, in requests per second. An upstream that accepts none still gets this
 /// many, since only its answers show that the limit has ended.
 const MIN_RATE: f64 = 0.1;
-/// Highest rate that is kept, in requests per second; it has no effect in practice.
+/// Highest rate that is kept, in requests per second; a limit this high has no effect.
 const MAX_RATE: f64 = 1e6;
 /// Relative change of a limit from which on other instances are notified.
 const PUBLISH_THRESHOLD: f64 = 0.1;
--- a/crates/medlarlug-core/src/gateway/placing.rs
+++ b/crates/medlarlug-core/src/gateway/placing.rs
@@ -62,7 +62,7 @@
 
 impl Demand {
     /// Tokens of the parts that other prompts may share: all but the last part.
-    pub fn shared(&self) -> u32 {
+    pub fn shared_tokens(&self) -> u32 {
         self.parts.iter().rev().skip(1).map(|part| part.tokens).sum()
     }
 
--- a/crates/medlarlug-core/src/gateway/table.rs
+++ b/crates/medlarlug-core/src/gateway/table.rs
@@ -94,7 +94,7 @@
 /// A route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name of the route, for logs and metrics.
+    /// Name of the route, for log lines and error messages.
     pub name: SmolStr,
     /// Host that it serves, in lower case.
     pub host: SmolStr,
--- a/crates/medlarlug-core/src/gateway/upstreams.rs
+++ b/crates/medlarlug-core/src/gateway/upstreams.rs
@@ -37,7 +37,7 @@
 /// An announcement: what an upstream says about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// Id of the upstream, which it keeps over restarts.
+    /// Id of the upstream; a new incarnation may reuse it.
     pub id: UpstreamId,
     /// The service that it belongs to.
     pub service: ServiceName,
@@ -98,8 +98,8 @@
         self.announced_at = self.announced_at.max(announced_at);
     }
 
-    /// Time for which the upstream stays cold.
-    pub fn cold_left(&self, now: Time) -> Duration {
+    /// Time for which the upstream stays cold from `now` on.
+    pub fn cold_remaining(&self, now: Time) -> Duration {
         self.upstream.cold.saturating_sub(now - self.announced_at)
     }
 
@@ -333,7 +333,7 @@
         Effect::Changed
     }
 
-    /// Records that the present incarnation of `id` has left.
+    /// Records that the current incarnation of `id` has left.
     pub fn mark_gone(&mut self, id: &UpstreamId) -> Effect {
         let Ok(at) = self.index_of(id) else { return Effect::Ignored };
         let known = &mut self.known[at];
@@ -347,7 +347,8 @@
         Effect::Changed
     }
 
-    /// Records that an upstream has left. If the upstream is not known, its birth isn't either.
+    /// Records that an upstream has left, whatever its incarnation. An upstream that is not known
+    /// yet is added as gone, with an unknown birth.
     pub fn mark_unknown_gone(&mut self, now: Time, upstream: Upstream) -> Effect {
         if self.index_of(&upstream.id).is_ok() {
             return self.mark_gone(&upstream.id);
--- a/crates/medlarlug-core/tests/testsuite/gateway/announcements.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/announcements.rs
@@ -88,7 +88,7 @@
 
     let known = upstreams.get(&"engine-1".parse().unwrap()).unwrap();
     assert_eq!(effect, Effect::Changed);
-    assert_eq!(known.cold_left(Time::from_millis(2_200)), Duration::from_secs(2));
+    assert_eq!(known.cold_remaining(Time::from_millis(2_200)), Duration::from_secs(2));
 }
 
 #[test]
@@ -103,7 +103,7 @@
 
     let known = upstreams.get(&"engine-1".parse().unwrap()).unwrap();
     assert_eq!(effect, Effect::Renewed);
-    assert_eq!(known.cold_left(Time::from_millis(1_000)), Duration::from_secs(2));
+    assert_eq!(known.cold_remaining(Time::from_millis(1_000)), Duration::from_secs(2));
 }
 
 #[test]
