--- a/crates/medlarlug-core/src/home/attempt.rs
+++ b/crates/medlarlug-core/src/home/attempt.rs
@@ -1,12 +1,11 @@
 //! One attempt of an entry instance to carry out a booking.
 //!
-//! An [`Attempt`] is the owner's side of a booking: it proposes the intent to the home group,
-//! sends the call once, and records the outcome. It may be driven by messages that come late,
-//! twice or never: the call is sent at most once, on the first [`BeginReply::Started`], and never
-//! after the attempt has been given up.
+//! An [`Attempt`] runs in the process that owns the booking. It proposes the intent to the home group,
+//! sends the call once, and records the outcome. Messages may be late, duplicated or lost: the call is
+//! sent at most once, on the first [`BeginReply::Started`], and never after the attempt has timed out.
 //!
-//! The caller gets its answer once the outcome is recorded, or at the deadline. The attempt lives
-//! on until the home group knows how it ended; see [`Attempt::is_settled`].
+//! The caller is answered when the outcome is recorded, or at its deadline. The attempt continues until
+//! the home group has recorded how it ended; see [`Attempt::is_settled`].
 
 use crate::{
     home::{
@@ -16,98 +15,98 @@
     ids::{RegionId, RequestId, Revision},
 };
 
-/// An event for an [`Attempt`].
+/// Input to an [`Attempt`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The home group replied to a proposal of this attempt.
     Replied {
-        /// Step of the proposal.
+        /// Step of the proposal; replies to earlier steps are ignored.
         step: u32,
-        /// The reply.
+        /// Reply of the home group.
         reply: Reply,
     },
-    /// The upstream answered the call.
+    /// The upstream returned an answer to the call.
     Answered(RecordedAnswer),
-    /// The call was sent and its answer will not come any more.
+    /// The call was sent, and its answer can no longer be received.
     AnswerLost,
-    /// Not one byte of the call has left, and none will.
+    /// No byte of the call was sent, and none will be.
     NotSent,
     /// The caller's deadline has passed.
     Deadline,
-    /// Time has passed; unanswered proposals are made again.
+    /// Periodic timer; an unanswered proposal is sent again.
     Tick,
 }
 
-/// What an [`Attempt`] wants to be done.
+/// Action that an [`Attempt`] requests from the embedding process.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Propose an action to the home group of a region.
     Propose {
-        /// Step of the attempt; the reply has to carry it.
+        /// Step of the attempt; [`Event::Replied`] has to carry it.
         step: u32,
-        /// The region.
+        /// Region of the home group.
         home: RegionId,
-        /// The action.
+        /// Action to propose.
         action: Action,
     },
-    /// Send the call to the upstream, now and once.
+    /// Send the call to the upstream immediately, and only once.
     Send,
-    /// Answer the caller.
+    /// Answer the caller; emitted at most once.
     Answer(Answer),
 }
 
-/// The answer to the caller.
+/// Answer to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// The upstream's answer, now or when the booking was first made.
+    /// Answer of the upstream, to this request or to an earlier one with the same key.
     Done(RecordedAnswer),
-    /// Nothing was run for this request.
+    /// The call was not run for this request.
     NotRun(NotRun),
-    /// The booking may have run; it is not sent again.
+    /// The call may have run; it is not sent again.
     Unknown,
 }
 
-/// Why nothing was run.
+/// Reason for which the call was not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NotRun {
-    /// Another request with this key is under way.
+    /// Another request with this key is in progress.
     InProgress(RequestId),
-    /// The key was used for another content.
+    /// The key was already used for a call with another content.
     KeyReused(RequestId),
-    /// The team's home is this region; the caller's configuration is older than the home group's.
+    /// The team's home is this other region; this instance's configuration is older than the home group's.
     NotHome(RegionId),
-    /// This instance's configuration is older than this revision, at which the home group was
-    /// founded anew.
+    /// This instance's configuration is older than this revision, at which the home group was founded
+    /// again.
     StaleConfiguration(Revision),
-    /// The team's bookings have not arrived in its new home yet.
+    /// The team's new home group has not yet received the team's bookings.
     NotAdopted,
-    /// The home group keeps as many keys as it can.
+    /// The home group has reached its limit of stored keys.
     Full,
-    /// The home group did not answer in time, or has no state yet.
+    /// The home group did not answer in time, or is not founded yet.
     HomeUnavailable,
     /// The upstream could not be reached.
     UpstreamUnavailable,
-    /// This instance has been replaced.
+    /// A newer incarnation of this instance is running.
     Replaced,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum State {
-    /// The intent is proposed.
+    /// The intent is proposed to the home group.
     Proposed,
-    /// The call is sent; its answer is awaited.
+    /// The call is sent, and no answer has been received.
     Sent,
-    /// The answer came and is being recorded.
+    /// The answer is being recorded.
     Recording(RecordedAnswer),
-    /// The answer was lost and this is being recorded; it may still come.
-    Losing,
-    /// The loss is recorded; the answer may still come.
-    Lost,
-    /// Given up before the intent was known to be recorded; the call is never sent.
-    GivenUp,
-    /// Recorded, and never sent; the intent is being taken back.
+    /// The unknown outcome is being recorded; the answer may still arrive.
+    RecordingUnknown,
+    /// The unknown outcome is recorded; the answer may still arrive.
+    AwaitingLateAnswer,
+    /// The deadline passed before the intent was confirmed; the call is never sent.
+    TimedOut,
+    /// The intent was recorded but the call was not sent; the booking is being abandoned.
     Abandoning,
-    /// The home group knows the end.
+    /// The home group has recorded the end of the attempt, or refused to start it.
     Settled,
 }
 
@@ -153,24 +152,24 @@
 }
 
 impl Attempt {
-    /// Begins an attempt at the home group of `home`.
+    /// Creates an attempt that proposes `begin` to the home group of `home`.
     pub fn new(home: RegionId, begin: Begin, out: &mut Vec<Effect>) -> Attempt {
         let attempt = Attempt { home, begin, state: State::Proposed, step: 0, is_answered: false };
         attempt.propose(out);
         attempt
     }
 
-    /// Whether the attempt needs no further event; it can be dropped.
+    /// Whether the attempt needs no further events and can be dropped.
     pub fn is_settled(&self) -> bool {
         self.state == State::Settled
     }
 
-    /// Whether the call was sent and only a late answer is awaited.
+    /// Whether the unknown outcome is recorded and only a late answer could still change it.
     pub fn awaits_late_answer(&self) -> bool {
-        self.state == State::Lost
+        self.state == State::AwaitingLateAnswer
     }
 
-    /// Takes an event in and appends what is to be done to `out`.
+    /// Processes an event and appends the resulting effects to `out`.
     pub fn handle(&mut self, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Replied { step, reply } if step == self.step => self.on_reply(reply, out),
@@ -187,13 +186,13 @@
         match reply {
             Reply::Begin(reply) => self.on_begin_reply(reply, out),
             Reply::Moved(region) => self.on_moved(region, out),
-            // A group that no longer knows the booking has nothing to record.
+            // If the group no longer has the booking, there is nothing left to record.
             Reply::Ok | Reply::NoSuchBooking => self.on_recorded(out),
             _ => {}
         }
     }
 
-    /// Goes on to a state in which the home group has to be told something else.
+    /// Enters a state that requires another proposal to the home group.
     fn advance(&mut self, state: State, out: &mut Vec<Effect>) {
         self.state = state;
         self.step += 1;
@@ -206,26 +205,26 @@
                 self.state = State::Sent;
                 out.push(Effect::Send);
             }
-            (State::GivenUp, BeginReply::Started) => {
+            (State::TimedOut, BeginReply::Started) => {
                 self.advance(State::Abandoning, out);
             }
-            // The intent may have been handed over with the team's other bookings.
-            (State::GivenUp, BeginReply::NotHome(region)) => {
+            // The intent may have been transferred with the team's other bookings.
+            (State::TimedOut, BeginReply::NotHome(region)) => {
                 self.home = region;
                 self.advance(State::Abandoning, out);
             }
-            // The group may become able to answer before the deadline.
-            (State::Proposed | State::GivenUp, BeginReply::NotFounded) => {}
-            (State::Proposed | State::GivenUp, reply) => {
+            // The group may be founded before the deadline.
+            (State::Proposed | State::TimedOut, BeginReply::NotFounded) => {}
+            (State::Proposed | State::TimedOut, reply) => {
                 self.state = State::Settled;
-                self.answer(answer_of(reply), out);
+                self.answer(answer_for(reply), out);
             }
             _ => {}
         }
     }
 
     fn on_moved(&mut self, region: RegionId, out: &mut Vec<Effect>) {
-        if !matches!(self.state, State::Proposed | State::GivenUp | State::Settled)
+        if !matches!(self.state, State::Proposed | State::TimedOut | State::Settled)
             && self.home != region
         {
             self.home = region;
@@ -236,21 +235,21 @@
     fn on_recorded(&mut self, out: &mut Vec<Effect>) {
         match std::mem::replace(&mut self.state, State::Settled) {
             State::Recording(answer) => self.answer(Answer::Done(answer), out),
-            State::Losing => self.state = State::Lost,
+            State::RecordingUnknown => self.state = State::AwaitingLateAnswer,
             State::Abandoning | State::Settled => {}
             state => self.state = state,
         }
     }
 
     fn on_answer(&mut self, answer: RecordedAnswer, out: &mut Vec<Effect>) {
-        if matches!(self.state, State::Sent | State::Losing | State::Lost) {
+        if matches!(self.state, State::Sent | State::RecordingUnknown | State::AwaitingLateAnswer) {
             self.advance(State::Recording(answer), out);
         }
     }
 
     fn on_answer_lost(&mut self, out: &mut Vec<Effect>) {
         if self.state == State::Sent {
-            self.advance(State::Losing, out);
+            self.advance(State::RecordingUnknown, out);
             self.answer(Answer::Unknown, out);
         }
     }
@@ -265,7 +264,7 @@
     fn on_deadline(&mut self, out: &mut Vec<Effect>) {
         match &self.state {
             State::Proposed => {
-                self.state = State::GivenUp;
+                self.state = State::TimedOut;
                 self.answer(Answer::NotRun(NotRun::HomeUnavailable), out);
             }
             State::Sent => self.on_answer_lost(out),
@@ -284,23 +283,23 @@
         }
     }
 
-    /// Proposes what the home group has to be told in this state.
+    /// Proposes the action that the current state requires, if any.
     fn propose(&self, out: &mut Vec<Effect>) {
         let Begin { team, key, request, .. } = self.begin.clone();
         let action = match &self.state {
-            State::Proposed | State::GivenUp => Action::Begin(self.begin.clone()),
+            State::Proposed | State::TimedOut => Action::Begin(self.begin.clone()),
             State::Recording(answer) => {
                 Action::Finish { team, key, request, answer: answer.clone() }
             }
-            State::Losing => Action::MarkUnknown { team, key, request },
+            State::RecordingUnknown => Action::MarkUnknown { team, key, request },
             State::Abandoning => Action::Abandon { team, key, request },
-            State::Sent | State::Lost | State::Settled => return,
+            State::Sent | State::AwaitingLateAnswer | State::Settled => return,
         };
         out.push(Effect::Propose { step: self.step, home: self.home.clone(), action });
     }
 }
 
-fn answer_of(reply: BeginReply) -> Answer {
+fn answer_for(reply: BeginReply) -> Answer {
     let reason = match reply {
         BeginReply::Done { answer, .. } => return Answer::Done(answer),
         BeginReply::Unknown(_) => return Answer::Unknown,
--- a/crates/medlarlug-core/src/home/booking.rs
+++ b/crates/medlarlug-core/src/home/booking.rs
@@ -13,15 +13,16 @@
     replication::FormationId,
 };
 
-/// Longest booking key, in bytes.
+/// Maximum length of a booking key, in bytes.
 pub const MAX_KEY_BYTES: usize = 128;
 
-/// Longest answer body that is recorded, in bytes.
+/// Maximum size of an answer body that is recorded in full, in bytes.
 pub const MAX_BODY_BYTES: usize = 16 * 1024;
 
-/// Names one founding of a home group: the formation of its replication group, so that all leaders
-/// of one formation ask for the founding under one token, and a group that lost its state, or was
-/// rebuilt, asks under another.
+/// Identifies one founding of a home group.
+///
+/// The token is the formation id of the group's replication group. All leaders of one formation therefore
+/// request the founding with the same token, and a group that lost its state or was rebuilt uses another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FoundingToken(pub u128);
 
@@ -31,24 +32,25 @@
     }
 }
 
-/// A text that is no booking key.
+/// Reason for which a text is not a valid booking key.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BookingKeyError {
     /// The key is empty or too long.
-    #[error("the key has {length} bytes; a key has 1 to {MAX_KEY_BYTES}")]
+    #[error("idempotency key has {length} bytes; expected 1 to {MAX_KEY_BYTES}")]
     Length {
-        /// Length of the refused text, in bytes.
+        /// Length of the text, in bytes.
         length: usize,
     },
-    /// The key holds a character that is not visible ASCII.
-    #[error("a key consists of visible ASCII characters")]
+    /// The key contains a character that is not visible ASCII.
+    #[error("idempotency key contains a character that is not visible ASCII")]
     Character,
 }
 
-/// The key that a caller gives to a call that must not be repeated.
+/// Idempotency key that a caller assigns to a call that must run at most once.
 ///
-/// A key may begin with the configuration revision that the caller was told when it made the key,
-/// followed by `~`. After a home group lost its state, this proves that a key was made afterwards.
+/// A key may start with the configuration revision that the gateway had reported to the caller when the
+/// key was created, followed by `~`. After a home group has lost its state, the revision proves that the
+/// key was created after the loss.
 ///
 /// ```
 /// use medlarlug_core::{home::BookingKey, ids::Revision};
@@ -67,7 +69,7 @@
         &self.0
     }
 
-    /// The revision at which the key was made, if it names one.
+    /// Configuration revision at which the key was created, if the key contains one.
     pub fn creation_revision(&self) -> Option<Revision> {
         let (number, _) = self.0.split_once('~')?;
         number.parse().ok()
@@ -108,21 +110,21 @@
     }
 }
 
-/// The only process that may send a booking to an upstream.
+/// Process that holds a role exclusively: the right to send a booking to an upstream, or a lease.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Owner {
-    /// Entry instance.
+    /// Instance that the process belongs to.
     pub instance: InstanceId,
-    /// Its incarnation.
+    /// Incarnation of the instance; a restarted instance is another owner.
     pub incarnation: Incarnation,
 }
 
-/// Body of a recorded answer.
+/// Body of an answer, as recorded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// The whole body, [`MAX_BODY_BYTES`] at most.
+    /// The complete body, at most [`MAX_BODY_BYTES`] long.
     Whole(Vec<u8>),
-    /// The body was too large to record or has been dropped to save space.
+    /// The body was too large to record, or was dropped later to save space.
     Omitted {
         /// Size of the body, in bytes.
         size: u64,
@@ -133,7 +135,8 @@
 }
 
 impl Body {
-    /// Records `bytes` if they are small enough, else their size and fingerprint.
+    /// Records `bytes` in full if they are at most [`MAX_BODY_BYTES`] long, otherwise only their size and
+    /// fingerprint.
     ///
     /// ```
     /// use medlarlug_core::home::Body;
@@ -147,72 +150,74 @@
         Body::omitted(bytes)
     }
 
-    /// The size and fingerprint of `bytes`.
+    /// Records only the size and fingerprint of `bytes`.
     pub fn omitted(bytes: &[u8]) -> Body {
         Body::Omitted { size: bytes.len() as u64, fingerprint: Fingerprint::of(bytes) }
     }
 }
 
-/// The answer of a plain service to a booking.
+/// Answer of a plain service to a booking.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Value of `Content-Type`.
+    /// Value of the `Content-Type` header.
     pub content_type: SmolStr,
-    /// Body.
+    /// Body, or its size and fingerprint if it is not kept.
     pub body: Body,
 }
 
-/// Where a booking stands.
+/// State in the life cycle of a booking.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BookingState {
-    /// Its owner may be sending it.
+    /// The owner may be sending the call or waiting for its answer.
     Open(Owner),
-    /// Its owner gave it up without sending; the key may be begun again.
+    /// The owner abandoned the booking without sending the call. Another request may use the key.
     Abandoned,
-    /// It ended with this answer.
+    /// The upstream returned this answer.
     Done(RecordedAnswer),
-    /// It may or may not have run and is never sent again.
+    /// The call may or may not have run. It is never sent again.
     Unknown,
 }
 
-/// One recorded booking.
+/// Record of one booking.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Booking {
-    /// The caller's key.
+    /// Key that the caller assigned.
     pub key: BookingKey,
     /// Fingerprint of the call: method, path and body.
     pub content: Fingerprint,
-    /// The request under which it was begun.
+    /// Request that started the booking.
     pub request: RequestId,
-    /// The service, if it can be asked about the outcome.
+    /// Service that can be queried for the outcome, if there is one.
     #[serde(rename = "askable")]
     pub queryable_service: Option<ServiceId>,
-    /// Where it stands.
+    /// State that the booking reached at `since`.
     pub state: BookingState,
-    /// Whether the group may have forgotten that this request was given up and the key begun again
-    /// by another one. Giving it up then frees nothing.
+    /// Whether the group may have lost the information that this request abandoned the booking and that
+    /// another request then used the key. If set, a command to abandon the booking does not free the key.
     pub is_doubtful: bool,
-    /// Logical time at which it was begun or ended, in microseconds; its age in a [`Handover`].
+    /// Logical time at which the booking was started or ended, in microseconds. In a [`Handover`], the
+    /// time since then.
     pub since: u64,
 }
 
-/// A booking of unknown outcome that its service can be asked about.
+/// Query to a service for the outcome of a booking whose outcome is unknown.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeQuery {
-    /// Whose booking it is.
+    /// Team that owns the booking.
     pub team: TeamId,
-    /// Its key.
+    /// Key of the booking.
     pub key: BookingKey,
-    /// The request that was sent to the service.
+    /// Request that was sent to the service.
     pub request: RequestId,
-    /// The service.
+    /// Service to query.
     pub service: ServiceId,
 }
 
 impl OutcomeQuery {
-    /// Whether upstreams in `region` may be asked: the request might have gone on there.
+    /// Whether the residency rules of the team and of the service let the query be sent to upstreams in
+    /// `region`; a draining service may still be queried.
     pub fn is_permitted_in(&self, configuration: &Configuration, region: &RegionId) -> bool {
         let key = ItemKey::Service(self.service.clone());
         let team = configuration.team(&self.team);
@@ -220,35 +225,36 @@
     }
 }
 
-/// Keys that a group may have forgotten: unless they are known, they are answered as unknown.
+/// Keys whose bookings the group may have lost. A call with such a key that the group has no record of is
+/// answered as unknown and is not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateLoss {
-    /// Keys made at this revision or later are not concerned.
+    /// Keys created at this revision or later are not affected.
     pub before: Revision,
-    /// Logical time at which every forgotten key has outlived its retention, in microseconds;
-    /// the time left until then in a [`Handover`].
+    /// Logical time at which the retention period of every lost key has expired, in microseconds. In a
+    /// [`Handover`], the time until then.
     pub until: u64,
 }
 
-/// All bookings of one team, on their way from its former home group to its new one.
+/// All bookings of one team, in transfer from its former home group to its new one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handover {
-    /// The team.
+    /// Team whose home region changed.
     pub team: TeamId,
-    /// Revision at which the team's home was changed.
+    /// Revision that changed the team's home region.
     pub epoch: Revision,
-    /// Which keys may have been used without being listed, if any.
+    /// Keys that may have been used although `bookings` does not list them, if any.
     pub state_loss: Option<StateLoss>,
-    /// Its bookings, sorted by key; their ages count from the handover.
+    /// Bookings of the team, sorted by key. Their `since` is the age at the time of the transfer.
     pub bookings: Vec<Booking>,
 }
 
 impl Handover {
-    /// Leaves only what is certain when the same bookings may have been adopted, and gone on,
-    /// before: the outcomes.
+    /// Removes all bookings except those with an answer, for a group that may have adopted the same
+    /// bookings, and continued them, before it lost its state.
     ///
-    /// A booking that has not ended here may have been abandoned and begun again since then, so
-    /// a late command of its owner must not find it.
+    /// A booking that has not ended in this handover may have been abandoned and its key used again since
+    /// then, so a late command of its owner must not find the booking.
     pub(crate) fn retain_outcomes(&mut self) {
         self.bookings.retain(|it| matches!(it.state, BookingState::Done(_)));
     }
--- a/crates/medlarlug-core/src/home/bookings.rs
+++ b/crates/medlarlug-core/src/home/bookings.rs
@@ -1,4 +1,4 @@
-//! The bookings of all teams.
+//! Storage of the bookings of all teams.
 
 use std::collections::VecDeque;
 
@@ -10,127 +10,128 @@
             Booking, BookingKey, BookingState, OutcomeQuery, Owner, RecordedAnswer, StateLoss,
         },
         command::{Begin, BeginReply, Reply},
-        retention::whole_size,
+        retention::recorded_size,
     },
     ids::{Incarnation, InstanceId, RegionId, RequestId, Revision, TeamId},
 };
 
-/// Keys that are kept for one team; a new booking beyond them is refused.
+/// Maximum number of stored bookings of one team; further ones are refused.
 pub const MAX_BOOKINGS_PER_TEAM: usize = 16_384;
 
-/// Keys that are kept for all teams; a new booking beyond them is refused.
+/// Maximum number of stored bookings of all teams; further ones are refused.
 pub const MAX_BOOKINGS: usize = 262_144;
 
 /// Whether the group holds the bookings of a team.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) enum Hold {
-    /// It does, by the home change of this revision.
+pub(super) enum TeamStatus {
+    /// It does, since the home change of this revision.
     Held(Revision),
-    /// Handed over to another region by the home change of this revision.
+    /// The bookings are transferred to another region by the home change of this revision.
     Sealed { to: RegionId, epoch: Revision },
 }
 
 /// The bookings of one team, sorted by key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct TeamBook {
+pub(super) struct TeamBookings {
     pub(super) team: TeamId,
-    pub(super) hold: Hold,
+    #[serde(rename = "hold")]
+    pub(super) status: TeamStatus,
     pub(super) state_loss: Option<StateLoss>,
     pub(super) bookings: Vec<Booking>,
 }
 
-impl TeamBook {
-    /// Revision since which the group holds the team.
+impl TeamBookings {
+    /// Revision of the home change since which the group holds the team; zero if it does not.
     fn held_since(&self) -> Revision {
-        match self.hold {
-            Hold::Held(epoch) => epoch,
-            Hold::Sealed { .. } => Revision(0),
+        match self.status {
+            TeamStatus::Held(epoch) => epoch,
+            TeamStatus::Sealed { .. } => Revision(0),
         }
     }
 }
 
-/// Names a booking whose state was reached at a logical time.
+/// Refers to a booking that ended at a logical time; invalid once the booking has changed again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Mark {
+pub(super) struct EndMark {
     pub(super) at: u64,
     pub(super) team: TeamId,
     pub(super) key: BookingKey,
 }
 
-/// Why the group takes no booking of a team.
+/// Reason for which the group accepts no booking of a team.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum NotHeld {
+enum TeamNotHeld {
     NotAdopted,
-    Elsewhere(RegionId),
+    Moved(RegionId),
 }
 
-impl From<NotHeld> for BeginReply {
-    fn from(reason: NotHeld) -> BeginReply {
+impl From<TeamNotHeld> for BeginReply {
+    fn from(reason: TeamNotHeld) -> BeginReply {
         match reason {
-            NotHeld::NotAdopted => BeginReply::NotAdopted,
-            NotHeld::Elsewhere(region) => BeginReply::NotHome(region),
+            TeamNotHeld::NotAdopted => BeginReply::NotAdopted,
+            TeamNotHeld::Moved(region) => BeginReply::NotHome(region),
         }
     }
 }
 
-/// Why a command finds no booking.
+/// Reason for which the booking of a command is not found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Absent {
+enum LookupError {
     NoSuchBooking,
     NotAdopted,
     Moved(RegionId),
 }
 
-impl From<Absent> for Reply {
-    fn from(reason: Absent) -> Reply {
+impl From<LookupError> for Reply {
+    fn from(reason: LookupError) -> Reply {
         match reason {
-            Absent::NoSuchBooking => Reply::NoSuchBooking,
-            Absent::NotAdopted => Reply::NotAdopted,
-            Absent::Moved(region) => Reply::Moved(region),
+            LookupError::NoSuchBooking => Reply::NoSuchBooking,
+            LookupError::NotAdopted => Reply::NotAdopted,
+            LookupError::Moved(region) => Reply::Moved(region),
         }
     }
 }
 
-/// The bookings of all teams.
+/// Bookings of all teams, sorted by team.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Bookings {
-    pub(super) books: Vec<TeamBook>,
-    /// Ended bookings in the order of their end; a mark is void once its booking has changed.
-    pub(super) ended: VecDeque<Mark>,
-    /// Ended bookings with a whole body, in the order of their end.
-    pub(super) bodies: VecDeque<Mark>,
+    #[serde(rename = "books")]
+    pub(super) teams: Vec<TeamBookings>,
+    /// Ended bookings, oldest first.
+    pub(super) ended: VecDeque<EndMark>,
+    /// Ended bookings whose answer body is recorded in full, oldest first.
+    pub(super) bodies: VecDeque<EndMark>,
     pub(super) count: usize,
     pub(super) body_bytes: usize,
 }
 
 impl Bookings {
-    /// Number of keys that are kept.
     pub(crate) fn count(&self) -> usize {
         self.count
     }
 
-    /// Revision since which `team` is held, if it is.
+    /// Revision of the home change since which the group holds `team`, if it does.
     pub(crate) fn held_since(&self, team: &TeamId) -> Option<Revision> {
-        match self.books[self.find_book(team).ok()?].hold {
-            Hold::Held(epoch) => Some(epoch),
-            Hold::Sealed { .. } => None,
+        match self.teams[self.find_team(team).ok()?].status {
+            TeamStatus::Held(epoch) => Some(epoch),
+            TeamStatus::Sealed { .. } => None,
         }
     }
 
     pub(crate) fn find(&self, team: &TeamId, key: &BookingKey) -> Option<&Booking> {
-        let book = &self.books[self.find_book(team).ok()?];
-        let found = book.bookings.binary_search_by(|it| it.key.cmp(key)).ok()?;
-        Some(&book.bookings[found])
+        let entry = &self.teams[self.find_team(team).ok()?];
+        let found = entry.bookings.binary_search_by(|it| it.key.cmp(key)).ok()?;
+        Some(&entry.bookings[found])
     }
 
-    /// Bookings of unknown outcome: what a plain service can be asked about.
+    /// Bookings of unknown outcome of all held teams.
     pub(crate) fn unknown(&self) -> impl Iterator<Item = (&TeamId, &Booking)> {
-        let held = self.books.iter().filter(|it| matches!(it.hold, Hold::Held(_)));
-        held.flat_map(|book| book.bookings.iter().map(|it| (&book.team, it)))
+        let held = self.teams.iter().filter(|it| matches!(it.status, TeamStatus::Held(_)));
+        held.flat_map(|entry| entry.bookings.iter().map(|it| (&entry.team, it)))
             .filter(|(_, it)| it.state == BookingState::Unknown)
     }
 
-    /// Questions about the bookings whose outcome is unknown since `since` or later.
+    /// Queries for the bookings whose outcome became unknown at the logical time `since` or later.
     pub(crate) fn outcome_queries(&self, since: u64) -> impl Iterator<Item = OutcomeQuery> {
         self.unknown().filter(move |(_, it)| it.since >= since).filter_map(|(team, it)| {
             let (key, request) = (it.key.clone(), it.request.clone());
@@ -143,64 +144,64 @@
         })
     }
 
-    /// Owners of open bookings, sorted, each once.
+    /// Owners of open bookings, sorted and without duplicates.
     pub(crate) fn open_owners(&self) -> Vec<Owner> {
-        let held = self.books.iter().filter(|it| matches!(it.hold, Hold::Held(_)));
+        let held = self.teams.iter().filter(|it| matches!(it.status, TeamStatus::Held(_)));
         let owner = |it: &Booking| match &it.state {
             BookingState::Open(owner) => Some(owner.clone()),
             _ => None,
         };
         let mut owners: Vec<Owner> =
-            held.flat_map(|book| book.bookings.iter().filter_map(owner)).collect();
+            held.flat_map(|entry| entry.bookings.iter().filter_map(owner)).collect();
         owners.sort_by(|a, b| (&a.instance, a.incarnation).cmp(&(&b.instance, b.incarnation)));
         owners.dedup();
         owners
     }
 
-    /// Records the intent to send a booking, unless the key was used.
+    /// Records the intent to send a booking, unless its key was already used.
     pub(crate) fn begin(
         &mut self,
         clock: u64,
         begin: Begin,
         state_loss: Option<StateLoss>,
     ) -> BeginReply {
-        let place = match self.book_for(&begin) {
-            Ok(place) => place,
+        let index = match self.find_or_insert_team(&begin) {
+            Ok(index) => index,
             Err(reason) => return reason.into(),
         };
         let is_full = self.count >= MAX_BOOKINGS;
-        let book = &mut self.books[place];
-        let group = state_loss.filter(|it| book.held_since() < it.before);
-        let found = match book.bookings.binary_search_by(|it| it.key.cmp(&begin.key)) {
+        let entry = &mut self.teams[index];
+        let group_loss = state_loss.filter(|it| entry.held_since() < it.before);
+        let found = match entry.bookings.binary_search_by(|it| it.key.cmp(&begin.key)) {
             Ok(found) => {
-                let booking = &mut book.bookings[found];
+                let booking = &mut entry.bookings[found];
                 if booking.state != BookingState::Abandoned || booking.request == begin.request {
-                    return known(booking, &begin);
+                    return reply_for_used_key(booking, &begin);
                 }
-                *booking = open(clock, begin);
+                *booking = new_booking(clock, begin);
                 return BeginReply::Started;
             }
             Err(found) => found,
         };
-        let forgets = |it: &StateLoss| {
+        let may_have_lost = |it: &StateLoss| {
             it.until > clock
                 && begin
                     .key
                     .creation_revision()
                     .is_none_or(|creation_revision| creation_revision < it.before)
         };
-        if group.iter().chain(&book.state_loss).any(forgets) {
+        if group_loss.iter().chain(&entry.state_loss).any(may_have_lost) {
             return BeginReply::Unknown(None);
         }
-        if is_full || book.bookings.len() >= MAX_BOOKINGS_PER_TEAM {
+        if is_full || entry.bookings.len() >= MAX_BOOKINGS_PER_TEAM {
             return BeginReply::Full;
         }
-        book.bookings.insert(found, open(clock, begin));
+        entry.bookings.insert(found, new_booking(clock, begin));
         self.count += 1;
         BeginReply::Started
     }
 
-    /// Ends a booking with the answer of the upstream.
+    /// Records the answer of the upstream to a booking.
     pub(crate) fn finish(
         &mut self,
         clock: u64,
@@ -208,7 +209,7 @@
         request: &RequestId,
         answer: RecordedAnswer,
     ) -> Reply {
-        let booking = match self.held(&team, &key, request) {
+        let booking = match self.find_mut(&team, &key, request) {
             Ok(booking) => booking,
             Err(reason) => return reason.into(),
         };
@@ -217,18 +218,18 @@
             BookingState::Abandoned => return Reply::NoSuchBooking,
             BookingState::Open(_) | BookingState::Unknown => {}
         }
-        let size = whole_size(&answer.body);
+        let size = recorded_size(&answer.body);
         booking.state = BookingState::Done(answer);
         booking.since = clock;
         self.mark_ended(clock, team, key, size);
         Reply::Ok
     }
 
-    /// Gives up a booking that was not sent.
+    /// Abandons a booking that was not sent, so that its key can be used again.
     pub(crate) fn abandon(
         &mut self,
         clock: u64,
-        place: (TeamId, BookingKey),
+        id: (TeamId, BookingKey),
         request: &RequestId,
     ) -> Reply {
         let check = |booking: &Booking| match booking.state {
@@ -237,14 +238,14 @@
             BookingState::Open(_) | BookingState::Unknown if booking.is_doubtful => Err(Reply::Ok),
             BookingState::Open(_) | BookingState::Unknown => Ok(BookingState::Abandoned),
         };
-        self.end_without_answer(clock, place, request, check)
+        self.end_without_answer(clock, id, request, check)
     }
 
-    /// Notes that the owner does not know whether a booking ran.
-    pub(crate) fn lose(
+    /// Records that the outcome of a booking is unknown.
+    pub(crate) fn mark_unknown(
         &mut self,
         clock: u64,
-        place: (TeamId, BookingKey),
+        id: (TeamId, BookingKey),
         request: &RequestId,
     ) -> Reply {
         let check = |booking: &Booking| match booking.state {
@@ -252,10 +253,10 @@
             BookingState::Unknown | BookingState::Done(_) => Err(Reply::Ok),
             BookingState::Abandoned => Err(Reply::NoSuchBooking),
         };
-        self.end_without_answer(clock, place, request, check)
+        self.end_without_answer(clock, id, request, check)
     }
 
-    /// Moves a booking to the state that `check` gives, unless it replies at once.
+    /// Sets a booking to the state that `check` returns, or returns the reply that `check` fails with.
     fn end_without_answer(
         &mut self,
         clock: u64,
@@ -263,7 +264,7 @@
         request: &RequestId,
         check: impl FnOnce(&Booking) -> Result<BookingState, Reply>,
     ) -> Reply {
-        let booking = match self.held(&team, &key, request) {
+        let booking = match self.find_mut(&team, &key, request) {
             Ok(booking) => booking,
             Err(reason) => return reason.into(),
         };
@@ -276,114 +277,119 @@
         Reply::Ok
     }
 
-    /// Ends a booking of unknown outcome with an answer that the plain service gave later.
-    pub(crate) fn settle(
+    /// Records the answer that a plain service returned to a query for an unknown outcome.
+    pub(crate) fn resolve(
         &mut self,
         clock: u64,
         (team, key): (TeamId, BookingKey),
         request: &RequestId,
         answer: RecordedAnswer,
     ) -> Reply {
-        match self.held(&team, &key, request) {
+        match self.find_mut(&team, &key, request) {
             Ok(booking) if matches!(booking.state, BookingState::Open(_)) => Reply::NoSuchBooking,
             Ok(_) => self.finish(clock, (team, key), request, answer),
             Err(reason) => reason.into(),
         }
     }
 
-    /// Marks the open bookings of `instance` as unknown whose incarnation `is_lost`.
+    /// Marks the open bookings of those incarnations of `instance` as unknown for which `is_dead` holds.
     pub(crate) fn mark_owner_dead(
         &mut self,
         clock: u64,
         instance: &InstanceId,
-        is_lost: impl Fn(Incarnation) -> bool,
+        is_dead: impl Fn(Incarnation) -> bool,
     ) {
-        let is_lost = |owner: &Owner| owner.instance == *instance && is_lost(owner.incarnation);
-        let mut lost = Vec::new();
-        for book in self.books.iter_mut().filter(|it| matches!(it.hold, Hold::Held(_))) {
-            for booking in &mut book.bookings {
-                if !matches!(&booking.state, BookingState::Open(owner) if is_lost(owner)) {
+        let is_dead = |owner: &Owner| owner.instance == *instance && is_dead(owner.incarnation);
+        let mut changed = Vec::new();
+        for entry in self.teams.iter_mut().filter(|it| matches!(it.status, TeamStatus::Held(_))) {
+            for booking in &mut entry.bookings {
+                if !matches!(&booking.state, BookingState::Open(owner) if is_dead(owner)) {
                     continue;
                 }
                 booking.state = BookingState::Unknown;
                 booking.since = clock;
-                lost.push((book.team.clone(), booking.key.clone()));
+                changed.push((entry.team.clone(), booking.key.clone()));
             }
         }
-        for (team, key) in lost {
+        for (team, key) in changed {
             self.mark_ended(clock, team, key, 0);
         }
     }
 
-    /// Marks every booking as unknown that may have gone on without a record.
-    pub(crate) fn mark_uncertain(&mut self, clock: u64) {
-        let mut doubtful = Vec::new();
-        for book in &mut self.books {
-            for booking in &mut book.bookings {
+    /// Marks every booking as unknown whose later changes may have been lost: the open and the abandoned
+    /// ones.
+    pub(crate) fn mark_unrecorded_unknown(&mut self, clock: u64) {
+        let mut changed = Vec::new();
+        for entry in &mut self.teams {
+            for booking in &mut entry.bookings {
                 booking.is_doubtful = true;
                 if matches!(booking.state, BookingState::Open(_) | BookingState::Abandoned) {
                     booking.state = BookingState::Unknown;
                     booking.since = clock;
-                    doubtful.push((book.team.clone(), booking.key.clone()));
+                    changed.push((entry.team.clone(), booking.key.clone()));
                 }
             }
         }
-        for (team, key) in doubtful {
+        for (team, key) in changed {
             self.mark_ended(clock, team, key, 0);
         }
     }
 
-    pub(super) fn find_book(&self, team: &TeamId) -> Result<usize, usize> {
-        self.books.binary_search_by(|it| it.team.cmp(team))
+    pub(super) fn find_team(&self, team: &TeamId) -> Result<usize, usize> {
+        self.teams.binary_search_by(|it| it.team.cmp(team))
     }
 
-    fn book_for(&mut self, begin: &Begin) -> Result<usize, NotHeld> {
-        let place = match self.find_book(&begin.team) {
+    fn find_or_insert_team(&mut self, begin: &Begin) -> Result<usize, TeamNotHeld> {
+        let index = match self.find_team(&begin.team) {
             Ok(found) => found,
-            Err(_) if begin.moved => return Err(NotHeld::NotAdopted),
-            Err(place) => {
-                let (team, hold) = (begin.team.clone(), Hold::Held(begin.epoch));
-                let book = TeamBook { team, hold, state_loss: None, bookings: Vec::new() };
-                self.books.insert(place, book);
-                place
+            Err(_) if begin.moved => return Err(TeamNotHeld::NotAdopted),
+            Err(index) => {
+                let (team, status) = (begin.team.clone(), TeamStatus::Held(begin.epoch));
+                let entry = TeamBookings { team, status, state_loss: None, bookings: Vec::new() };
+                self.teams.insert(index, entry);
+                index
             }
         };
-        match &self.books[place].hold {
-            Hold::Held(held) if *held < begin.epoch && begin.moved => Err(NotHeld::NotAdopted),
-            Hold::Held(_) => Ok(place),
-            Hold::Sealed { epoch, .. } if *epoch < begin.epoch => Err(NotHeld::NotAdopted),
-            Hold::Sealed { to, .. } => Err(NotHeld::Elsewhere(to.clone())),
+        match &self.teams[index].status {
+            TeamStatus::Held(held) if *held < begin.epoch && begin.moved => {
+                Err(TeamNotHeld::NotAdopted)
+            }
+            TeamStatus::Held(_) => Ok(index),
+            TeamStatus::Sealed { epoch, .. } if *epoch < begin.epoch => {
+                Err(TeamNotHeld::NotAdopted)
+            }
+            TeamStatus::Sealed { to, .. } => Err(TeamNotHeld::Moved(to.clone())),
         }
     }
 
-    fn held(
+    fn find_mut(
         &mut self,
         team: &TeamId,
         key: &BookingKey,
         request: &RequestId,
-    ) -> Result<&mut Booking, Absent> {
-        let found = self.find_book(team).map_err(|_| Absent::NotAdopted)?;
-        let book = &mut self.books[found];
-        if let Hold::Sealed { to, .. } = &book.hold {
-            return Err(Absent::Moved(to.clone()));
+    ) -> Result<&mut Booking, LookupError> {
+        let found = self.find_team(team).map_err(|_| LookupError::NotAdopted)?;
+        let entry = &mut self.teams[found];
+        if let TeamStatus::Sealed { to, .. } = &entry.status {
+            return Err(LookupError::Moved(to.clone()));
         }
-        let found = book.bookings.binary_search_by(|it| it.key.cmp(key));
-        let found = found.map_err(|_| Absent::NoSuchBooking)?;
-        let booking = &mut book.bookings[found];
+        let found = entry.bookings.binary_search_by(|it| it.key.cmp(key));
+        let found = found.map_err(|_| LookupError::NoSuchBooking)?;
+        let booking = &mut entry.bookings[found];
         if booking.request != *request {
-            return Err(Absent::NoSuchBooking);
+            return Err(LookupError::NoSuchBooking);
         }
         Ok(booking)
     }
 }
 
-fn open(clock: u64, begin: Begin) -> Booking {
+fn new_booking(clock: u64, begin: Begin) -> Booking {
     let Begin { key, content, request, owner, queryable_service, .. } = begin;
     let state = BookingState::Open(owner);
     Booking { key, content, request, queryable_service, state, is_doubtful: false, since: clock }
 }
 
-fn known(booking: &Booking, begin: &Begin) -> BeginReply {
+fn reply_for_used_key(booking: &Booking, begin: &Begin) -> BeginReply {
     if booking.content != begin.content {
         return BeginReply::KeyReused(booking.request.clone());
     }
--- a/crates/medlarlug-core/src/home/command.rs
+++ b/crates/medlarlug-core/src/home/command.rs
@@ -16,122 +16,123 @@
 /// A command in the log of a home group.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Command {
-    /// Time on the leader's monotonic clock since its previous command; zero for its first.
+    /// Time since the leader's previous command on its monotonic clock; zero for its first command.
     pub elapsed: Duration,
-    /// What to do.
+    /// Action to apply.
     pub action: Action,
 }
 
-/// What a [`Command`] does.
+/// Action of a [`Command`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Forms the group: the first command of every log. Ignored once the group is formed.
+    /// Founds the group; the first command of every log. Ignored once the group is founded.
     Found {
-        /// Revision at which the configuration group recorded the founding.
+        /// Revision of the configuration group at which it recorded the founding.
         revision: Revision,
-        /// Whether no group of this region existed before.
+        /// Whether the region had no home group before.
         first: bool,
     },
-    /// An instance has started: its earlier incarnations are gone.
+    /// An instance has started, so its earlier incarnations no longer run.
     InstanceStarted {
-        /// The instance.
+        /// Instance that started.
         instance: InstanceId,
-        /// Its new incarnation.
+        /// Incarnation under which it runs.
         incarnation: Incarnation,
     },
-    /// An incarnation seems to be lost. This is safe to say of one that still runs: what it
-    /// reports later is still taken.
+    /// An incarnation is presumed dead. The command is safe if the process still runs: its later commands
+    /// are still accepted.
     #[serde(rename = "InstanceLost")]
     InstanceDead {
-        /// The instance.
+        /// Instance that is presumed dead.
         instance: InstanceId,
-        /// Its incarnation.
+        /// Incarnation that is presumed dead.
         incarnation: Incarnation,
     },
-    /// A booking is about to be sent.
+    /// Records the intent to send a booking.
     Begin(Begin),
-    /// The upstream answered a booking.
+    /// Records the answer of the upstream to a booking.
     Finish {
-        /// Whose booking it is.
+        /// Team that owns the booking.
         team: TeamId,
-        /// Its key.
+        /// Key of the booking.
         key: BookingKey,
-        /// The request that was sent to the upstream.
+        /// Request that was sent to the upstream.
         request: RequestId,
-        /// The answer.
+        /// Answer to record.
         answer: RecordedAnswer,
     },
-    /// The owner gives a booking up and has not sent it and never will.
+    /// Abandons a booking that its owner has not sent and will never send.
     Abandon {
-        /// Whose booking it is.
+        /// Team that owns the booking.
         team: TeamId,
-        /// Its key.
+        /// Key of the booking.
         key: BookingKey,
-        /// The request that was begun.
+        /// Request that started the booking.
         request: RequestId,
     },
-    /// The owner sent a booking and does not know whether it ran.
+    /// Records that the owner sent a booking and does not know whether it ran.
     #[serde(rename = "Lose")]
     MarkUnknown {
-        /// Whose booking it is.
+        /// Team that owns the booking.
         team: TeamId,
-        /// Its key.
+        /// Key of the booking.
         key: BookingKey,
-        /// The request that was sent.
+        /// Request that was sent to the upstream.
         request: RequestId,
     },
-    /// A plain service, asked later, gave the answer to a booking of unknown outcome.
+    /// Records the answer that a plain service returned to a query for an unknown outcome.
     #[serde(rename = "Settle")]
     ResolveOutcome {
-        /// Whose booking it is.
+        /// Team that owns the booking.
         team: TeamId,
-        /// Its key.
+        /// Key of the booking.
         key: BookingKey,
-        /// The request that was sent to the upstream.
+        /// Request that was sent to the upstream.
         request: RequestId,
-        /// The answer.
+        /// Answer to record.
         answer: RecordedAnswer,
     },
-    /// The team's home moves away: no booking of it is begun here any more.
+    /// Transfers the team's bookings to its new home region; this group starts no more bookings of it.
     Seal {
-        /// The team.
+        /// Team whose home region changed.
         team: TeamId,
-        /// Its new home region.
+        /// New home region of the team.
         to: RegionId,
-        /// Revision at which its home was changed.
+        /// Revision that changed the home region.
         epoch: Revision,
     },
-    /// The team's home has moved here, with these bookings.
+    /// Takes over a team, with these bookings, from its former home group.
     Adopt(Handover),
-    /// The team's home has moved here from a group that is lost with its state.
+    /// Takes over a team from a home group that has lost its state, without any bookings.
     #[serde(rename = "AdoptLost")]
     AdoptWithStateLoss {
-        /// The team.
+        /// Team whose home region changed.
         team: TeamId,
-        /// Revision at which its home was changed.
+        /// Revision that changed the home region.
         epoch: Revision,
     },
-    /// The new home has adopted the team: its bookings are dropped here.
+    /// Deletes the bookings of a team that the new home group has adopted.
     Release {
-        /// The team.
+        /// Team whose home region changed.
         team: TeamId,
-        /// Revision at which its home was changed.
+        /// Revision that changed the home region.
         epoch: Revision,
     },
-    /// Records of requests; a later record of a request replaces an earlier one.
+    /// Stores request records; a later record of a request replaces an earlier one, unless it has less
+    /// information on the outcome.
     Records(#[serde(with = "crate::record::batch")] Vec<RequestRecord>),
-    /// An upstream was lost without an explanation while it ran these requests.
+    /// Records that an upstream crashed for no known reason while it ran these requests.
     Loss {
-        /// The lost upstream.
+        /// Upstream that crashed.
         upstream: UpstreamId,
-        /// Its lost incarnation.
+        /// Incarnation of the upstream that crashed.
         incarnation: Incarnation,
         /// Fingerprints of the requests that it ran.
         suspects: Vec<Fingerprint>,
     },
-    /// A suspect ran to its end without a loss.
+    /// Removes the suspicion from a request that ran to its end without a crash.
     Clear(Fingerprint),
-    /// Another region quarantined a request.
+    /// Records that another region has quarantined a request.
     Quarantine {
         /// Fingerprint of the request.
         #[serde(rename = "print")]
@@ -139,137 +140,138 @@
         /// Time until the quarantine ends.
         remaining: Duration,
     },
-    /// An instance asks for the lease of the issuer of orders, or renews it.
+    /// Requests or renews the lease of the order issuer.
     Lease {
-        /// The asking instance.
+        /// Process that requests the lease.
         holder: Owner,
-        /// How long it asks for; at most [`MAX_LEASE`](crate::home::state::MAX_LEASE).
+        /// Requested duration; at most [`MAX_LEASE`](crate::home::state::MAX_LEASE).
         duration: Duration,
     },
-    /// Time has passed; expired bookings, suspicions and quarantines are dropped.
+    /// Advances the logical clock, which removes expired bookings, suspicions and quarantines.
     Tick,
-    /// The group was rebuilt from the state of one survivor, which may lack the newest commands.
-    /// Whatever may have gone on since then is unknown, and the group has to be founded anew.
+    /// The group was rebuilt from the state of one surviving replica, which may lack the newest commands.
+    /// Bookings that may have changed since then become unknown, and the group has to be founded again.
     Rebuilt,
 }
 
-/// The intent to send one booking.
+/// Intent to send one booking.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Begin {
-    /// Whose booking it is.
+    /// Team that owns the booking.
     pub team: TeamId,
-    /// Its key.
+    /// Key that the caller assigned.
     pub key: BookingKey,
     /// Fingerprint of the call: method, path and body.
     pub content: Fingerprint,
-    /// The request.
+    /// Request that starts the booking.
     pub request: RequestId,
-    /// The only process that may send it.
+    /// Only process that may send the call.
     pub owner: Owner,
-    /// Revision of the owner's configuration.
+    /// Revision of the configuration that the owner uses.
     pub revision: Revision,
-    /// Revision at which the team got its home, as the owner's configuration says.
+    /// Revision that set the team's home region, according to the owner's configuration.
     pub epoch: Revision,
-    /// Whether the team had another home before.
+    /// Whether the team had another home region before.
     pub moved: bool,
-    /// The service, if it can be asked about the outcome.
+    /// Service that can be queried for the outcome, if there is one.
     #[serde(rename = "askable")]
     pub queryable_service: Option<ServiceId>,
 }
 
-/// The reply to a [`Begin`].
+/// Reply to a [`Begin`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BeginReply {
-    /// The intent is recorded; the owner may send the booking once.
+    /// The intent is recorded; the owner may send the call once.
     Started,
-    /// The booking ended before, with this answer.
+    /// The booking has already ended with this answer.
     Done {
-        /// The request that got the answer.
+        /// Request that the upstream answered.
         request: RequestId,
-        /// The answer.
+        /// Recorded answer.
         answer: RecordedAnswer,
     },
-    /// Another request with this key and content is under way.
+    /// Another request with this key and content is in progress.
     InProgress(RequestId),
-    /// The booking may have run; it is not sent again.
+    /// The call may have run, under this request if it is known; it is not sent again.
     Unknown(Option<RequestId>),
-    /// The key was used for another content; nothing was run for this request.
+    /// The key was already used by this request for another content; the call was not run.
     KeyReused(RequestId),
-    /// This request was given up before; nothing was run for it.
+    /// This request has already abandoned the booking; the call was not run.
     Abandoned,
-    /// The team's home is elsewhere; nothing was run.
+    /// The team's home is this other region; the call was not run.
     NotHome(RegionId),
-    /// The owner's configuration is older than this founding of the group, which can't tell
-    /// whether the team has moved away since then; nothing was run.
+    /// The owner's configuration is older than this founding of the group, so the group cannot determine
+    /// whether the team has moved to another region since then; the call was not run.
     StaleConfiguration(Revision),
-    /// The team's bookings have not arrived from its former home; nothing was run.
+    /// The group has not yet received the team's bookings from the former home; the call was not run.
     NotAdopted,
-    /// The group keeps as many keys as it can; nothing was run.
+    /// The group has reached its limit of stored keys; the call was not run.
     Full,
-    /// The owner's incarnation has been replaced; nothing was run.
+    /// This newer incarnation of the owner's instance has started; the call was not run.
     StaleOwner(Incarnation),
-    /// The group is not formed yet; nothing was run.
+    /// The group is not founded yet; the call was not run.
     NotFounded,
 }
 
-/// The reply to a [`Command`].
+/// Reply to a [`Command`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Done, or done before.
+    /// The change is in effect, from this command or from an earlier one.
     Ok,
-    /// The group is not formed yet; nothing has changed.
+    /// The group is not founded yet; nothing has changed.
     NotFounded,
-    /// Reply to [`Action::Found`]: the revision at which the group was founded.
+    /// Reply to [`Action::Found`]: revision at which the group was founded.
     Founded(Revision),
     /// Reply to [`Action::Begin`].
     Begin(BeginReply),
-    /// The command names a booking that is not in the state for it; nothing has changed.
+    /// The booking does not exist, belongs to another request or is not in a state that permits the
+    /// command; nothing has changed.
     NoSuchBooking,
-    /// The team's bookings are handed over to this region; the command has to be sent there.
+    /// The team's bookings were transferred to this region; the command has to be sent there.
     Moved(RegionId),
-    /// Reply to [`Action::Seal`]: the team's bookings.
+    /// Reply to [`Action::Seal`]: bookings of the team.
     Handover(Handover),
-    /// This group does not hold the team, or not yet; the command may be sent again later.
+    /// The group does not hold the team, or not yet; the command may be retried later.
     NotAdopted,
-    /// Reply to [`Action::Loss`].
+    /// Reply to [`Action::Loss`]: state of each of its suspects.
     Suspects(Vec<Suspect>),
-    /// Reply to [`Action::Lease`]: granted under this term.
+    /// Reply to [`Action::Lease`]: the lease is granted.
     LeaseGranted {
         /// Fencing term; it rises with every new holder.
         term: Term,
-        /// How long the lease lasts from when it was asked for.
+        /// Duration of the lease, counted from when the holder sent the request.
         duration: Duration,
     },
-    /// Reply to [`Action::Lease`]: another instance holds it, or may hold it.
+    /// Reply to [`Action::Lease`]: another process holds the lease, or may hold it.
     LeaseHeld {
-        /// The holder; `None` if the group lost its state and can't tell.
+        /// Holder of the lease; `None` if the group lost its state and does not know it.
         holder: Option<Owner>,
-        /// Time until its lease ends.
+        /// Time until that lease expires.
         remaining: Duration,
     },
 }
 
-/// A request that may crash upstreams.
+/// Request that may crash upstreams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
     /// Fingerprint of the request.
     #[serde(rename = "print")]
     pub fingerprint: Fingerprint,
-    /// Losses that it is suspected of.
+    /// Number of crashes that the request is suspected to have caused.
     #[serde(rename = "losses")]
     pub crashes: u32,
-    /// Time until its quarantine ends, if it is quarantined.
+    /// Time until the quarantine ends; `None` if the request is only suspected.
     pub quarantined: Option<Duration>,
 }
 
-/// What is known of a request.
+/// Result of looking up the record of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordLookup {
-    /// Its record.
+    /// Stored record; its `outcome` is `None` while the request runs.
     Found(RequestRecord),
-    /// It is not recorded, or its record is no longer kept.
+    /// The request is not recorded, or its record was evicted.
     Expired,
-    /// No record has come yet; its instance still runs.
+    /// No record has been received yet, and the instance of the request is not known to have stopped.
     #[serde(rename = "NotYet")]
     Pending,
 }
--- a/crates/medlarlug-core/src/home/issuer_lease.rs
+++ b/crates/medlarlug-core/src/home/issuer_lease.rs
@@ -1,4 +1,4 @@
-//! The lease of the issuer of orders.
+//! The lease that allows one process of a region to issue orders.
 
 use std::time::Duration;
 
@@ -9,33 +9,33 @@
     ids::{Revision, Term},
 };
 
-/// Who may issue orders to the engines of the region.
+/// Lease of the process that may issue orders to the engines of the region.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IssuerLease {
-    /// Term of the last grant.
+    /// Fencing term of the last grant; it rises with every grant that is not a renewal.
     pub term: Term,
-    /// The last holder.
+    /// Last holder, also after its lease has expired.
     pub holder: Option<Owner>,
-    /// Logical time at which its lease ends, in microseconds.
+    /// Logical time at which the lease expires, in microseconds.
     pub until: u64,
 }
 
-/// Terms that one founding of a group has room for.
+/// Number of terms reserved for each revision at which a group may be founded.
 const TERMS_PER_FOUNDING: u64 = 1 << 32;
 
 impl IssuerLease {
-    /// The lease of a group that was founded at `revision`.
+    /// Initial lease of a group that was founded at `revision`.
     ///
-    /// Its terms are above those of every earlier founding. A lease that an earlier founding may
-    /// have granted is waited out until the logical time `until`.
-    pub(crate) fn founded(revision: Revision, until: u64) -> IssuerLease {
+    /// Its terms are higher than those of every earlier founding. No lease is granted before the logical
+    /// time `until`, when a lease that an earlier founding may have granted has expired.
+    pub(crate) fn after_founding(revision: Revision, until: u64) -> IssuerLease {
         IssuerLease { term: Term(revision.0 * TERMS_PER_FOUNDING), holder: None, until }
     }
 
     /// Grants or renews the lease at the logical time `clock`.
     ///
-    /// Another incarnation of the holder's instance is another holder: the former process may be
-    /// suspended and not gone.
+    /// Another incarnation of the holder's instance counts as another holder, since the former process may
+    /// be suspended and still running.
     pub(crate) fn request(&mut self, clock: u64, holder: Owner, duration: Duration) -> Reply {
         let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         let is_holder = self.holder.as_ref() == Some(&holder);
--- a/crates/medlarlug-core/src/home/mod.rs
+++ b/crates/medlarlug-core/src/home/mod.rs
@@ -1,19 +1,19 @@
 //! The replicated state machine of one region's home group.
 //!
-//! The home group records what must not be lost or doubled in its region: booking intents and
-//! outcomes, records of requests, quarantines of requests that crash upstreams, and the lease of
-//! the issuer of orders. Every keeper of the group applies the same [`Command`]s in the same
-//! order to its [`HomeGroup`].
+//! The home group stores the data of its region that must be neither lost nor duplicated: booking
+//! intents and outcomes, request records, quarantines of requests that crash upstreams, and the lease
+//! of the order issuer. Every keeper of the group applies the same [`Command`]s in the same order to
+//! its [`HomeGroup`].
 //!
-//! Time comes in with the commands: each carries the time that passed on the leader's monotonic
-//! clock since its previous command. The state sums these into a logical clock. A new leader
-//! begins with zero, so the logical clock never runs ahead of real time, apart from clock drift:
-//! a retention or lease that has ended by the logical clock has ended in real time.
+//! The state machine reads no clock. Each command carries the time since the leader's previous command,
+//! measured on the leader's monotonic clock, and the state adds these up to a logical clock. The first
+//! command of a new leader carries zero, so apart from clock drift the logical clock never runs ahead of
+//! real time: a retention period or lease that has expired by the logical clock has expired in real time.
 //!
 //! * [`command`]: commands and replies.
-//! * [`booking`]: keys, recorded answers and the life cycle of a booking.
+//! * [`booking`]: booking keys, recorded answers and the life cycle of a booking.
 //! * [`state`]: the state machine.
-//! * [`attempt`]: the owner's side of a booking, on the entry instance.
+//! * [`attempt`]: the state machine with which an entry instance carries out a booking.
 
 pub mod attempt;
 pub mod booking;
--- a/crates/medlarlug-core/src/home/quarantines.rs
+++ b/crates/medlarlug-core/src/home/quarantines.rs
@@ -1,4 +1,4 @@
-//! Requests that are suspected or quarantined of crashing upstreams.
+//! Requests that are suspected of crashing upstreams, or quarantined for it.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
     ids::{Incarnation, UpstreamId},
 };
 
-/// Losses that quarantine a request.
+/// Number of crashes after which a suspected request is quarantined.
 pub const QUARANTINE_CRASH_THRESHOLD: usize = 2;
 
-/// How long a suspicion lasts after the last loss.
+/// Duration of a suspicion, counted from the last crash.
 pub const SUSPICION_LIFETIME: Duration = Duration::from_secs(10 * 60);
 
-/// How long a quarantine lasts.
+/// Duration of a quarantine.
 pub const QUARANTINE_LIFETIME: Duration = Duration::from_secs(60 * 60);
 
-/// Suspected and quarantined requests that are kept; the one that ends first makes room.
+/// Maximum number of suspected and quarantined requests; beyond it, the entry that expires first is evicted.
 pub const MAX_SUSPECTS: usize = 4_096;
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,10 +55,10 @@
         self.entries.retain(|it| it.until > clock);
     }
 
-    /// Records that `upstream` was lost while it ran `suspects`.
+    /// Records that `upstream` crashed while it ran `suspects`.
     ///
-    /// The loss of one incarnation counts once for a request, however many instances report it.
-    pub(crate) fn lose(
+    /// The crash of one incarnation counts once for a request, however many instances report it.
+    pub(crate) fn record_crash(
         &mut self,
         clock: u64,
         upstream: &UpstreamId,
@@ -68,9 +68,9 @@
         let mut result = Vec::new();
         for fingerprint in suspects {
             let entry = self.entry(*fingerprint);
-            let loss = (upstream.clone(), incarnation);
-            if !entry.quarantined && !entry.crashes.contains(&loss) {
-                entry.crashes.push(loss);
+            let crash = (upstream.clone(), incarnation);
+            if !entry.quarantined && !entry.crashes.contains(&crash) {
+                entry.crashes.push(crash);
                 entry.quarantined = entry.crashes.len() >= QUARANTINE_CRASH_THRESHOLD;
                 let lifetime =
                     if entry.quarantined { QUARANTINE_LIFETIME } else { SUSPICION_LIFETIME };
@@ -78,7 +78,7 @@
             }
             result.push(entry.suspect(clock));
         }
-        self.bound();
+        self.evict_excess();
         result
     }
 
@@ -91,7 +91,7 @@
         let entry = self.entry(fingerprint);
         entry.until = if entry.quarantined { entry.until.max(until) } else { until };
         entry.quarantined = true;
-        self.bound();
+        self.evict_excess();
     }
 
     pub(crate) fn find(&self, clock: u64, fingerprint: Fingerprint) -> Option<Suspect> {
@@ -105,25 +105,25 @@
     }
 
     fn entry(&mut self, fingerprint: Fingerprint) -> &mut Entry {
-        let place = match self.entries.binary_search_by_key(&fingerprint, |it| it.fingerprint) {
+        let index = match self.entries.binary_search_by_key(&fingerprint, |it| it.fingerprint) {
             Ok(found) => found,
-            Err(place) => {
+            Err(index) => {
                 let entry =
                     Entry { fingerprint, crashes: Vec::new(), quarantined: false, until: 0 };
-                self.entries.insert(place, entry);
-                place
+                self.entries.insert(index, entry);
+                index
             }
         };
-        &mut self.entries[place]
+        &mut self.entries[index]
     }
 
-    fn bound(&mut self) {
+    fn evict_excess(&mut self) {
         while self.entries.len() > MAX_SUSPECTS {
             let first = self.entries.iter().enumerate().min_by_key(|(_, it)| it.until);
-            let Some((place, _)) = first else {
+            let Some((index, _)) = first else {
                 return;
             };
-            self.entries.remove(place);
+            self.entries.remove(index);
         }
     }
 }
--- a/crates/medlarlug-core/src/home/records.rs
+++ b/crates/medlarlug-core/src/home/records.rs
@@ -1,4 +1,4 @@
-//! Records of requests, kept in a ring.
+//! Storage of request records, bounded by eviction of the oldest.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
     record::{Outcome, RequestRecord},
 };
 
-/// Records that a home group keeps; the oldest one makes room.
+/// Maximum number of records that a home group stores; beyond it, the oldest one is evicted.
 pub const MAX_RECORDS: usize = 65_536;
 
 /// Records of one incarnation, sorted by sequence number.
@@ -18,12 +18,14 @@
 struct Journal {
     instance: InstanceId,
     incarnation: Incarnation,
-    is_lost: bool,
-    dropped: u64,
+    #[serde(rename = "is_lost")]
+    is_dead: bool,
+    #[serde(rename = "dropped")]
+    highest_dropped: u64,
     records: VecDeque<RequestRecord>,
 }
 
-/// Records of requests.
+/// Request records of all incarnations, sorted by instance and incarnation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Records {
     journals: Vec<Journal>,
@@ -31,7 +33,7 @@
 }
 
 impl Records {
-    /// Stores `records`; a record without an end does not replace one that has an end.
+    /// Stores `records`. A record without an outcome does not replace one that has an outcome.
     pub(crate) fn store(&mut self, records: Vec<RequestRecord>) {
         for record in records {
             self.store_one(record);
@@ -41,34 +43,35 @@
         }
     }
 
-    /// What is known of the request `id`.
     pub(crate) fn look_up(&self, id: &RequestId) -> RecordLookup {
         let Ok(found) = self.find(&id.instance, id.incarnation) else {
             return RecordLookup::Expired;
         };
         let journal = &self.journals[found];
         match journal.records.binary_search_by_key(&id.sequence, |it| it.id.sequence) {
-            Ok(place) => RecordLookup::Found(journal.records[place].clone()),
-            Err(_) if journal.is_lost || id.sequence <= journal.dropped => RecordLookup::Expired,
+            Ok(index) => RecordLookup::Found(journal.records[index].clone()),
+            Err(_) if journal.is_dead || id.sequence <= journal.highest_dropped => {
+                RecordLookup::Expired
+            }
             Err(_) => RecordLookup::Pending,
         }
     }
 
-    /// Notes that `instance` runs under `incarnation`: earlier ones are lost.
-    pub(crate) fn start(&mut self, instance: &InstanceId, incarnation: Incarnation) {
-        let place = self.journal(instance, incarnation);
-        let earlier = self.journals[..place].iter_mut().rev();
+    /// Records that `instance` runs under `incarnation`, which implies that its earlier ones are dead.
+    pub(crate) fn start_incarnation(&mut self, instance: &InstanceId, incarnation: Incarnation) {
+        let index = self.find_or_insert(instance, incarnation);
+        let earlier = self.journals[..index].iter_mut().rev();
         for journal in earlier.take_while(|it| it.instance == *instance) {
             journal.close();
         }
-        self.journals.retain(|it| !it.is_lost || !it.records.is_empty());
+        self.journals.retain(|it| !it.is_dead || !it.records.is_empty());
     }
 
-    /// Notes that an incarnation seems to be lost.
-    pub(crate) fn lose(&mut self, instance: &InstanceId, incarnation: Incarnation) {
-        let place = self.journal(instance, incarnation);
-        self.journals[place].close();
-        self.journals.retain(|it| !it.is_lost || !it.records.is_empty());
+    /// Records that an incarnation is presumed dead.
+    pub(crate) fn mark_dead(&mut self, instance: &InstanceId, incarnation: Incarnation) {
+        let index = self.find_or_insert(instance, incarnation);
+        self.journals[index].close();
+        self.journals.retain(|it| !it.is_dead || !it.records.is_empty());
     }
 
     fn find(&self, instance: &InstanceId, incarnation: Incarnation) -> Result<usize, usize> {
@@ -76,40 +79,40 @@
         self.journals.binary_search_by(|it| (&it.instance, it.incarnation).cmp(&key))
     }
 
-    fn journal(&mut self, instance: &InstanceId, incarnation: Incarnation) -> usize {
+    fn find_or_insert(&mut self, instance: &InstanceId, incarnation: Incarnation) -> usize {
         match self.find(instance, incarnation) {
             Ok(found) => found,
-            Err(place) => {
-                let next = self.journals.get(place);
+            Err(index) => {
+                let next = self.journals.get(index);
                 let journal = Journal {
                     instance: instance.clone(),
                     incarnation,
-                    is_lost: next.is_some_and(|it| it.instance == *instance),
-                    dropped: 0,
+                    is_dead: next.is_some_and(|it| it.instance == *instance),
+                    highest_dropped: 0,
                     records: VecDeque::new(),
                 };
-                self.journals.insert(place, journal);
-                place
+                self.journals.insert(index, journal);
+                index
             }
         }
     }
 
     fn store_one(&mut self, mut record: RequestRecord) {
-        let place = self.journal(&record.id.instance, record.id.incarnation);
-        let journal = &mut self.journals[place];
-        if journal.is_lost && record.outcome.is_none() {
+        let index = self.find_or_insert(&record.id.instance, record.id.incarnation);
+        let journal = &mut self.journals[index];
+        if journal.is_dead && record.outcome.is_none() {
             record.outcome = Some(Outcome::NotRecorded);
         }
         match journal.records.binary_search_by_key(&record.id.sequence, |it| it.id.sequence) {
             Ok(found) => {
                 let stored = &mut journal.records[found];
-                if is_newer(&record, stored) {
+                if replaces(&record, stored) {
                     *stored = record;
                 }
             }
-            Err(place) => {
+            Err(index) => {
                 self.order.push_back(record.id.clone());
-                journal.records.insert(place, record);
+                journal.records.insert(index, record);
             }
         }
     }
@@ -122,11 +125,11 @@
             return;
         };
         let journal = &mut self.journals[found];
-        if let Ok(place) = journal.records.binary_search_by_key(&id.sequence, |it| it.id.sequence) {
-            journal.records.remove(place);
-            journal.dropped = journal.dropped.max(id.sequence);
+        if let Ok(index) = journal.records.binary_search_by_key(&id.sequence, |it| it.id.sequence) {
+            journal.records.remove(index);
+            journal.highest_dropped = journal.highest_dropped.max(id.sequence);
         }
-        if journal.is_lost && journal.records.is_empty() {
+        if journal.is_dead && journal.records.is_empty() {
             self.journals.remove(found);
         }
     }
@@ -134,19 +137,19 @@
 
 impl Journal {
     fn close(&mut self) {
-        self.is_lost = true;
+        self.is_dead = true;
         for record in self.records.iter_mut().filter(|it| it.outcome.is_none()) {
             record.outcome = Some(Outcome::NotRecorded);
         }
     }
 }
 
-fn is_newer(record: &RequestRecord, stored: &RequestRecord) -> bool {
+fn replaces(record: &RequestRecord, stored: &RequestRecord) -> bool {
     match (record.outcome, stored.outcome) {
         (_, None) => true,
         (None | Some(Outcome::NotRecorded), Some(_)) => false,
         (Some(_), Some(Outcome::NotRecorded)) => true,
-        // An outcome that was unknown may be settled later.
+        // An unknown outcome may be resolved later.
         (Some(_), Some(Outcome::Unknown)) => true,
         (Some(_), Some(_)) => false,
     }
--- a/crates/medlarlug-core/src/home/retention.rs
+++ b/crates/medlarlug-core/src/home/retention.rs
@@ -1,21 +1,21 @@
-//! How long bookings and the bodies of their answers are kept.
+//! Retention of bookings and of the bodies of their answers.
 
 use crate::{
     home::{
         booking::{Body, BookingKey, BookingState},
-        bookings::{Bookings, Mark},
+        bookings::{Bookings, EndMark},
         state::KEY_RETENTION_MICROS,
     },
     ids::TeamId,
 };
 
-/// Bytes of recorded bodies that are kept; the oldest bodies are omitted beyond them.
+/// Maximum total size of the recorded bodies, in bytes; the oldest ones are omitted beyond it.
 pub const MAX_TOTAL_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 impl Bookings {
-    /// Drops the bookings that ended a retention ago.
+    /// Deletes the bookings whose retention period has expired, and omits the oldest bodies over the limit.
     pub(crate) fn expire(&mut self, clock: u64) {
-        let is_expired = |it: &mut Mark| it.at.saturating_add(KEY_RETENTION_MICROS) <= clock;
+        let is_expired = |it: &mut EndMark| it.at.saturating_add(KEY_RETENTION_MICROS) <= clock;
         while let Some(mark) = self.ended.pop_front_if(is_expired) {
             self.drop_marked(&mark);
         }
@@ -24,7 +24,7 @@
     }
 
     pub(super) fn mark_ended(&mut self, at: u64, team: TeamId, key: BookingKey, body: usize) {
-        let mark = Mark { at, team, key };
+        let mark = EndMark { at, team, key };
         if body > 0 {
             self.body_bytes += body;
             self.bodies.push_back(mark.clone());
@@ -32,23 +32,23 @@
         self.ended.push_back(mark);
     }
 
-    fn marked(&mut self, mark: &Mark) -> Option<(usize, usize)> {
-        let book = self.find_book(&mark.team).ok()?;
-        let bookings = &self.books[book].bookings;
+    fn find_marked(&mut self, mark: &EndMark) -> Option<(usize, usize)> {
+        let entry = self.find_team(&mark.team).ok()?;
+        let bookings = &self.teams[entry].bookings;
         let found = bookings.binary_search_by(|it| it.key.cmp(&mark.key)).ok()?;
         let booking = &bookings[found];
         let is_current =
             booking.since == mark.at && !matches!(booking.state, BookingState::Open(_));
-        is_current.then_some((book, found))
+        is_current.then_some((entry, found))
     }
 
-    fn drop_marked(&mut self, mark: &Mark) {
-        let Some((book, found)) = self.marked(mark) else {
+    fn drop_marked(&mut self, mark: &EndMark) {
+        let Some((entry, found)) = self.find_marked(mark) else {
             return;
         };
-        let booking = self.books[book].bookings.remove(found);
+        let booking = self.teams[entry].bookings.remove(found);
         self.count -= 1;
-        self.body_bytes -= state_size(&booking.state);
+        self.body_bytes -= recorded_body_size(&booking.state);
     }
 
     fn omit_bodies(&mut self) {
@@ -56,31 +56,31 @@
             let Some(mark) = self.bodies.pop_front() else {
                 return;
             };
-            let Some((book, found)) = self.marked(&mark) else {
+            let Some((entry, found)) = self.find_marked(&mark) else {
                 continue;
             };
-            let state = &mut self.books[book].bookings[found].state;
-            self.body_bytes -= state_size(state);
-            omit(state);
+            let state = &mut self.teams[entry].bookings[found].state;
+            self.body_bytes -= recorded_body_size(state);
+            omit_body(state);
         }
     }
 }
 
-pub(super) fn whole_size(body: &Body) -> usize {
+pub(super) fn recorded_size(body: &Body) -> usize {
     match body {
         Body::Whole(bytes) => bytes.len(),
         Body::Omitted { .. } => 0,
     }
 }
 
-pub(super) fn state_size(state: &BookingState) -> usize {
+pub(super) fn recorded_body_size(state: &BookingState) -> usize {
     match state {
-        BookingState::Done(answer) => whole_size(&answer.body),
+        BookingState::Done(answer) => recorded_size(&answer.body),
         _ => 0,
     }
 }
 
-pub(super) fn omit(state: &mut BookingState) {
+pub(super) fn omit_body(state: &mut BookingState) {
     if let BookingState::Done(answer) = state
         && let Body::Whole(bytes) = &answer.body
     {
--- a/src/coordination/keeper/duties/founding.rs
+++ b/src/coordination/keeper/duties/founding.rs
@@ -48,7 +48,7 @@
 fn is_due(keeper: &Keeper, region: &RegionId) -> bool {
     let group = GroupId::Home(region.clone());
     let is_founded = keeper.with_machine(&group, |machine| match machine {
-        Machine::Home(machine) => machine.founded().is_some(),
+        Machine::Home(machine) => machine.founding_revision().is_some(),
         Machine::Configuration(_) | Machine::Publication(_) => true,
     });
     let is_configured =
--- a/src/coordination/keeper/machine.rs
+++ b/src/coordination/keeper/machine.rs
@@ -98,7 +98,7 @@
                 GroupReply::Moves(machine.moves().to_vec())
             }
             (Machine::Home(machine), GroupRequest::Founding) => {
-                GroupReply::Founding(machine.founded())
+                GroupReply::Founding(machine.founding_revision())
             }
             (Machine::Publication(machine), GroupRequest::Published) => {
                 GroupReply::Published(machine.clone())
--- a/src/coordination/keeper/status.rs
+++ b/src/coordination/keeper/status.rs
@@ -30,7 +30,7 @@
 pub fn dump_group(group: &Group) -> serde_json::Value {
     let replica = group.replica();
     let founded = match group.machine() {
-        Machine::Home(machine) => machine.founded(),
+        Machine::Home(machine) => machine.founding_revision(),
         Machine::Configuration(_) | Machine::Publication(_) => None,
     };
     serde_json::json!({
