--- a/src/coordination/entry/admission.rs
+++ b/src/coordination/entry/admission.rs
@@ -21,7 +21,7 @@
 const REQUESTS_PER_SLOT: f64 = 1.25;
 
 /// Shortest time in which a request can be served.
-const SHORTEST_SERVICE: Duration = Duration::from_millis(50);
+const MIN_SERVICE_TIME: Duration = Duration::from_millis(50);
 
 /// What admission needs to know of a request.
 #[derive(Debug, Clone)]
@@ -59,13 +59,13 @@
 }
 
 /// The arrival of a request that has `left` until its deadline.
-pub fn arrival(now: Time, facts: &medlarlug_core::routing::RequestFacts, cost: u32) -> Candidate {
+pub fn candidate(now: Time, facts: &medlarlug_core::routing::RequestFacts, cost: u32) -> Candidate {
     let arrival = Arrival {
         request: facts.id.clone(),
         team: facts.team.clone(),
         priority: facts.priority,
         deadline: now + facts.deadline,
-        min_time_to_first_byte: SHORTEST_SERVICE,
+        min_time_to_first_byte: MIN_SERVICE_TIME,
         cost,
     };
     Candidate { arrival, target: facts.target.clone() }
@@ -76,12 +76,12 @@
 /// # Errors
 ///
 /// Fails when the request is refused before it starts.
-pub async fn enter(entry: &Rc<Entry>, candidate: Candidate) -> Result<Slot, Refusal> {
+pub async fn wait_for_slot(entry: &Rc<Entry>, candidate: Candidate) -> Result<Slot, Refusal> {
     let Candidate { arrival, target } = candidate;
     let request = arrival.request.clone();
     let receiver = entry.admission.enqueue(entry.node.now(), &target, arrival);
     let admission = receiver.await;
-    admission.unwrap_or_else(|_| Err(entry.refusal(Reason::Overloaded, SHORTEST_SERVICE)))?;
+    admission.unwrap_or_else(|_| Err(entry.refusal(Reason::Overloaded, MIN_SERVICE_TIME)))?;
     Ok(Slot { entry: entry.clone(), target, request })
 }
 
@@ -148,32 +148,34 @@
             queue.admission.handle(now, event, &mut effects);
             for effect in effects {
                 match effect {
-                    Effect::Start { request } => queue.settle(&request, Ok(())),
-                    Effect::Refuse { request, refusal } => queue.settle(&request, Err(refusal)),
+                    Effect::Start { request } => queue.finish_waiting(&request, Ok(())),
+                    Effect::Refuse { request, refusal } => {
+                        queue.finish_waiting(&request, Err(refusal))
+                    }
                 }
             }
         });
     }
 
-    fn with_queue(&self, target: &Target, step: impl FnOnce(&mut Queue)) {
+    fn with_queue(&self, target: &Target, update: impl FnOnce(&mut Queue)) {
         let mut queues = self.queues.borrow_mut();
-        let place = match queues.binary_search_by(|it| it.target.cmp(target)) {
-            Ok(found) => found,
-            Err(place) => {
+        let index = match queues.binary_search_by(|it| it.target.cmp(target)) {
+            Ok(index) => index,
+            Err(index) => {
                 let admission = AdmissionQueue::new(AdmissionPolicy::default());
                 let queue = Queue { target: target.clone(), admission, waiting: Vec::new() };
-                queues.insert(place, queue);
-                place
+                queues.insert(index, queue);
+                index
             }
         };
-        step(&mut queues[place]);
+        update(&mut queues[index]);
     }
 }
 
 impl Queue {
-    fn settle(&mut self, request: &RequestId, admission: Result<(), Refusal>) {
-        if let Some(place) = self.waiting.iter().position(|it| it.0 == *request) {
-            let (_, sender) = self.waiting.swap_remove(place);
+    fn finish_waiting(&mut self, request: &RequestId, admission: Result<(), Refusal>) {
+        if let Some(index) = self.waiting.iter().position(|it| it.0 == *request) {
+            let (_, sender) = self.waiting.swap_remove(index);
             let _ = sender.send(admission);
         }
     }
--- a/src/coordination/entry/attempt.rs
+++ b/src/coordination/entry/attempt.rs
@@ -23,10 +23,10 @@
 use crate::coordination::{calls, entry::Entry};
 
 /// Time that one proposal has to get its reply before it is made again.
-const PROPOSAL_LIMIT: Duration = Duration::from_secs(2);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Pause before a proposal without a useful reply is made again.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What the attempt asks its booking to do.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
 
 impl Handle {
     /// Tells the attempt what happened.
-    pub fn tell(&self, event: Event) {
+    pub fn send_event(&self, event: Event) {
         // The attempt has ended when nobody listens; it needs no event any more.
         let _ = self.events.send(event);
     }
@@ -60,20 +60,20 @@
         if let Ok(step) = self.steps.try_recv() {
             return step;
         }
-        self.tell(Event::Deadline);
-        let none = Step::Answer(Answer::NotRun(NotRun::HomeUnavailable));
-        self.steps.recv().await.unwrap_or(none)
+        self.send_event(Event::Deadline);
+        let fallback = Step::Answer(Answer::NotRun(NotRun::HomeUnavailable));
+        self.steps.recv().await.unwrap_or(fallback)
     }
 }
 
 /// Starts an attempt at the home group of `home`.
 pub fn start(entry: &Rc<Entry>, home: RegionId, begin: Begin) -> Handle {
-    let (events, incoming) = unbounded_channel();
-    let (outgoing, steps) = unbounded_channel();
+    let (events, event_receiver) = unbounded_channel();
+    let (step_sender, steps) = unbounded_channel();
     let mut effects = Vec::new();
     let attempt = Attempt::new(home, begin, &mut effects);
-    let driver = Driver { entry: entry.clone(), attempt, proposals: JoinSet::new(), outgoing };
-    task::spawn_local(driver.run(incoming, effects));
+    let driver = Driver { entry: entry.clone(), attempt, proposals: JoinSet::new(), step_sender };
+    task::spawn_local(driver.run(event_receiver, effects));
     Handle { events, steps }
 }
 
@@ -87,29 +87,29 @@
     entry: Rc<Entry>,
     attempt: Attempt,
     proposals: JoinSet<Option<Replied>>,
-    outgoing: UnboundedSender<Step>,
+    step_sender: UnboundedSender<Step>,
 }
 
 impl Driver {
     async fn run(mut self, mut events: UnboundedReceiver<Event>, mut effects: Vec<Effect>) {
-        let mut is_open = true;
+        let mut is_handle_open = true;
         loop {
             effects.drain(..).for_each(|it| self.carry_out(it));
-            if self.attempt.is_settled() || (self.attempt.is_lost() && !is_open) {
+            if self.attempt.is_settled() || (self.attempt.is_lost() && !is_handle_open) {
                 return;
             }
             // What the booking tells goes first, so that no call is sent after its deadline.
             let event = tokio::select! {
                 biased;
-                event = events.recv(), if is_open => {
-                    is_open = event.is_some();
+                event = events.recv(), if is_handle_open => {
+                    is_handle_open = event.is_some();
                     event.unwrap_or(Event::Deadline)
                 }
                 Some(replied) = self.proposals.join_next() => match replied {
                     Ok(Some(Replied { step, reply })) => Event::Replied { step, reply },
                     _ => continue,
                 },
-                () = sleep(RETRY_PAUSE), if self.proposals.is_empty() => Event::Tick,
+                () = sleep(RETRY_INTERVAL), if self.proposals.is_empty() => Event::Tick,
             };
             self.attempt.handle(event, &mut effects);
         }
@@ -122,14 +122,14 @@
                 self.proposals.spawn_local(propose(entry, step, home, action));
             }
             // A booking that has ended takes no step.
-            Effect::Send => drop(self.outgoing.send(Step::Send)),
-            Effect::Answer(answer) => drop(self.outgoing.send(Step::Answer(answer))),
+            Effect::Send => drop(self.step_sender.send(Step::Send)),
+            Effect::Answer(answer) => drop(self.step_sender.send(Step::Answer(answer))),
         }
     }
 }
 
 async fn propose(entry: Rc<Entry>, step: u32, home: RegionId, action: Action) -> Option<Replied> {
-    match calls::act(&entry.node, &home, action, PROPOSAL_LIMIT).await {
+    match calls::act(&entry.node, &home, action, PROPOSAL_TIMEOUT).await {
         Ok(reply) => Some(Replied { step, reply }),
         Err(error) => {
             tracing::debug!(%error, "a booking's proposal had no reply");
--- a/src/coordination/entry/callers.rs
+++ b/src/coordination/entry/callers.rs
@@ -52,10 +52,10 @@
 };
 
 /// Time that a look-up may take.
-const LOOK_UP_LIMIT: Duration = Duration::from_secs(4);
+const LOOK_UP_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Path under which plain services are called.
-const SERVICES: &str = "/v1/services/";
+const SERVICES_PATH: &str = "/v1/services/";
 
 /// Serves the callers' interface until `stop` turns true.
 pub async fn serve(entry: Rc<Entry>, listener: TcpListener, stop: watch::Receiver<bool>) {
@@ -88,7 +88,7 @@
         (&Method::GET, path) if path.starts_with("/v1/requests/") => {
             look_up(&entry, &caller.team, path).await
         }
-        (_, path) if path.starts_with(SERVICES) => call_service(entry, caller, request).await,
+        (_, path) if path.starts_with(SERVICES_PATH) => call_service(entry, caller, request).await,
         _ => refuse(404, "not-found", "there is no such resource"),
     }
 }
@@ -144,11 +144,11 @@
     let status = match recent {
         // It may have been settled since then; the home group knows.
         Some(record) if record.outcome == Some(Outcome::Unknown) => {
-            let newest = lookup::record_status(&entry.node, &id, LOOK_UP_LIMIT).await;
+            let newest = lookup::record_status(&entry.node, &id, LOOK_UP_TIMEOUT).await;
             newest.or(Ok(RecordStatus::Recorded(record)))
         }
         Some(record) => Ok(RecordStatus::Recorded(record)),
-        None => lookup::record_status(&entry.node, &id, LOOK_UP_LIMIT).await,
+        None => lookup::record_status(&entry.node, &id, LOOK_UP_TIMEOUT).await,
     };
     match status {
         Ok(RecordStatus::Recorded(record)) if record.team != team.id => {
@@ -177,9 +177,9 @@
     let policy = configuration.policy();
     let longest = policy
         .map_or(inference::DEFAULT_DEADLINE, |it| Duration::from_millis(it.deadline_ms.into()));
-    let wish = request.headers().get(headers::DEADLINE).and_then(|it| it.to_str().ok());
-    let wish = wish.and_then(|it| it.parse().ok()).map(Duration::from_millis);
-    wish.map_or(longest, |wish| wish.min(longest))
+    let requested = request.headers().get(headers::DEADLINE).and_then(|it| it.to_str().ok());
+    let requested = requested.and_then(|it| it.parse().ok()).map(Duration::from_millis);
+    requested.map_or(longest, |requested| requested.min(longest))
 }
 
 async fn infer(entry: Rc<Entry>, caller: Caller, request: Request<Incoming>) -> Answer {
@@ -200,7 +200,7 @@
     if caller.configuration.item(&target).is_none() {
         return refuse(404, "unknown-model", &format!("there is no {target}"));
     }
-    let id = match entry.begin(caller.team.id.clone(), target) {
+    let id = match entry.begin_request(caller.team.id.clone(), target) {
         Ok(id) => id,
         Err(refusal) => return body::refusal(&Problem::from_refusal(&refusal)),
     };
@@ -218,8 +218,8 @@
         deadline,
         excluded: Vec::new(),
     };
-    let limit = inference::head_limit(&facts);
-    let call = inference::call_of(path, content, head.stream, limit);
+    let head_timeout = inference::head_timeout(&facts);
+    let call = inference::call_of(path, content, head.stream, head_timeout);
     let cost = inference::cost_of(&head);
     let job = Job { origin: JobOrigin::Caller(CallerRequest::new(facts)), call, cost };
     // The request goes on to its recorded end when the caller's connection is lost.
@@ -236,12 +236,12 @@
 ) -> Answer {
     tokio::select! {
         answer = &mut task => answer.unwrap_or_else(|_| {
-            entry.end(id, Outcome::Unknown, "the request failed");
+            entry.end_request(id, Outcome::Unknown, "the request failed");
             failed(id)
         }),
-        () = entry.intake.wait_cut() => {
+        () = entry.intake.wait_for_abort() => {
             task.abort();
-            inference::refuse(entry, id, &entry.cut_refusal(outcome))
+            inference::refuse(entry, id, &entry.abort_refusal(outcome))
         }
     }
 }
@@ -254,7 +254,7 @@
 /// Service and path out of `/v1/services/{service}/{path}`.
 fn service_path(request: &Request<Incoming>) -> Result<(ServiceId, SmolStr), Answer> {
     let target = request.uri().path_and_query().map_or("", |it| it.as_str());
-    let rest = target.strip_prefix(SERVICES).unwrap_or_default();
+    let rest = target.strip_prefix(SERVICES_PATH).unwrap_or_default();
     let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
     let service =
         service.parse().map_err(|error| refuse(400, "no-service-id", &format!("{error}")))?;
@@ -281,14 +281,14 @@
         return refuse(404, "unknown-service", &format!("there is no service {id}"));
     };
     let method = request.method().clone();
-    let is_repeatable = service.idempotent || matches!(method, Method::GET | Method::HEAD);
-    let key = match (booking_key(&entry, &request), is_repeatable) {
+    let is_idempotent = service.idempotent || matches!(method, Method::GET | Method::HEAD);
+    let key = match (booking_key(&entry, &request), is_idempotent) {
         (Err(answer), _) => return answer,
         (Ok(None), false) => {
             let title = "this call may not be repeated; send an Idempotency-Key";
             return refuse(400, "no-idempotency-key", title);
         }
-        (Ok(key), _) => key.filter(|_| !is_repeatable),
+        (Ok(key), _) => key.filter(|_| !is_idempotent),
     };
     let media = request.headers().get(hyper::header::CONTENT_TYPE);
     let media = media.and_then(|it| it.to_str().ok()).map(SmolStr::new);
@@ -297,13 +297,13 @@
         Ok(content) => content,
         Err(answer) => return answer,
     };
-    let request_id = match entry.begin(team.id.clone(), ItemKey::Service(id.clone())) {
+    let request_id = match entry.begin_request(team.id.clone(), ItemKey::Service(id.clone())) {
         Ok(id) => id,
         Err(refusal) => return refuse_call(&refusal, is_keyed),
     };
     if let Err(refusal) = entry.check_limit(&team.id) {
         return match key {
-            Some(_) => services::refuse_unasked(&entry, &request_id, &refusal),
+            Some(_) => services::refuse_before_lookup(&entry, &request_id, &refusal),
             None => inference::refuse(&entry, &request_id, &refusal),
         };
     }
@@ -322,19 +322,19 @@
         true => Reuse::Never,
         false => Reuse::Allowed,
     };
-    let print = content_print(&method, &path, &content);
+    let call_fingerprint = content_fingerprint(&method, &path, &content);
     let call = Call {
         method,
         path,
         media,
         key: key.as_ref().map(|it| it.to_smolstr()),
-        limit: inference::head_limit(&facts),
-        content: print,
+        head_timeout: inference::head_timeout(&facts),
+        fingerprint: call_fingerprint,
         body: content,
         stream: false,
         reuse,
     };
-    let cost = inference::DEFAULT_COST;
+    let cost = inference::DEFAULT_COST_TOKENS;
     let job = Job { origin: JobOrigin::Caller(CallerRequest::new(facts)), call, cost };
     let home = configuration.home_of(&team.id);
     let epoch = home.map_or(configuration.revision, |it| it.epoch);
@@ -352,8 +352,8 @@
                 epoch,
                 moved,
                 key,
-                content: print,
-                outcomes: service.outcomes,
+                fingerprint: call_fingerprint,
+                can_query_outcome: service.outcomes,
                 job,
             },
         )),
@@ -375,7 +375,7 @@
     key.map(Some)
 }
 
-fn content_print(method: &Method, path: &str, content: &[u8]) -> Fingerprint {
+fn content_fingerprint(method: &Method, path: &str, content: &[u8]) -> Fingerprint {
     let mut text = format!("{method} {path}\n").into_bytes();
     text.extend_from_slice(content);
     Fingerprint::of(&text)
--- a/src/coordination/entry/cooldown.rs
+++ b/src/coordination/entry/cooldown.rs
@@ -29,8 +29,8 @@
         let mut ends = self.ends.borrow_mut();
         ends.retain(|it| now < it.1);
         match ends.binary_search_by(|it| it.0.cmp(id)) {
-            Ok(found) => ends[found].1 = now + COOLDOWN,
-            Err(place) => ends.insert(place, (id.clone(), now + COOLDOWN)),
+            Ok(index) => ends[index].1 = now + COOLDOWN,
+            Err(index) => ends.insert(index, (id.clone(), now + COOLDOWN)),
         }
     }
 
--- a/src/coordination/entry/crashes.rs
+++ b/src/coordination/entry/crashes.rs
@@ -18,30 +18,30 @@
 use crate::{coordination::entry::Entry, protocol::Message};
 
 /// Time for which a connection to a live upstream stays open.
-const PROBE_HOLD: Duration = Duration::from_millis(100);
+const PROBE_HOLD_TIME: Duration = Duration::from_millis(100);
 
 /// Connections that are opened at most to find out whether an upstream is down.
-const PROBES: u32 = 5;
+const MAX_PROBES: u32 = 5;
 
 /// Time in which a live upstream accepts a connection.
-const PROBE_LIMIT: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Facts that a starting instance is sent at most.
-const FACTS_FOR_NEWCOMER: usize = 1_024;
+const MAX_INITIAL_FACTS: usize = 1_024;
 
 impl Entry {
     /// Feeds an event to the suspects and carries its effects out.
-    pub fn suspect(&self, event: Event) {
+    pub fn handle_suspect_event(&self, event: Event) {
         let mut effects = Vec::new();
         self.suspects.borrow_mut().handle(self.node.now(), event, &mut effects);
         for effect in effects {
             match effect {
-                Effect::Publish(fact) => self.share(&fact),
+                Effect::Publish(fact) => self.publish_fact(&fact),
                 Effect::Reserve { upstream, lifetime } => {
-                    self.tell_zone(&Message::Reserve { upstream, lifetime });
+                    self.notify_zone(&Message::Reserve { upstream, lifetime });
                 }
                 Effect::ReleaseReservation { upstream } => {
-                    self.tell_zone(&Message::Free { upstream })
+                    self.notify_zone(&Message::Free { upstream })
                 }
                 // The request's own connection tells its task the same.
                 Effect::Interrupted { .. } => {}
@@ -50,9 +50,9 @@
     }
 
     /// Notes that a request was sent to an upstream.
-    pub fn note_sent(&self, request: &RequestId, content: Fingerprint, upstream: &UpstreamId) {
+    pub fn track_sent(&self, request: &RequestId, content: Fingerprint, upstream: &UpstreamId) {
         let Some(incarnation) = self.incarnation_of(upstream) else { return };
-        self.suspect(Event::Sent {
+        self.handle_suspect_event(Event::Sent {
             request: request.clone(),
             fingerprint: content,
             upstream: upstream.clone(),
@@ -84,31 +84,31 @@
     ///
     /// Upstreams that a suspect would share with others are barred too, as long as one is free.
     /// Suspects have at most half of the upstreams at a time, so that other requests go on.
-    pub fn barred(&self, target: &Target, content: Fingerprint) -> Vec<UpstreamId> {
+    pub fn denied_upstreams(&self, target: &Target, content: Fingerprint) -> Vec<UpstreamId> {
         let suspects = self.suspects.borrow();
         if suspects.is_unrestricted() {
             return Vec::new();
         }
         let now = self.node.now();
         let serving = self.live_upstreams(target);
-        let taken = serving.iter().filter(|it| suspects.has_suspect(now, it)).count();
+        let occupied = serving.iter().filter(|it| suspects.has_suspect(now, it)).count();
         let is_suspect = suspects.status(now, content) == ContentStatus::Suspect;
-        if is_suspect && taken >= (serving.len() / 2).max(1) {
+        if is_suspect && occupied >= (serving.len() / 2).max(1) {
             return serving;
         }
-        let (mut shared, mut barred, mut has_free) = (Vec::new(), Vec::new(), false);
+        let (mut shared, mut denied, mut has_allowed) = (Vec::new(), Vec::new(), false);
         for id in serving {
             match suspects.placement(now, content, &id) {
-                Placement::Allowed => has_free = true,
+                Placement::Allowed => has_allowed = true,
                 Placement::LastResort => shared.push(id),
-                Placement::Denied => barred.push(id),
+                Placement::Denied => denied.push(id),
             }
         }
-        if has_free {
-            barred.append(&mut shared);
+        if has_allowed {
+            denied.append(&mut shared);
         }
-        barred.sort();
-        barred
+        denied.sort();
+        denied
     }
 
     /// The upstreams of the zone that serve a target and take connections, sorted.
@@ -124,14 +124,14 @@
     }
 
     /// Finds out whether an upstream crashed under a request, by a new connection.
-    pub async fn examine_loss(
+    pub async fn check_for_crash(
         &self,
         request: &RequestId,
         upstream: &UpstreamId,
         address: SocketAddr,
     ) {
         let incarnation = self.suspects.borrow().incarnation_of(request);
-        let is_refused = is_down(address).await;
+        let is_refused = refuses_connections(address).await;
         if is_refused {
             self.cooldowns.begin(self.node.now(), upstream);
         }
@@ -139,19 +139,19 @@
             Some(incarnation) => {
                 tracing::warn!(%upstream, %incarnation, %request, "upstream crashed");
                 let upstream = upstream.clone();
-                self.suspect(Event::UpstreamCrashed { upstream, incarnation });
+                self.handle_suspect_event(Event::UpstreamCrashed { upstream, incarnation });
             }
-            None => self.suspect(Event::Inconclusive { request: request.clone() }),
+            None => self.handle_suspect_event(Event::Inconclusive { request: request.clone() }),
         }
     }
 
-    fn share(&self, fact: &Fact) {
+    fn publish_fact(&self, fact: &Fact) {
         for peer in self.node.cluster.entries().filter(|it| it.id != self.node.own.id) {
             self.node.send(&peer.id, Message::Fact(fact.clone()));
         }
     }
 
-    fn tell_zone(&self, message: &Message) {
+    fn notify_zone(&self, message: &Message) {
         let own = &self.node.own;
         let peers = self.node.cluster.entries();
         for peer in peers.filter(|it| it.zone == own.zone && it.id != own.id) {
@@ -160,7 +160,7 @@
     }
 
     /// Sends what is known to an entry instance that has come up.
-    pub fn inform(&self, peer: &InstanceId) {
+    pub fn send_facts(&self, peer: &InstanceId) {
         let members = self.node.members.borrow();
         let is_entry = members.peer(peer).is_some_and(|it| it.seed.kind == InstanceKind::Entry);
         drop(members);
@@ -168,7 +168,7 @@
             return;
         }
         let facts = self.suspects.borrow().ledger().facts(self.node.now());
-        for fact in facts.into_iter().take(FACTS_FOR_NEWCOMER) {
+        for fact in facts.into_iter().take(MAX_INITIAL_FACTS) {
             self.node.send(peer, Message::Fact(fact));
         }
     }
@@ -178,14 +178,14 @@
 ///
 /// While a process ends, its port may still take a connection that breaks a moment later; then
 /// the next one tells.
-async fn is_down(address: SocketAddr) -> bool {
-    for _ in 0..PROBES {
-        let mut stream = match timeout(PROBE_LIMIT, TcpStream::connect(address)).await {
+async fn refuses_connections(address: SocketAddr) -> bool {
+    for _ in 0..MAX_PROBES {
+        let mut stream = match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return error.kind() == std::io::ErrorKind::ConnectionRefused,
             Err(_) => return false,
         };
-        if timeout(PROBE_HOLD, stream.read(&mut [0])).await.is_err() {
+        if timeout(PROBE_HOLD_TIME, stream.read(&mut [0])).await.is_err() {
             return false;
         }
     }
--- a/src/coordination/entry/exchange.rs
+++ b/src/coordination/entry/exchange.rs
@@ -20,7 +20,7 @@
 use crate::{
     coordination::entry::{
         Entry,
-        forward::{self, Refused},
+        forward::{self, ForwardFailure},
         silence,
     },
     protocol::headers,
@@ -30,7 +30,7 @@
 };
 
 /// Time until a connection to an upstream is open.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What is sent, whatever it is sent to.
 #[derive(Debug, Clone)]
@@ -44,7 +44,7 @@
     /// Key under which the call runs at most once.
     pub key: Option<SmolStr>,
     /// Fingerprint of the request's content.
-    pub content: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// The body, as the caller sent it.
     pub body: Bytes,
     /// Whether the answer is a stream of events.
@@ -52,12 +52,12 @@
     /// Whether a connection that was used before will do.
     pub reuse: Reuse,
     /// Time that the other side has for the head of its answer.
-    pub limit: Duration,
+    pub head_timeout: Duration,
 }
 
 /// Where a request was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Place {
+pub enum Destination {
     /// An upstream of the own zone.
     Upstream(UpstreamId),
     /// Another zone.
@@ -67,7 +67,7 @@
 /// An answer whose head has arrived.
 pub struct Exchange {
     /// Where the request was sent.
-    pub place: Place,
+    pub destination: Destination,
     /// Address of the other side.
     pub address: SocketAddr,
     /// Names the attempt in the router's events.
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 pub struct FailedAttempt {
     /// Where the request was sent.
-    pub place: Place,
+    pub destination: Destination,
     /// What is known of what became of it.
     pub failure: Failure,
     /// Why it failed.
@@ -101,13 +101,14 @@
     call: &Call,
 ) -> Result<Exchange, FailedAttempt> {
     let route = authorized.route().clone();
-    let place = Place::Upstream(route.upstream.clone());
+    let destination = Destination::Upstream(route.upstream.clone());
     let request = upstream_request(facts, call, route.address);
     entry.router.borrow_mut().record_sent(entry.node.now(), &authorized, facts);
-    entry.note_sent(&facts.id, call.content, &route.upstream);
-    entry.step(&facts.id, Stage::Sent { upstream: route.upstream });
-    let destination = Destination { place, address: route.address, attempt_id: route.attempt_id };
-    send(entry, destination, facts, request, call).await
+    entry.track_sent(&facts.id, call.fingerprint, &route.upstream);
+    entry.record_stage(&facts.id, Stage::Sent { upstream: route.upstream });
+    let endpoint =
+        AttemptEndpoint { destination, address: route.address, attempt_id: route.attempt_id };
+    send(entry, endpoint, facts, request, call).await
 }
 
 /// Hands a call to another zone.
@@ -118,7 +119,7 @@
 /// # Errors
 ///
 /// Fails when no answer that belongs to the request arrives, or when the zone refuses it.
-pub async fn send_to_zone(
+pub async fn forward_to_zone(
     entry: &Entry,
     authorized: AuthorizedForward,
     facts: &RequestFacts,
@@ -126,10 +127,10 @@
 ) -> Result<Exchange, FailedAttempt> {
     let route = authorized.route().clone();
     entry.router.borrow_mut().record_forwarded(entry.node.now(), &authorized);
-    entry.step(&facts.id, Stage::Forwarded { zone: route.zone.clone() });
+    entry.record_stage(&facts.id, Stage::Forwarded { zone: route.zone.clone() });
     let peers = forward::receivers(entry, &route.zone, &route.entry);
     let mut failed = FailedAttempt {
-        place: Place::Zone(route.zone.clone()),
+        destination: Destination::Zone(route.zone.clone()),
         failure: Failure::NotSent,
         reason: "the entry instance is not in the cluster file".into(),
     };
@@ -138,15 +139,15 @@
             failed.reason = "the request can't be encoded".into();
             break;
         };
-        let place = Place::Zone(route.zone.clone());
-        let destination = Destination { place, address, attempt_id: route.attempt_id };
-        let result = send(entry, destination, facts, request, call).await;
+        let destination = Destination::Zone(route.zone.clone());
+        let endpoint = AttemptEndpoint { destination, address, attempt_id: route.attempt_id };
+        let result = send(entry, endpoint, facts, request, call).await;
         failed = match forward::check_refusal(entry, result).await {
             Ok(exchange) => return Ok(exchange),
-            Err(Refused::ByZone(failed)) => return Err(failed),
-            Err(Refused::ByInstance(failed)) => failed,
+            Err(ForwardFailure::ByZone(failed)) => return Err(failed),
+            Err(ForwardFailure::ByInstance(failed)) => failed,
         };
-        entry.closed_entries.begin(entry.node.now(), &id);
+        entry.unavailable_entries.begin(entry.node.now(), &id);
     }
     Err(failed)
 }
@@ -177,25 +178,25 @@
 }
 
 /// Where a request is being sent.
-struct Destination {
-    place: Place,
+struct AttemptEndpoint {
+    destination: Destination,
     address: SocketAddr,
     attempt_id: AttemptId,
 }
 
 async fn send(
     entry: &Entry,
-    destination: Destination,
+    endpoint: AttemptEndpoint,
     facts: &RequestFacts,
     request: Request<RequestBody>,
     call: &Call,
 ) -> Result<Exchange, FailedAttempt> {
     let id = &facts.id;
-    let Destination { place, address, attempt_id } = destination;
-    let limits = CallLimits { connect: CONNECT_LIMIT, head: call.limit };
-    let result = match (&place, &facts.target) {
-        (Place::Upstream(_), target @ Target::Model(_)) => {
-            let to = silence::Destination { address, id, target };
+    let AttemptEndpoint { destination, address, attempt_id } = endpoint;
+    let limits = CallLimits { connect: CONNECT_TIMEOUT, head: call.head_timeout };
+    let result = match (&destination, &facts.target) {
+        (Destination::Upstream(_), target @ Target::Model(_)) => {
+            let to = silence::EngineRequest { address, id, target };
             silence::call(entry, to, request, call, limits).await
         }
         _ => entry.client.call(address, request, call.reuse, limits).await,
@@ -203,28 +204,28 @@
     let (answer, connection) = match result {
         Ok(answered) => answered,
         Err(error) => {
-            entry.routed(router::Event::Failed(attempt_id));
-            return Err(failed_call(entry, place, address, id, &error).await);
+            entry.notify_router(router::Event::Failed(attempt_id));
+            return Err(handle_failed_call(entry, destination, address, id, &error).await);
         }
     };
-    if is_foreign(&answer, id) {
+    if belongs_to_other_request(&answer, id) {
         metrics::counter!(CROSSED).increment(1);
-        entry.routed(router::Event::Failed(attempt_id));
+        entry.notify_router(router::Event::Failed(attempt_id));
         let reason = "the answer belongs to another request".into();
-        return Err(FailedAttempt { place, failure: Failure::Lost, reason });
+        return Err(FailedAttempt { destination, failure: Failure::Lost, reason });
     }
-    Ok(Exchange { place, address, attempt_id, answer, connection })
+    Ok(Exchange { destination, address, attempt_id, answer, connection })
 }
 
 /// Whether the head of an answer names another request, or none.
-fn is_foreign(answer: &Response<Incoming>, id: &RequestId) -> bool {
+fn belongs_to_other_request(answer: &Response<Incoming>, id: &RequestId) -> bool {
     let named = answer.headers().get(headers::REQUEST_ID).and_then(|it| it.to_str().ok());
     named != Some(id.to_string().as_str())
 }
 
-async fn failed_call(
+async fn handle_failed_call(
     entry: &Entry,
-    place: Place,
+    destination: Destination,
     address: SocketAddr,
     id: &RequestId,
     error: &CallError,
@@ -235,14 +236,14 @@
         true => Failure::NotSent,
         false => Failure::Lost,
     };
-    if let Place::Upstream(upstream) = &place {
+    if let Destination::Upstream(upstream) = &destination {
         if matches!(error, CallError::Connect { .. } | CallError::Silent { .. }) {
             entry.cooldowns.begin(entry.node.now(), upstream);
         }
         match failure {
-            Failure::Lost => entry.examine_loss(id, upstream, address).await,
-            _ => entry.suspect(suspects::Event::Inconclusive { request: id.clone() }),
+            Failure::Lost => entry.check_for_crash(id, upstream, address).await,
+            _ => entry.handle_suspect_event(suspects::Event::Inconclusive { request: id.clone() }),
         }
     }
-    FailedAttempt { place, failure, reason: smol_str::format_smolstr!("{error}") }
+    FailedAttempt { destination, failure, reason: smol_str::format_smolstr!("{error}") }
 }
--- a/src/coordination/entry/forward.rs
+++ b/src/coordination/entry/forward.rs
@@ -36,10 +36,10 @@
 const MAX_RECEIVERS: usize = 2;
 
 /// Longest problem document of a receiver, in bytes.
-const PROBLEM_BYTES: usize = 16 * 1024;
+const MAX_PROBLEM_BYTES: usize = 16 * 1024;
 
 /// Time that a problem document may take after its head.
-const PROBLEM_LIMIT: Duration = Duration::from_secs(1);
+const PROBLEM_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A call on its way between two zones.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -93,17 +93,17 @@
     zone: &ZoneId,
     preferred: &InstanceId,
 ) -> Vec<(InstanceId, SocketAddr)> {
-    let closed = entry.closed_entries.ids(entry.node.now());
-    let near = entry.node.cluster.entries().filter(|it| it.zone == *zone);
+    let unavailable = entry.unavailable_entries.ids(entry.node.now());
+    let in_zone = entry.node.cluster.entries().filter(|it| it.zone == *zone);
     let mut receivers: Vec<(InstanceId, SocketAddr)> =
-        near.map(|it| (it.id.clone(), it.internal)).collect();
-    receivers.sort_by_key(|it| (closed.binary_search(&it.0).is_ok(), it.0 != *preferred));
+        in_zone.map(|it| (it.id.clone(), it.internal)).collect();
+    receivers.sort_by_key(|it| (unavailable.binary_search(&it.0).is_ok(), it.0 != *preferred));
     receivers.truncate(MAX_RECEIVERS);
     receivers
 }
 
 /// A authorized that brought no answer.
-pub enum Refused {
+pub enum ForwardFailure {
     /// The zone refused the request, or what became of it is not known.
     ByZone(FailedAttempt),
     /// The instance takes no requests; another one of its zone may.
@@ -119,29 +119,33 @@
 pub async fn check_refusal(
     entry: &Entry,
     result: Result<Exchange, FailedAttempt>,
-) -> Result<Exchange, Refused> {
+) -> Result<Exchange, ForwardFailure> {
     let exchange = match result {
         Ok(exchange) => exchange,
         Err(failed) if failed.failure == Failure::NotSent => {
-            return Err(Refused::ByInstance(failed));
+            return Err(ForwardFailure::ByInstance(failed));
         }
-        Err(failed) => return Err(Refused::ByZone(failed)),
+        Err(failed) => return Err(ForwardFailure::ByZone(failed)),
     };
     let outcome = exchange.answer.headers().get(headers::OUTCOME);
     let is_not_run = outcome.is_some_and(|it| it == Outcome::NotRun.to_string().as_str());
     if !is_not_run {
         return Ok(exchange);
     }
-    entry.routed(router::Event::Failed(exchange.attempt_id));
+    entry.notify_router(router::Event::Failed(exchange.attempt_id));
     let reason = "the receiving zone refused it".into();
-    let failed = FailedAttempt { place: exchange.place, failure: Failure::ZoneRefused, reason };
-    let content = timeout(PROBLEM_LIMIT, body::read(exchange.answer.into_body(), PROBLEM_BYTES));
+    let failed =
+        FailedAttempt { destination: exchange.destination, failure: Failure::ZoneRefused, reason };
+    let content =
+        timeout(PROBLEM_TIMEOUT, body::read(exchange.answer.into_body(), MAX_PROBLEM_BYTES));
     let problem = match content.await {
         Ok(Ok(content)) => serde_json::from_slice::<Problem>(&content).ok(),
         _ => None,
     };
     match problem {
-        Some(problem) if problem.kind == Reason::Leaving.slug() => Err(Refused::ByInstance(failed)),
-        _ => Err(Refused::ByZone(failed)),
+        Some(problem) if problem.kind == Reason::Leaving.slug() => {
+            Err(ForwardFailure::ByInstance(failed))
+        }
+        _ => Err(ForwardFailure::ByZone(failed)),
     }
 }
--- a/src/coordination/entry/inference/choice.rs
+++ b/src/coordination/entry/inference/choice.rs
@@ -12,17 +12,17 @@
 };
 use tokio::time::sleep;
 
-use super::{AttemptEnd, Job, JobOrigin};
+use super::{AttemptError, Job, JobOrigin};
 use crate::coordination::entry::{
     Entry,
     exchange::{self, Exchange},
 };
 
 /// Decides where the request goes.
-pub(super) fn choose(entry: &Entry, job: &Job) -> Result<Choice, AttemptEnd> {
+pub(super) fn choose(entry: &Entry, job: &Job) -> Result<Choice, AttemptError> {
     let Some(configuration) = entry.configuration() else {
         let refusal = entry.refusal(Reason::NoConfiguration, Duration::from_secs(1));
-        return Err(AttemptEnd::Refused(refusal));
+        return Err(AttemptError::Refused(refusal));
     };
     let (now, lease) = (entry.node.now(), entry.lease());
     let membership = &entry.node.members.borrow();
@@ -41,59 +41,65 @@
 ///
 /// An upstream that cools down, or at which an attempt has failed, is used when no other is left:
 /// often the connection failed, not the upstream.
-fn choose_among(entry: &Entry, job: &Job, barred: &[UpstreamId]) -> Result<Choice, AttemptEnd> {
-    let mut open = Job { origin: job.origin.clone(), call: job.call.clone(), cost: 0 };
+fn choose_among(entry: &Entry, job: &Job, denied: &[UpstreamId]) -> Result<Choice, AttemptError> {
+    let mut candidate = Job { origin: job.origin.clone(), call: job.call.clone(), cost: 0 };
     let cooling = entry.cooldowns.ids(entry.node.now());
-    barred.iter().chain(&cooling).for_each(|it| open.exclude(it));
-    let choice = choose(entry, &open);
-    if !barred.is_empty() || !is_without_upstream(&choice) {
+    denied.iter().chain(&cooling).for_each(|it| candidate.exclude(it));
+    let choice = choose(entry, &candidate);
+    if !denied.is_empty() || !is_without_upstream(&choice) {
         return choice;
     }
-    open.clear_excluded();
-    choose(entry, &open)
+    candidate.clear_excluded();
+    choose(entry, &candidate)
 }
 
-fn is_without_upstream(choice: &Result<Choice, AttemptEnd>) -> bool {
+fn is_without_upstream(choice: &Result<Choice, AttemptError>) -> bool {
     let is_without = |reason| matches!(reason, Reason::NoUpstream | Reason::ServedElsewhere);
-    matches!(choice, Err(AttemptEnd::Refused(it)) if is_without(it.reason))
+    matches!(choice, Err(AttemptError::Refused(it)) if is_without(it.reason))
 }
 
 /// Decides where the request goes; waits while suspects have every upstream.
-async fn choose_in_time(entry: &Entry, job: &Job) -> Result<Choice, AttemptEnd> {
+async fn choose_before_deadline(entry: &Entry, job: &Job) -> Result<Choice, AttemptError> {
     let end = entry.node.now() + job.facts().deadline;
     loop {
-        entry.check_quarantine(job.call.content).map_err(AttemptEnd::Refused)?;
-        let barred = entry.barred(&job.facts().target, job.call.content);
-        let choice = choose_among(entry, job, &barred);
-        if barred.is_empty() || !is_without_upstream(&choice) {
+        entry.check_quarantine(job.call.fingerprint).map_err(AttemptError::Refused)?;
+        let denied = entry.denied_upstreams(&job.facts().target, job.call.fingerprint);
+        let choice = choose_among(entry, job, &denied);
+        if denied.is_empty() || !is_without_upstream(&choice) {
             return choice;
         }
         if entry.node.now() >= end {
-            return Err(AttemptEnd::Refused(entry.refusal(Reason::Overloaded, SUSPECT_PAUSE)));
+            return Err(AttemptError::Refused(
+                entry.refusal(Reason::Overloaded, SUSPECT_POLL_INTERVAL),
+            ));
         }
-        sleep(SUSPECT_PAUSE).await;
+        sleep(SUSPECT_POLL_INTERVAL).await;
     }
 }
 
 /// Time between two looks for an upstream that no suspect has.
-const SUSPECT_PAUSE: Duration = Duration::from_millis(20);
+const SUSPECT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Decides where the request goes, checks residency at the moment of leaving, and sends it.
-pub async fn send(entry: &Entry, job: &Job) -> Result<Exchange, AttemptEnd> {
-    let choice = choose_in_time(entry, job).await?;
-    leave(entry, job, choice).await
+pub async fn send(entry: &Entry, job: &Job) -> Result<Exchange, AttemptError> {
+    let choice = choose_before_deadline(entry, job).await?;
+    authorize_and_send(entry, job, choice).await
 }
 
 /// Checks residency at the moment of leaving, and sends the request.
-async fn leave(entry: &Entry, job: &Job, choice: Choice) -> Result<Exchange, AttemptEnd> {
+async fn authorize_and_send(
+    entry: &Entry,
+    job: &Job,
+    choice: Choice,
+) -> Result<Exchange, AttemptError> {
     let Some(configuration) = entry.configuration() else {
         let refusal = entry.refusal(Reason::NoConfiguration, Duration::from_secs(1));
-        return Err(AttemptEnd::Refused(refusal));
+        return Err(AttemptError::Refused(refusal));
     };
     let facts = job.facts();
     let not_permitted = |error: routing::ResidencyError| {
         tracing::warn!(request = %facts.id, %error, "residency");
-        AttemptEnd::Refused(entry.refusal(Reason::NotPermitted, Duration::ZERO))
+        AttemptError::Refused(entry.refusal(Reason::NotPermitted, Duration::ZERO))
     };
     let result = match (choice, &job.origin) {
         (Choice::Serve(route), _) => {
@@ -103,17 +109,17 @@
         (Choice::Forward(route), JobOrigin::Caller(origin)) => {
             let authorized =
                 route.authorize(&configuration, entry.lease(), origin).map_err(not_permitted)?;
-            exchange::send_to_zone(entry, authorized, facts, &job.call).await
+            exchange::forward_to_zone(entry, authorized, facts, &job.call).await
         }
         (Choice::Forward(_), JobOrigin::Zone(_)) => {
-            return Err(AttemptEnd::Refused(entry.refusal(Reason::NoUpstream, Duration::ZERO)));
+            return Err(AttemptError::Refused(entry.refusal(Reason::NoUpstream, Duration::ZERO)));
         }
     };
-    result.map_err(AttemptEnd::Failed)
+    result.map_err(AttemptError::Failed)
 }
 
-fn routing_refused(entry: &Entry, refusal: &routing::Refusal) -> AttemptEnd {
+fn routing_refused(entry: &Entry, refusal: &routing::Refusal) -> AttemptError {
     tracing::info!(%refusal, "no route");
     let wait = refusal.retry_after().unwrap_or_default();
-    AttemptEnd::Refused(entry.refusal(refusal.reason(), wait))
+    AttemptError::Refused(entry.refusal(refusal.reason(), wait))
 }
--- a/src/coordination/entry/inference/delivery.rs
+++ b/src/coordination/entry/inference/delivery.rs
@@ -15,7 +15,7 @@
 };
 use tokio::task;
 
-use super::{AttemptEnd, Job, Place};
+use super::{AttemptError, Destination, Job};
 use crate::{
     coordination::entry::{
         Entry,
@@ -28,10 +28,10 @@
 };
 
 /// Longest answer that is not streamed, in bytes.
-const ANSWER_BYTES: usize = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 /// Whether an upstream's error document says that it has not begun the request.
-pub fn says_not_started(status: StatusCode, content: &[u8]) -> bool {
+pub fn is_not_started(status: StatusCode, content: &[u8]) -> bool {
     if !status.is_server_error() {
         return false;
     }
@@ -45,18 +45,22 @@
     job: &Job,
     exchange: Exchange,
     slot: &mut Option<Slot>,
-) -> Result<Answer, AttemptEnd> {
+) -> Result<Answer, AttemptError> {
     let (id, target) = (job.facts().id.clone(), job.facts().target.clone());
-    let (place, attempt_id, address) =
-        (exchange.place.clone(), exchange.attempt_id, exchange.address);
+    let (destination, attempt_id, address) =
+        (exchange.destination.clone(), exchange.attempt_id, exchange.address);
     let mut relay = Relay::new(entry.clone(), id.clone(), exchange);
     if let Err(refusal) = relay.begin().await {
-        entry.routed(router::Event::Failed(attempt_id));
+        entry.notify_router(router::Event::Failed(attempt_id));
         let reason = refusal.reason.title().into();
-        if let Place::Upstream(upstream) = &place {
-            entry.examine_loss(&id, upstream, address).await;
+        if let Destination::Upstream(upstream) = &destination {
+            entry.check_for_crash(&id, upstream, address).await;
         }
-        return Err(AttemptEnd::Failed(FailedAttempt { place, failure: Failure::Lost, reason }));
+        return Err(AttemptError::Failed(FailedAttempt {
+            destination,
+            failure: Failure::Lost,
+            reason,
+        }));
     }
     let (sender, body) = body::streamed();
     let mut answer = Response::new(body);
@@ -68,11 +72,11 @@
     task::spawn_local(async move {
         let end = relay.deliver(sender).await;
         drop(slot);
-        if let (StreamEnd::Failed(_), Place::Upstream(upstream)) = (&end, &place) {
-            entry.examine_loss(&id, upstream, address).await;
+        if let (StreamEnd::Failed(_), Destination::Upstream(upstream)) = (&end, &destination) {
+            entry.check_for_crash(&id, upstream, address).await;
         }
-        let own = matches!(place, Place::Upstream(_)).then_some(&target);
-        finish(&entry, &id, own, attempt_id, end);
+        let local_target = matches!(destination, Destination::Upstream(_)).then_some(&target);
+        finish(&entry, &id, local_target, attempt_id, end);
     });
     Ok(answer)
 }
@@ -81,7 +85,7 @@
 fn finish(
     entry: &Entry,
     id: &RequestId,
-    own: Option<&Target>,
+    local_target: Option<&Target>,
     attempt_id: routing::AttemptId,
     end: StreamEnd,
 ) {
@@ -89,24 +93,24 @@
         StreamEnd::Complete => {
             (router::Event::Ended(attempt_id), Outcome::Answered, "whole answer")
         }
-        StreamEnd::CallerGone => {
+        StreamEnd::CallerDisconnected => {
             (router::Event::Ended(attempt_id), Outcome::Failed, "the caller went away")
         }
         StreamEnd::Failed(refusal) => {
             (router::Event::Failed(attempt_id), refusal.outcome, refusal.reason.title())
         }
     };
-    entry.routed(event);
+    entry.notify_router(event);
     let request = id.clone();
     if end == StreamEnd::Complete {
-        entry.suspect(suspects::Event::Completed { request });
-        if let Some(target) = own {
-            entry.with_budget(target, |budget| budget.record_success());
+        entry.handle_suspect_event(suspects::Event::Completed { request });
+        if let Some(target) = local_target {
+            entry.with_retry_budget(target, |budget| budget.record_success());
         }
     } else {
-        entry.suspect(suspects::Event::Inconclusive { request });
+        entry.handle_suspect_event(suspects::Event::Inconclusive { request });
     }
-    entry.end(id, outcome, reason);
+    entry.end_request(id, outcome, reason);
 }
 
 /// Reads an answer that is not streamed and passes it on.
@@ -117,24 +121,24 @@
     entry: &Rc<Entry>,
     job: &Job,
     exchange: Exchange,
-) -> Result<Answer, AttemptEnd> {
+) -> Result<Answer, AttemptError> {
     let facts = job.facts();
-    let (place, attempt_id) = (exchange.place, exchange.attempt_id);
+    let (destination, attempt_id) = (exchange.destination, exchange.attempt_id);
     let (head, incoming) = exchange.answer.into_parts();
-    entry.step(&facts.id, Stage::FirstByte);
+    entry.record_stage(&facts.id, Stage::FirstByte);
     let failed = |failure, reason| {
-        entry.suspect(suspects::Event::Inconclusive { request: facts.id.clone() });
-        entry.routed(router::Event::Failed(attempt_id));
-        let place = place.clone();
-        Err(AttemptEnd::Failed(FailedAttempt { place, failure, reason }))
+        entry.handle_suspect_event(suspects::Event::Inconclusive { request: facts.id.clone() });
+        entry.notify_router(router::Event::Failed(attempt_id));
+        let destination = destination.clone();
+        Err(AttemptError::Failed(FailedAttempt { destination, failure, reason }))
     };
-    let limited = http_body_util::Limited::new(incoming, ANSWER_BYTES);
-    let content = match tokio::time::timeout(job.call.limit, limited.collect()).await {
+    let limited = http_body_util::Limited::new(incoming, MAX_ANSWER_BYTES);
+    let content = match tokio::time::timeout(job.call.head_timeout, limited.collect()).await {
         Ok(Ok(collected)) => collected.to_bytes(),
         _ => return failed(Failure::Lost, "the answer was cut before its end".into()),
     };
     let status = head.status;
-    if says_not_started(status, &content) {
+    if is_not_started(status, &content) {
         return failed(Failure::NotSent, "the upstream did not begin it".into());
     }
     if status.is_server_error() && job.call.key.is_none() {
@@ -142,24 +146,29 @@
         return failed(Failure::Error, reason);
     }
     entry.client.give_back(exchange.connection);
-    entry.routed(router::Event::FirstToken(attempt_id));
-    entry.routed(router::Event::Ended(attempt_id));
-    pay_for_retries(entry, &facts.target, &place, status);
-    entry.suspect(suspects::Event::Completed { request: facts.id.clone() });
-    entry.end(&facts.id, Outcome::Answered, "whole answer");
-    Ok(pass_on(&facts.id, status, head.headers.get(header::CONTENT_TYPE), content))
+    entry.notify_router(router::Event::FirstToken(attempt_id));
+    entry.notify_router(router::Event::Ended(attempt_id));
+    credit_retry_budget(entry, &facts.target, &destination, status);
+    entry.handle_suspect_event(suspects::Event::Completed { request: facts.id.clone() });
+    entry.end_request(&facts.id, Outcome::Answered, "whole answer");
+    Ok(build_answer(&facts.id, status, head.headers.get(header::CONTENT_TYPE), content))
 }
 
 /// Counts an answer for the retry budget of `target`, unless it is an error, or another zone's
 /// instance sent the request to the upstream and counts it.
-pub fn pay_for_retries(entry: &Entry, target: &Target, place: &Place, status: StatusCode) {
-    if matches!(place, Place::Upstream(_)) && !status.is_server_error() {
-        entry.with_budget(target, |budget| budget.record_success());
+pub fn credit_retry_budget(
+    entry: &Entry,
+    target: &Target,
+    destination: &Destination,
+    status: StatusCode,
+) {
+    if matches!(destination, Destination::Upstream(_)) && !status.is_server_error() {
+        entry.with_retry_budget(target, |budget| budget.record_success());
     }
 }
 
 /// An upstream's answer as the caller gets it.
-pub fn pass_on(
+pub fn build_answer(
     id: &RequestId,
     status: StatusCode,
     media: Option<&header::HeaderValue>,
--- a/src/coordination/entry/inference/job.rs
+++ b/src/coordination/entry/inference/job.rs
@@ -52,7 +52,7 @@
     }
 
     /// Takes time off that the request has waited.
-    pub(super) fn spend(&mut self, waited: Duration) {
+    pub(super) fn deduct_wait(&mut self, waited: Duration) {
         match &mut self.origin {
             JobOrigin::Caller(origin) => {
                 origin.facts.deadline = origin.facts.deadline.saturating_sub(waited);
@@ -79,7 +79,7 @@
 }
 
 /// Size of a request of which only its being there is known, in tokens.
-pub const DEFAULT_COST: u32 = 1_000;
+pub const DEFAULT_COST_TOKENS: u32 = 1_000;
 
 /// Size of an inference request for fair queueing, in tokens.
 pub fn cost_of(head: &InferenceHead) -> u32 {
@@ -88,35 +88,38 @@
 }
 
 /// Time that an upstream has for the head of its answer.
-pub fn head_limit(facts: &RequestFacts) -> Duration {
-    facts.deadline + HEAD_SLACK
+pub fn head_timeout(facts: &RequestFacts) -> Duration {
+    facts.deadline + HEAD_TIMEOUT_MARGIN
 }
 
 /// Time beyond the deadline for which an answer that has begun is still awaited.
-const HEAD_SLACK: Duration = Duration::from_secs(20);
+const HEAD_TIMEOUT_MARGIN: Duration = Duration::from_secs(20);
 
 /// The prefixes of a prompt as the router wants them, the longest first.
 pub fn prefixes_of(head: &InferenceHead) -> Vec<Prefix> {
     let block = medlarlug_core::fingerprint::PREFIX_BLOCK_BYTES as u64 / BYTES_PER_TOKEN;
     let numbered = head.prefixes.iter().zip(1u64..);
     let mut prefixes: Vec<Prefix> = numbered
-        .map(|(print, count)| Prefix { fingerprint: *print, tokens: Tokens(count * block) })
+        .map(|(fingerprint, count)| Prefix {
+            fingerprint: *fingerprint,
+            tokens: Tokens(count * block),
+        })
         .collect();
     prefixes.reverse();
     prefixes
 }
 
 /// What is sent for an inference request.
-pub fn call_of(path: SmolStr, body: Bytes, stream: bool, limit: Duration) -> Call {
+pub fn call_of(path: SmolStr, body: Bytes, stream: bool, head_timeout: Duration) -> Call {
     Call {
         method: Method::POST,
         path,
         media: Some("application/json".into()),
         key: None,
-        content: Fingerprint::of(&body),
+        fingerprint: Fingerprint::of(&body),
         body,
         stream,
         reuse: Reuse::Allowed,
-        limit,
+        head_timeout,
     }
 }
--- a/src/coordination/entry/inference/mod.rs
+++ b/src/coordination/entry/inference/mod.rs
@@ -20,12 +20,13 @@
 
 pub use self::{
     choice::send,
-    delivery::{pass_on, pay_for_retries, says_not_started},
+    delivery::{build_answer, credit_retry_budget, is_not_started},
     job::{
-        DEFAULT_COST, DEFAULT_DEADLINE, Job, JobOrigin, call_of, cost_of, head_limit, prefixes_of,
+        DEFAULT_COST_TOKENS, DEFAULT_DEADLINE, Job, JobOrigin, call_of, cost_of, head_timeout,
+        prefixes_of,
     },
 };
-pub use crate::coordination::entry::exchange::Place;
+pub use crate::coordination::entry::exchange::Destination;
 use crate::{
     coordination::entry::{
         Entry,
@@ -37,7 +38,7 @@
 };
 
 /// Shortest time that an attempt is worth.
-const ATTEMPT_ESTIMATE: Duration = Duration::from_millis(50);
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(50);
 
 /// Serves a request to its end; the end is recorded before or while the answer is delivered.
 pub async fn serve(entry: Rc<Entry>, mut job: Job) -> Answer {
@@ -50,25 +51,25 @@
     let deadline = entry.node.now() + job.facts().deadline;
     let is_forwarded = matches!(job.origin, JobOrigin::Zone(_));
     let mut attempts =
-        Attempts::new(job.call.key.is_none(), is_forwarded, deadline, ATTEMPT_ESTIMATE);
+        Attempts::new(job.call.key.is_none(), is_forwarded, deadline, MIN_ATTEMPT_TIME);
     loop {
         let failed = match attempt(&entry, &job, &mut slot).await {
             Ok(answer) => return answer,
-            Err(AttemptEnd::Refused(refusal)) => {
+            Err(AttemptError::Refused(refusal)) => {
                 return refuse(&entry, &id, &attempts.final_refusal(refusal));
             }
-            Err(AttemptEnd::Failed(failed)) => failed,
+            Err(AttemptError::Failed(failed)) => failed,
         };
         tracing::info!(request = %id, reason = %failed.reason, "attempt failed");
-        let decision = entry.with_budget(&target, |budget| {
+        let decision = entry.with_retry_budget(&target, |budget| {
             let now = entry.node.now();
-            attempts.decide(now, failed.failure, budget, &mut entry.spread.borrow_mut())
+            attempts.decide(now, failed.failure, budget, &mut entry.retry_jitter.borrow_mut())
         });
         exclude(&mut job, &failed);
         match decision {
             Decision::GiveUp(refusal) => return refuse(&entry, &id, &refusal),
             Decision::RetryInZone | Decision::RetryInOtherZone => {
-                entry.step(&id, Stage::Retried { reason: failed.reason });
+                entry.record_stage(&id, Stage::Retried { reason: failed.reason });
             }
         }
     }
@@ -76,25 +77,25 @@
 
 /// Waits until the request may start; `None` when it goes to another zone, which admits it there.
 pub async fn admit(entry: &Rc<Entry>, job: &mut Job) -> Result<Option<Slot>, Refusal> {
-    entry.check_quarantine(job.call.content)?;
+    entry.check_quarantine(job.call.fingerprint)?;
     let target = job.facts().target.clone();
     let capacity = admission::capacity(entry, &target);
-    let goes_away = capacity == 0
+    let is_forwarded = capacity == 0
         || (entry.admission.is_full(&target, capacity)
             && matches!(choice::choose(entry, job), Ok(Choice::Forward(_))));
-    if goes_away {
+    if is_forwarded {
         return Ok(None);
     }
-    let arrived = entry.node.now();
-    entry.admission.set_capacity(arrived, &target, capacity);
-    let candidate = admission::arrival(arrived, job.facts(), job.cost);
-    let slot = admission::enter(entry, candidate).await?;
-    job.spend(entry.node.now() - arrived);
+    let arrived_at = entry.node.now();
+    entry.admission.set_capacity(arrived_at, &target, capacity);
+    let candidate = admission::candidate(arrived_at, job.facts(), job.cost);
+    let slot = admission::wait_for_slot(entry, candidate).await?;
+    job.deduct_wait(entry.node.now() - arrived_at);
     Ok(Some(slot))
 }
 
 /// How an attempt ended that brought no answer.
-pub enum AttemptEnd {
+pub enum AttemptError {
     /// No upstream may or can serve the request.
     Refused(Refusal),
     /// It was tried.
@@ -103,10 +104,10 @@
 
 /// Keeps a request from going again where it failed.
 pub fn exclude(job: &mut Job, failed: &FailedAttempt) {
-    match (&failed.place, &mut job.origin) {
-        (Place::Upstream(upstream), _) => job.exclude(&upstream.clone()),
-        (Place::Zone(zone), JobOrigin::Caller(origin)) => origin.exclude_zone(zone.clone()),
-        (Place::Zone(_), JobOrigin::Zone(_)) => {}
+    match (&failed.destination, &mut job.origin) {
+        (Destination::Upstream(upstream), _) => job.exclude(&upstream.clone()),
+        (Destination::Zone(zone), JobOrigin::Caller(origin)) => origin.exclude_zone(zone.clone()),
+        (Destination::Zone(_), JobOrigin::Zone(_)) => {}
     }
 }
 
@@ -115,7 +116,7 @@
     entry: &Rc<Entry>,
     job: &Job,
     slot: &mut Option<Slot>,
-) -> Result<Answer, AttemptEnd> {
+) -> Result<Answer, AttemptError> {
     let exchange = send(entry, job).await?;
     let status = exchange.answer.status();
     if job.call.stream && status.is_success() {
@@ -126,6 +127,6 @@
 
 /// Ends a request with a refusal, at once.
 pub fn refuse(entry: &Entry, id: &RequestId, refusal: &Refusal) -> Answer {
-    entry.end(id, refusal.outcome, refusal.reason.title());
+    entry.end_request(id, refusal.outcome, refusal.reason.title());
     body::refusal(&Problem::from_refusal(refusal).of(id))
 }
--- a/src/coordination/entry/intake.rs
+++ b/src/coordination/entry/intake.rs
@@ -28,12 +28,12 @@
 /// The requests in flight of an entry instance.
 pub struct Intake {
     phase: RefCell<Phase>,
-    cut: watch::Sender<bool>,
+    abort: watch::Sender<bool>,
 }
 
 impl Default for Intake {
     fn default() -> Intake {
-        Intake { phase: RefCell::default(), cut: watch::Sender::new(false) }
+        Intake { phase: RefCell::default(), abort: watch::Sender::new(false) }
     }
 }
 
@@ -96,14 +96,14 @@
     }
 
     /// Tells the requests in flight to end with an explicit error.
-    pub fn cut(&self) {
-        self.cut.send_replace(true);
+    pub fn abort_requests(&self) {
+        self.abort.send_replace(true);
     }
 
     /// Waits until the requests in flight have to end.
-    pub async fn wait_cut(&self) {
-        let mut cut = self.cut.subscribe();
-        if cut.wait_for(|cut| *cut).await.is_err() {
+    pub async fn wait_for_abort(&self) {
+        let mut abort = self.abort.subscribe();
+        if abort.wait_for(|abort| *abort).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
--- a/src/coordination/entry/internal.rs
+++ b/src/coordination/entry/internal.rs
@@ -33,13 +33,13 @@
 };
 
 /// Longest announcement, in bytes.
-const ANNOUNCEMENT_BYTES: usize = 256 * 1024;
+const MAX_ANNOUNCEMENT_BYTES: usize = 256 * 1024;
 
 /// Bytes that a forwarded request needs beside its body.
-const FORWARD_BYTES: usize = 64 * 1024;
+const FORWARD_OVERHEAD_BYTES: usize = 64 * 1024;
 
 /// Connections of upstreams and other instances that are open at once.
-const CONNECTIONS: usize = 4096;
+const MAX_CONNECTIONS: usize = 4096;
 
 /// Serves the internal interface until `stop` turns true.
 ///
@@ -47,7 +47,7 @@
 /// requests that other zones forward must not shut out announcements.
 pub async fn serve(entry: Rc<Entry>, listener: TcpListener, stop: watch::Receiver<bool>) {
     let callers = entry.server_limits();
-    let limits = ServerLimits { connections: CONNECTIONS, requests: u32::MAX, ..callers };
+    let limits = ServerLimits { connections: MAX_CONNECTIONS, requests: u32::MAX, ..callers };
     let handler = move |request, _| {
         let entry = entry.clone();
         async move { answer(entry, request).await }
@@ -59,7 +59,7 @@
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::POST, "/v1/announce") => announce(&entry, request).await,
-        (&Method::POST, forward::PATH) => take_over(entry, request).await,
+        (&Method::POST, forward::PATH) => serve_forwarded(entry, request).await,
         _ => refuse(404, "not-found", "there is no such resource"),
     }
 }
@@ -86,7 +86,7 @@
 }
 
 async fn announce(entry: &Entry, request: Request<Incoming>) -> Answer {
-    let content = match read_authenticated(entry, request, ANNOUNCEMENT_BYTES).await {
+    let content = match read_authenticated(entry, request, MAX_ANNOUNCEMENT_BYTES).await {
         Ok(content) => content,
         Err(answer) => return answer,
     };
@@ -95,12 +95,12 @@
         Err(error) => return refuse(400, "no-announcement", &error.to_string()),
     };
     let notices = entry.node.announced(announcement);
-    entry.note(&notices);
+    entry.handle_notices(&notices);
     body::json(StatusCode::OK, &serde_json::json!({}))
 }
 
-async fn take_over(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
-    let limit = entry.settings.limits.body.0 as usize + FORWARD_BYTES;
+async fn serve_forwarded(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
+    let limit = entry.settings.limits.body.0 as usize + FORWARD_OVERHEAD_BYTES;
     let content = match read_authenticated(&entry, request, limit).await {
         Ok(content) => content,
         Err(answer) => return answer,
@@ -128,15 +128,17 @@
         true => Reuse::Never,
         false => Reuse::Allowed,
     };
-    let limit = inference::head_limit(forwarded.facts());
+    let head_timeout = inference::head_timeout(forwarded.facts());
     let method = method.parse().unwrap_or(Method::POST);
     let payload = Bytes::from(body);
-    let content = Fingerprint::of(&payload);
-    let call = Call { method, path, media, key, content, body: payload, stream, reuse, limit };
-    if let Err(refusal) = entry.admit() {
+    let fingerprint = Fingerprint::of(&payload);
+    let call =
+        Call { method, path, media, key, fingerprint, body: payload, stream, reuse, head_timeout };
+    if let Err(refusal) = entry.admit_request() {
         return refuse_as(refusal.reason, refusal.reason.title());
     }
-    let job = Job { origin: JobOrigin::Zone(forwarded), call, cost: inference::DEFAULT_COST };
+    let job =
+        Job { origin: JobOrigin::Zone(forwarded), call, cost: inference::DEFAULT_COST_TOKENS };
     let id = job.facts().id.clone();
     let task = task::spawn_local(inference::serve(entry.clone(), job));
     task.await.unwrap_or_else(|_| {
--- a/src/coordination/entry/journal.rs
+++ b/src/coordination/entry/journal.rs
@@ -16,18 +16,18 @@
 use smol_str::SmolStr;
 
 /// Ended records that are kept for look-ups.
-const RECENT_RECORDS: usize = 10_000;
+const MAX_RECENT_RECORDS: usize = 10_000;
 
 /// Records that wait to be sent at most; the oldest are dropped and counted beyond it.
-const WAITING_RECORDS: usize = 50_000;
+const MAX_WAITING_RECORDS: usize = 50_000;
 
 /// Waiting records among which the open state of an ended one is looked for.
-const SEARCHED_RECORDS: usize = 1_024;
+const MAX_SEARCHED_RECORDS: usize = 1_024;
 
 /// Counter: records that were dropped because no keeper took them.
 pub const DROPPED_RECORDS: &str = "medlarlug_records_dropped_total";
 
-struct Open {
+struct OpenRecord {
     sequence: u64,
     received: Time,
     record: RequestRecord,
@@ -38,8 +38,8 @@
     region: RegionId,
     instance: InstanceId,
     incarnation: Incarnation,
-    last: u64,
-    open: Vec<Open>,
+    last_sequence: u64,
+    open: Vec<OpenRecord>,
     recent: VecDeque<RequestRecord>,
     waiting: VecDeque<RequestRecord>,
 }
@@ -51,7 +51,7 @@
             region,
             instance,
             incarnation,
-            last: 0,
+            last_sequence: 0,
             open: Vec::new(),
             recent: VecDeque::new(),
             waiting: VecDeque::new(),
@@ -60,50 +60,50 @@
 
     /// Opens the record of a request that was taken in, and numbers it.
     pub fn begin(&mut self, now: Time, team: TeamId, target: ItemKey) -> RequestId {
-        self.last += 1;
+        self.last_sequence += 1;
         let id = RequestId {
             region: self.region.clone(),
             instance: self.instance.clone(),
             incarnation: self.incarnation,
-            sequence: self.last,
+            sequence: self.last_sequence,
         };
         let stage = Stage::Received { instance: self.instance.clone() };
         let timeline = vec![Step { after: Default::default(), stage }];
         let record = RequestRecord { id: id.clone(), team, target, outcome: None, timeline };
         self.enqueue(record.clone());
-        self.open.push(Open { sequence: self.last, received: now, record });
+        self.open.push(OpenRecord { sequence: self.last_sequence, received: now, record });
         id
     }
 
     /// Adds a stage to an open record; does nothing for a request of another instance.
-    pub fn step(&mut self, now: Time, id: &RequestId, stage: Stage) {
-        if let Some(found) = self.place(id) {
-            let open = &mut self.open[found];
+    pub fn record_stage(&mut self, now: Time, id: &RequestId, stage: Stage) {
+        if let Some(index) = self.index_of(id) {
+            let open = &mut self.open[index];
             open.record.timeline.push(Step { after: now - open.received, stage });
         }
     }
 
     /// Time since an open request was received; `None` for a request of another instance.
     pub fn elapsed(&self, now: Time, id: &RequestId) -> Option<Duration> {
-        self.place(id).map(|found| now - self.open[found].received)
+        self.index_of(id).map(|index| now - self.open[index].received)
     }
 
     /// Closes a record; a second end of the same request is ignored.
     pub fn end(&mut self, now: Time, id: &RequestId, outcome: Outcome, reason: &str) {
-        self.step(now, id, Stage::Ended { outcome, reason: SmolStr::new(reason) });
-        let Some(found) = self.place(id) else { return };
-        let mut record = self.open.remove(found).record;
+        self.record_stage(now, id, Stage::Ended { outcome, reason: SmolStr::new(reason) });
+        let Some(index) = self.index_of(id) else { return };
+        let mut record = self.open.remove(index).record;
         record.outcome = Some(outcome);
         self.enqueue_ended(record.clone());
-        if self.recent.len() == RECENT_RECORDS {
+        if self.recent.len() == MAX_RECENT_RECORDS {
             self.recent.pop_front();
         }
         self.recent.push_back(record);
     }
 
-    fn place(&self, id: &RequestId) -> Option<usize> {
-        let found = self.open.binary_search_by_key(&id.sequence, |it| it.sequence).ok()?;
-        (self.open[found].record.id == *id).then_some(found)
+    fn index_of(&self, id: &RequestId) -> Option<usize> {
+        let index = self.open.binary_search_by_key(&id.sequence, |it| it.sequence).ok()?;
+        (self.open[index].record.id == *id).then_some(index)
     }
 
     /// The record of a request, if it is open or ended not long ago.
@@ -128,7 +128,7 @@
 
     /// Queues an ended record, in the place of its open state if that still waits.
     fn enqueue_ended(&mut self, record: RequestRecord) {
-        let latest = self.waiting.iter_mut().rev().take(SEARCHED_RECORDS);
+        let latest = self.waiting.iter_mut().rev().take(MAX_SEARCHED_RECORDS);
         match latest.into_iter().find(|it| it.id == record.id) {
             Some(open) => *open = record,
             None => self.enqueue(record),
@@ -141,7 +141,7 @@
     }
 
     fn trim(&mut self) {
-        while self.waiting.len() > WAITING_RECORDS {
+        while self.waiting.len() > MAX_WAITING_RECORDS {
             self.waiting.pop_front();
             metrics::counter!(DROPPED_RECORDS).increment(1);
         }
--- a/src/coordination/entry/mod.rs
+++ b/src/coordination/entry/mod.rs
@@ -73,7 +73,7 @@
 };
 
 /// Ticks between two reports of the teams' demand.
-const TICKS_PER_HEARTBEAT: u32 = 4;
+const TICKS_PER_DEMAND_REPORT: u32 = 4;
 
 /// The entry process.
 pub struct Entry {
@@ -88,22 +88,22 @@
     /// Records of requests.
     pub journal: RefCell<Journal>,
     /// Spreads the times to come back.
-    pub spread: RefCell<RetryJitter>,
+    pub retry_jitter: RefCell<RetryJitter>,
     /// Admission to the zone's upstreams.
     pub admission: ZoneAdmission,
     /// Upstreams at which new connections have just failed.
     pub cooldowns: Cooldowns<UpstreamId>,
     /// Entry instances of other zones that have just been found closed.
-    pub closed_entries: Cooldowns<InstanceId>,
+    pub unavailable_entries: Cooldowns<InstanceId>,
     /// Requests in flight.
     pub intake: Intake,
     /// Requests that crash upstreams.
     pub suspects: RefCell<SuspectTracker>,
     /// The teams' limits.
     pub limits: RefCell<RateLimiter>,
-    configured: Cell<Revision>,
-    ticks: Cell<u32>,
-    retries: RefCell<Vec<(Target, RetryBudget)>>,
+    configured_revision: Cell<Revision>,
+    tick_count: Cell<u32>,
+    retry_budgets: RefCell<Vec<(Target, RetryBudget)>>,
 }
 
 impl Entry {
@@ -116,15 +116,15 @@
             client: HttpClient::default(),
             router: RefCell::new(Router::new(node.now(), seed)),
             journal: RefCell::new(journal),
-            spread: RefCell::new(RetryJitter::new(seed)),
+            retry_jitter: RefCell::new(RetryJitter::new(seed)),
             admission: ZoneAdmission::default(),
             cooldowns: Cooldowns::default(),
-            closed_entries: Cooldowns::default(),
+            unavailable_entries: Cooldowns::default(),
             suspects: RefCell::default(),
             limits: RefCell::new(limits),
-            configured: Cell::default(),
-            ticks: Cell::new(0),
-            retries: RefCell::default(),
+            configured_revision: Cell::default(),
+            tick_count: Cell::new(0),
+            retry_budgets: RefCell::default(),
             intake: Intake::default(),
             settings,
             node,
@@ -143,7 +143,7 @@
     }
 
     /// The last word to a request that is cut at the drain deadline.
-    pub fn cut_refusal(&self, outcome: Outcome) -> Refusal {
+    pub fn abort_refusal(&self, outcome: Outcome) -> Refusal {
         Refusal { outcome, ..self.refusal(Reason::Leaving, Duration::from_secs(1)) }
     }
 
@@ -165,8 +165,8 @@
     /// # Errors
     ///
     /// Fails with the refusal `leaving` once the instance has begun to stop.
-    pub fn begin(&self, team: TeamId, target: ItemKey) -> Result<RequestId, Refusal> {
-        self.admit()?;
+    pub fn begin_request(&self, team: TeamId, target: ItemKey) -> Result<RequestId, Refusal> {
+        self.admit_request()?;
         Ok(self.journal.borrow_mut().begin(self.node.now(), team, target))
     }
 
@@ -175,41 +175,41 @@
     /// # Errors
     ///
     /// Fails with the refusal `leaving` once the instance has begun to stop.
-    pub fn admit(&self) -> Result<(), Refusal> {
+    pub fn admit_request(&self) -> Result<(), Refusal> {
         self.intake.admit().map_err(|it| self.refusal(it.reason, it.retry_after))
     }
 
     /// Tells the router what became of an attempt.
-    pub fn routed(&self, event: router::Event) {
+    pub fn notify_router(&self, event: router::Event) {
         self.router.borrow_mut().handle(self.node.now(), event);
     }
 
     /// Adds a stage to the record of a request.
-    pub fn step(&self, id: &RequestId, stage: Stage) {
+    pub fn record_stage(&self, id: &RequestId, stage: Stage) {
         match &stage {
             Stage::Forwarded { .. } => ::metrics::counter!(metrics::FORWARDED).increment(1),
             Stage::Retried { .. } => ::metrics::counter!(metrics::RETRIES).increment(1),
-            Stage::FirstByte => self.measure(metrics::FIRST_BYTE, id),
+            Stage::FirstByte => self.record_elapsed(metrics::FIRST_BYTE, id),
             _ => {}
         }
-        self.journal.borrow_mut().step(self.node.now(), id, stage);
+        self.journal.borrow_mut().record_stage(self.node.now(), id, stage);
     }
 
     /// Adds the time since a request was received to a histogram.
-    fn measure(&self, histogram: &'static str, id: &RequestId) {
+    fn record_elapsed(&self, histogram: &'static str, id: &RequestId) {
         if let Some(elapsed) = self.journal.borrow().elapsed(self.node.now(), id) {
             ::metrics::histogram!(histogram).record(elapsed.as_secs_f64());
         }
     }
 
     /// Ends a request, which was begun just once, and its record.
-    pub fn end(&self, id: &RequestId, outcome: Outcome, reason: &str) {
+    pub fn end_request(&self, id: &RequestId, outcome: Outcome, reason: &str) {
         tracing::info!(
             request = %id, instance = %self.node.own.id, zone = %self.node.own.zone,
             %outcome, reason, "request ended"
         );
         ::metrics::counter!(metrics::REQUESTS, "outcome" => outcome.to_string()).increment(1);
-        self.measure(metrics::DURATION, id);
+        self.record_elapsed(metrics::DURATION, id);
         self.intake.release();
         self.journal.borrow_mut().end(self.node.now(), id, outcome, reason);
     }
@@ -226,24 +226,28 @@
 
     /// A refusal whose time to come back is spread by jitter.
     pub fn refusal(&self, reason: Reason, wait: Duration) -> Refusal {
-        self.spread.borrow_mut().refuse(reason, wait)
+        self.retry_jitter.borrow_mut().refuse(reason, wait)
     }
 
     /// Runs `step` on the retry budget of a target.
-    pub fn with_budget<T>(&self, target: &Target, step: impl FnOnce(&mut RetryBudget) -> T) -> T {
-        let mut budgets = self.retries.borrow_mut();
-        let place = match budgets.binary_search_by(|it| it.0.cmp(target)) {
-            Ok(found) => found,
-            Err(place) => {
-                budgets.insert(place, (target.clone(), RetryBudget::default()));
-                place
+    pub fn with_retry_budget<T>(
+        &self,
+        target: &Target,
+        update: impl FnOnce(&mut RetryBudget) -> T,
+    ) -> T {
+        let mut budgets = self.retry_budgets.borrow_mut();
+        let index = match budgets.binary_search_by(|it| it.0.cmp(target)) {
+            Ok(index) => index,
+            Err(index) => {
+                budgets.insert(index, (target.clone(), RetryBudget::default()));
+                index
             }
         };
-        step(&mut budgets[place].1)
+        update(&mut budgets[index].1)
     }
 
-    fn retry_budgets(&self) -> Vec<serde_json::Value> {
-        let budgets = self.retries.borrow();
+    fn dump_retry_budgets(&self) -> Vec<serde_json::Value> {
+        let budgets = self.retry_budgets.borrow();
         let shown = budgets.iter().map(|(target, budget)| {
             json!({
                 "target": target,
@@ -273,19 +277,19 @@
 
     /// Whether it has a configuration and its share of the limits.
     fn is_settled(&self) -> bool {
-        self.configured.get() > Revision(0) && self.limits.borrow().is_settled()
+        self.configured_revision.get() > Revision(0) && self.limits.borrow().is_settled()
     }
 
     fn tick(&self) {
         self.set_gauges();
-        self.note(&self.node.report(self.status()));
-        self.note(&self.node.tick());
+        self.handle_notices(&self.node.report(self.status()));
+        self.handle_notices(&self.node.tick());
         self.configure_limits();
-        self.suspect(suspects::Event::Tick);
-        let count = self.ticks.get().wrapping_add(1);
-        self.ticks.set(count);
-        if count.is_multiple_of(TICKS_PER_HEARTBEAT) {
-            self.limit(limits::Event::Heartbeat);
+        self.handle_suspect_event(suspects::Event::Tick);
+        let count = self.tick_count.get().wrapping_add(1);
+        self.tick_count.set(count);
+        if count.is_multiple_of(TICKS_PER_DEMAND_REPORT) {
+            self.handle_limit_event(limits::Event::Heartbeat);
         }
         for target in self.admission.targets() {
             let capacity = admission::capacity(self, &target);
@@ -297,18 +301,18 @@
     /// Hands the limits of a new revision to their core.
     fn configure_limits(&self) {
         let revision = self.node.follower.borrow().revision();
-        if revision == self.configured.get() {
+        if revision == self.configured_revision.get() {
             return;
         }
         if let Some(configuration) = self.configuration() {
-            self.configured.set(revision);
+            self.configured_revision.set(revision);
             let teams = configuration.teams().map(TeamLimit::from).collect();
-            self.limit(limits::Event::Configured(teams));
+            self.handle_limit_event(limits::Event::Configured(teams));
         }
     }
 
     /// Feeds an event to the limits and carries its effects out.
-    fn limit(&self, event: limits::Event) {
+    fn handle_limit_event(&self, event: limits::Event) {
         let mut effects = Vec::new();
         self.limits.borrow_mut().handle(self.node.now(), event, &mut effects);
         for effect in effects {
@@ -331,16 +335,16 @@
     /// The other entry instances of the region.
     fn region_entries(&self) -> Vec<InstanceId> {
         let node = &self.node;
-        let is_near = |it: &&Peer| {
+        let is_in_region = |it: &&Peer| {
             it.id != node.own.id && node.cluster.region_of(&it.zone) == Some(&node.region)
         };
-        node.cluster.entries().filter(is_near).map(|it| it.id.clone()).collect()
+        node.cluster.entries().filter(is_in_region).map(|it| it.id.clone()).collect()
     }
 
     fn receive(self: &Rc<Self>, received: Received) {
         match received {
             Received::Done => {}
-            Received::Notices(notices) => self.note(&notices),
+            Received::Notices(notices) => self.handle_notices(&notices),
             Received::Other(from, message) => self.receive_from_entry(from, *message),
         }
     }
@@ -349,15 +353,15 @@
         match message {
             Message::Demand { report } => {
                 let age = Duration::ZERO;
-                self.limit(limits::Event::ReportReceived { report, age });
+                self.handle_limit_event(limits::Event::ReportReceived { report, age });
             }
-            Message::AskDemand => self.limit(limits::Event::ResyncRequested(from)),
-            Message::Fact(fact) => self.suspect(suspects::Event::FactReceived(fact)),
+            Message::AskDemand => self.handle_limit_event(limits::Event::ResyncRequested(from)),
+            Message::Fact(fact) => self.handle_suspect_event(suspects::Event::FactReceived(fact)),
             Message::Reserve { upstream, lifetime } => {
-                self.suspect(suspects::Event::Reserved { upstream, lifetime });
+                self.handle_suspect_event(suspects::Event::Reserved { upstream, lifetime });
             }
             Message::Free { upstream } => {
-                self.suspect(suspects::Event::ReservationReleased { upstream })
+                self.handle_suspect_event(suspects::Event::ReservationReleased { upstream })
             }
             Message::Questions { home, questions } => {
                 task::spawn_local(outcomes::settle_all(self.clone(), home, questions));
@@ -369,12 +373,14 @@
     }
 
     /// Acts on what changed in the membership.
-    pub fn note(&self, notices: &[Notice]) {
+    pub fn handle_notices(&self, notices: &[Notice]) {
         for notice in notices {
             tracing::info!(?notice, "membership changed");
             match notice {
-                Notice::PeerUp(peer) => self.inform(peer),
-                Notice::PeerLeaving(peer) => self.limit(limits::Event::PeerStopped(peer.clone())),
+                Notice::PeerUp(peer) => self.send_facts(peer),
+                Notice::PeerLeaving(peer) => {
+                    self.handle_limit_event(limits::Event::PeerStopped(peer.clone()))
+                }
                 _ => {}
             }
         }
@@ -391,7 +397,7 @@
             "waiting": self.admission.waiting(),
             "quarantines": self.suspects.borrow().ledger().quarantines(self.node.now()).len(),
             "limits_settled": self.limits.borrow().is_settled(),
-            "retry_budgets": self.retry_budgets(),
+            "retry_budgets": self.dump_retry_budgets(),
             "attempts": self.router.borrow().in_flight(),
             "leaving": self.intake.is_leaving(),
         })
--- a/src/coordination/entry/orders.rs
+++ b/src/coordination/entry/orders.rs
@@ -28,13 +28,13 @@
 };
 
 /// Time between two plans.
-const ROUND: Duration = Duration::from_millis(250);
+const PLAN_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time for which an answered order counts although no announcement shows it yet.
-const REPORT_LAG: Duration = Duration::from_secs(5);
+const ANNOUNCEMENT_LAG: Duration = Duration::from_secs(5);
 
 /// Time that a request for the lease may take.
-const LEASE_LIMIT: Duration = Duration::from_secs(2);
+const LEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Times of one order; together they are below the longest flight of [`Timing`].
 const ORDER_LIMITS: CallLimits =
@@ -45,11 +45,11 @@
     let (events, incoming) = unbounded_channel();
     let issuer = Issuer::new(Timing::default());
     let planner = Planner::new(entry.node.region.clone());
-    let desk = Desk { entry, issuer, planner, events, answered: Vec::new() };
-    desk.run(incoming).await;
+    let dispatcher = OrderDispatcher { entry, issuer, planner, events, answered: Vec::new() };
+    dispatcher.run(incoming).await;
 }
 
-struct Desk {
+struct OrderDispatcher {
     entry: Rc<Entry>,
     issuer: Issuer,
     planner: Planner,
@@ -58,20 +58,20 @@
     answered: Vec<(Task, Time)>,
 }
 
-impl Desk {
+impl OrderDispatcher {
     async fn run(mut self, mut incoming: UnboundedReceiver<Event>) {
-        let mut rounds = interval(ROUND);
+        let mut plan_ticks = interval(PLAN_INTERVAL);
         loop {
             tokio::select! {
-                _ = rounds.tick() => {
+                _ = plan_ticks.tick() => {
                     if self.entry.intake.is_leaving() {
                         return;
                     }
-                    self.want();
+                    self.request_tasks();
                     self.handle(Event::Tick);
                 }
                 Some(event) = incoming.recv() => {
-                    self.note_answered(&event);
+                    self.record_answered(&event);
                     self.handle(event);
                 }
             }
@@ -85,10 +85,10 @@
     }
 
     /// Hands the tasks of a new plan to the issuer, while it holds the lease.
-    fn want(&mut self) {
+    fn request_tasks(&mut self) {
         let node = self.entry.node.clone();
         let now = node.now();
-        self.answered.retain(|(_, at)| now - *at < REPORT_LAG);
+        self.answered.retain(|(_, at)| now - *at < ANNOUNCEMENT_LAG);
         let Some(configuration) = node.configuration() else { return };
         if self.issuer.term(now).is_none() {
             return;
@@ -96,9 +96,9 @@
         let engines = self.engines(now);
         let open = self.issuer.in_flight_orders().map(|it| &it.task);
         let answered = self.answered.iter().map(|it| &it.0);
-        let under_way: Vec<Task> =
+        let in_flight: Vec<Task> =
             answered.chain(open).chain(self.issuer.waiting_tasks()).cloned().collect();
-        for task in self.planner.plan(&configuration, &engines, &under_way) {
+        for task in self.planner.plan(&configuration, &engines, &in_flight) {
             let engine = engines.iter().find(|it| it.id == task.upstream);
             let fencing = engine.is_some_and(|it| it.fencing);
             self.handle(Event::Requested { task, fencing });
@@ -111,7 +111,7 @@
         announcements.filter(|it| matches!(it.kind, UpstreamKind::Engine { .. })).cloned().collect()
     }
 
-    fn note_answered(&mut self, event: &Event) {
+    fn record_answered(&mut self, event: &Event) {
         let Event::Answered { upstream, fence } = event else { return };
         let is_answered = |it: &&Order| it.task.upstream == *upstream && it.fence == *fence;
         let answered = self.issuer.in_flight_orders().find(is_answered).map(|it| it.task.clone());
@@ -149,7 +149,7 @@
                 task::spawn_local(deliver(entry, events, order, engine));
             }
             // Not one byte has left: the order is closed, and a later plan wants it again.
-            _ => tell_answered(&self.events, order),
+            _ => report_answered(&self.events, order),
         }
     }
 }
@@ -158,7 +158,7 @@
     let node = &entry.node;
     let holder = Owner { instance: node.own.id.clone(), incarnation: node.incarnation };
     let action = Action::Lease { holder, duration };
-    let event = match calls::act(node, &node.region, action, LEASE_LIMIT).await {
+    let event = match calls::act(node, &node.region, action, LEASE_TIMEOUT).await {
         Ok(Reply::LeaseGranted { term, duration }) => Event::Granted { token, term, duration },
         Ok(_) => Event::HeldElsewhere,
         Err(error) => return tracing::debug!(%error, "lease of the issuer not asked for"),
@@ -186,14 +186,14 @@
                 tracing::warn!(fence = %order.fence, upstream = %engine.id, %status,
                     "order refused");
             }
-            tell_answered(&events, order);
+            report_answered(&events, order);
         }
         // It may have arrived; the issuer gives it up after its patience.
         Err(error) => tracing::warn!(%error, upstream = %engine.id, "order not answered"),
     }
 }
 
-fn tell_answered(events: &UnboundedSender<Event>, order: Order) {
+fn report_answered(events: &UnboundedSender<Event>, order: Order) {
     let (upstream, fence) = (order.task.upstream, order.fence);
     // The desk is gone when the instance is about to stop.
     let _ = events.send(Event::Answered { upstream, fence });
--- a/src/coordination/entry/outcomes.rs
+++ b/src/coordination/entry/outcomes.rs
@@ -35,17 +35,17 @@
 };
 
 /// Longest answer to a booking, in bytes.
-pub const ANSWER_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
 /// Times of one question.
-pub const QUESTION_LIMITS: CallLimits =
+pub const OUTCOME_QUERY_LIMITS: CallLimits =
     CallLimits { connect: Duration::from_secs(1), head: Duration::from_secs(2) };
 
 /// Time that a home group has to answer or to record an outcome.
-const GROUP_LIMIT: Duration = Duration::from_secs(2);
+const GROUP_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a service answered to a booking.
-pub struct Served {
+pub struct ServiceAnswer {
     /// What is recorded of it.
     pub recorded: Recorded,
     /// The whole body.
@@ -59,12 +59,12 @@
 
 async fn settle(entry: &Entry, home: &RegionId, question: &Question) {
     let answers = addresses(entry, question).into_iter();
-    let answers = answers.map(|it| ask(entry, it, &question.key, &question.request));
-    let Some(served) = join_all(answers).await.into_iter().flatten().next() else { return };
+    let answers = answers.map(|it| query_outcome(entry, it, &question.key, &question.request));
+    let Some(answer) = join_all(answers).await.into_iter().flatten().next() else { return };
     let request = &question.request;
     // The record goes first: while the booking is not settled, the question comes again.
-    let result = match record(entry, question).await {
-        Ok(Reply::Ok) => settle_booking(entry, home, question, served.recorded).await,
+    let result = match record_outcome(entry, question).await {
+        Ok(Reply::Ok) => settle_booking(entry, home, question, answer.recorded).await,
         other => other,
     };
     match result {
@@ -95,13 +95,13 @@
 ) -> Result<Reply, CallFailure> {
     let Question { team, key, request, .. } = question.clone();
     let action = Action::Settle { team, key, request, answer };
-    calls::act(&entry.node, home, action, GROUP_LIMIT).await
+    calls::act(&entry.node, home, action, GROUP_CALL_TIMEOUT).await
 }
 
 /// Notes in the record of a booking's request that the service told its outcome.
-async fn record(entry: &Entry, question: &Question) -> Result<Reply, CallFailure> {
+async fn record_outcome(entry: &Entry, question: &Question) -> Result<Reply, CallFailure> {
     let request = &question.request;
-    let mut record = match calls::look_up(&entry.node, request, GROUP_LIMIT).await? {
+    let mut record = match calls::look_up(&entry.node, request, GROUP_CALL_TIMEOUT).await? {
         LookUp::Found(record) => record,
         // The owner was lost before it sent the record.
         LookUp::Expired | LookUp::NotYet => RequestRecord {
@@ -122,33 +122,33 @@
     let after = record.timeline.last().map(|it| it.after).unwrap_or_default();
     record.timeline.push(Step { after, stage });
     let action = Action::Records(vec![record]);
-    calls::act(&entry.node, &request.region, action, GROUP_LIMIT).await
+    calls::act(&entry.node, &request.region, action, GROUP_CALL_TIMEOUT).await
 }
 
 /// Asks an upstream for the answer of the call that `request` made under `key`.
-pub async fn ask(
+pub async fn query_outcome(
     entry: &Entry,
     address: SocketAddr,
     key: &BookingKey,
     request: &RequestId,
-) -> Option<Served> {
+) -> Option<ServiceAnswer> {
     let mut question = Request::new(Full::new(Bytes::new()));
     *question.method_mut() = Method::GET;
     *question.uri_mut() = format!("/outcomes/{key}").parse().ok()?;
     body::insert(question.headers_mut(), header::HOST.as_str(), &address.to_string());
     body::insert(question.headers_mut(), headers::REQUEST_ID, &request.to_string());
-    let result = entry.client.call(address, question, Reuse::Never, QUESTION_LIMITS).await;
+    let result = entry.client.call(address, question, Reuse::Never, OUTCOME_QUERY_LIMITS).await;
     let (answer, _) = result.ok()?;
     if answer.status() != StatusCode::OK {
         return None;
     }
-    let reading = body::read(answer.into_body(), ANSWER_BYTES);
-    let content = timeout(QUESTION_LIMITS.head, reading).await.ok()?.ok()?;
+    let reading = body::read(answer.into_body(), MAX_ANSWER_BYTES);
+    let content = timeout(OUTCOME_QUERY_LIMITS.head, reading).await.ok()?.ok()?;
     parse_outcome(&content, request)
 }
 
 /// The answer in a service's document, if it says that the call of `request` ran.
-pub fn parse_outcome(document: &[u8], request: &RequestId) -> Option<Served> {
+pub fn parse_outcome(document: &[u8], request: &RequestId) -> Option<ServiceAnswer> {
     let document: serde_json::Value = serde_json::from_slice(document).ok()?;
     if document["state"] != "ran" || document["request"] != request.to_string().as_str() {
         return None;
@@ -162,5 +162,5 @@
         content_type: SmolStr::new_static("application/json"),
         body: Body::of(&content),
     };
-    Some(Served { recorded, content: content.into() })
+    Some(ServiceAnswer { recorded, content: content.into() })
 }
--- a/src/coordination/entry/process.rs
+++ b/src/coordination/entry/process.rs
@@ -28,23 +28,23 @@
 };
 
 /// Time between two ticks of the cores.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Pause before a configuration that could not be saved is saved again.
-const SAVE_PAUSE: Duration = Duration::from_secs(1);
+const SAVE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time for which a leaving instance still answers before it closes its ports, so that peers
 /// learn that it leaves.
-const LEAVING_NOTICE: Duration = Duration::from_millis(500);
+const LEAVING_NOTICE_TIME: Duration = Duration::from_millis(500);
 
 /// Time in which requests that are cut at the drain deadline get their last word.
-const CUT_LIMIT: Duration = Duration::from_millis(500);
+const ABORT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time between two looks at the requests in flight during the drain.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time in which the answers of requests that have ended reach their callers.
-const LAST_ANSWERS_LIMIT: Duration = Duration::from_secs(5);
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why an entry instance stops.
 #[derive(Debug, Error)]
@@ -90,9 +90,9 @@
     let callers = start_servers(&entry, context, &closed).await?;
     records::start(&entry);
     task::spawn_local(orders::run(entry.clone()));
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     let mut stop = drain.subscribe();
-    let mut finished = Box::pin(async {
+    let mut drained = Box::pin(async {
         let _ = stop.wait_for(|stop| *stop).await;
         drain_requests(&entry).await;
     });
@@ -104,12 +104,12 @@
                 }
             }
             _ = ticks.tick() => entry.tick(),
-            () = &mut finished => break,
+            () = &mut drained => break,
         }
     }
     close.send_replace(true);
     // The last answers are on their way to callers that may read slowly.
-    if timeout(LAST_ANSWERS_LIMIT, callers).await.is_err() {
+    if timeout(LAST_ANSWERS_TIMEOUT, callers).await.is_err() {
         tracing::warn!("callers that do not read their answers are cut off");
     }
     Ok(())
@@ -155,7 +155,7 @@
                 Ok(Err(error)) => tracing::error!(%error, "configuration not saved"),
                 Err(error) => tracing::error!(%error, "configuration not saved"),
             }
-            sleep(SAVE_PAUSE).await;
+            sleep(SAVE_RETRY_INTERVAL).await;
         } else if unsaved.changed().await.is_err() {
             return;
         }
@@ -166,20 +166,20 @@
 async fn drain_requests(entry: &Entry) {
     let intake = &entry.intake;
     intake.begin_drain(entry.node.now(), entry.settings.drain);
-    entry.note(&entry.node.report(entry.status()));
-    sleep(LEAVING_NOTICE).await;
+    entry.handle_notices(&entry.node.report(entry.status()));
+    sleep(LEAVING_NOTICE_TIME).await;
     while !intake.may_stop(entry.node.now()) {
-        sleep(DRAIN_POLL).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     tracing::info!(cut = intake.in_flight(), "requests drained");
-    intake.cut();
-    let end = Instant::now() + CUT_LIMIT;
+    intake.abort_requests();
+    let end = Instant::now() + ABORT_TIMEOUT;
     while intake.in_flight() > 0 && Instant::now() < end {
-        sleep(DRAIN_POLL).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
-    let cut = intake.stop();
-    if cut > 0 {
-        tracing::warn!(cut, "requests had no answer at the end of the drain");
+    let aborted = intake.stop();
+    if aborted > 0 {
+        tracing::warn!(cut = aborted, "requests had no answer at the end of the drain");
     }
     records::flush(entry).await;
 }
--- a/src/coordination/entry/records.rs
+++ b/src/coordination/entry/records.rs
@@ -11,10 +11,10 @@
 const RECORD_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Records in one batch at most.
-const RECORD_BATCH: usize = 500;
+const MAX_BATCH_RECORDS: usize = 500;
 
 /// Time that a batch of records has to be committed.
-const RECORD_LIMIT: Duration = Duration::from_secs(3);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Starts the tasks that deliver records and tell each home group of the start.
 pub fn start(entry: &Rc<Entry>) {
@@ -34,7 +34,7 @@
             instance: node.own.id.clone(),
             incarnation: node.incarnation,
         };
-        match calls::act(node, &region, action, RECORD_LIMIT).await {
+        match calls::act(node, &region, action, COMMIT_TIMEOUT).await {
             Ok(home::Reply::Ok) => return,
             Ok(reply) => tracing::debug!(?reply, "start not recorded yet"),
             Err(error) => tracing::debug!(%error, "start not recorded yet"),
@@ -54,12 +54,12 @@
 pub async fn flush(entry: &Entry) {
     let node = &entry.node;
     loop {
-        let batch = entry.journal.borrow_mut().take_batch(RECORD_BATCH);
+        let batch = entry.journal.borrow_mut().take_batch(MAX_BATCH_RECORDS);
         if batch.is_empty() {
             return;
         }
         let action = home::Action::Records(batch.clone());
-        match calls::act(node, &node.region, action, RECORD_LIMIT).await {
+        match calls::act(node, &node.region, action, COMMIT_TIMEOUT).await {
             Ok(home::Reply::Ok) => {}
             Ok(reply) => {
                 tracing::debug!(?reply, "records not taken");
--- a/src/coordination/entry/relay.rs
+++ b/src/coordination/entry/relay.rs
@@ -22,7 +22,7 @@
 use crate::{
     coordination::entry::{
         Entry,
-        exchange::{Exchange, Place},
+        exchange::{Destination, Exchange},
         silence,
     },
     protocol::{Problem, events::EventSplitter, headers},
@@ -35,7 +35,7 @@
 };
 
 /// Longest wait for the first event on a connection.
-const FIRST_EVENT_PATIENCE: Duration = Duration::from_secs(4);
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Time that an upstream has to take a stream up again.
 const RESUME_LIMITS: CallLimits =
@@ -51,7 +51,7 @@
     /// The caller has the whole answer.
     Complete,
     /// The caller went away.
-    CallerGone,
+    CallerDisconnected,
     /// The answer could not be finished; the caller was told so unless nothing was delivered.
     Failed(Refusal),
 }
@@ -67,11 +67,11 @@
 }
 
 /// What became of the wish to take a stream up again.
-enum Resumption {
+enum ResumeResult {
     /// The stream comes on a new connection.
-    Begun,
+    Resumed,
     /// The new connection was lost.
-    Lost,
+    ConnectionLost,
     /// The upstream does not resume the stream.
     Refused,
 }
@@ -85,16 +85,16 @@
     is_upstream: bool,
     tracker: StreamTracker,
     source: Option<Source>,
-    parts: VecDeque<Bytes>,
-    has_begun: bool,
+    chunks: VecDeque<Bytes>,
+    has_first_event: bool,
     end: Option<StreamEnd>,
 }
 
 impl Relay {
     /// A relay of the answer that `exchange` began.
     pub fn new(entry: Rc<Entry>, id: RequestId, exchange: Exchange) -> Relay {
-        let is_upstream = matches!(exchange.place, Place::Upstream(_));
-        let (resumable, first_byte_timeout) = (is_upstream, FIRST_EVENT_PATIENCE);
+        let is_upstream = matches!(exchange.destination, Destination::Upstream(_));
+        let (resumable, first_byte_timeout) = (is_upstream, FIRST_EVENT_TIMEOUT);
         let policy = StreamPolicy { resumable, first_byte_timeout, ..StreamPolicy::default() };
         let tracker = StreamTracker::new(id.clone(), policy, entry.node.now());
         let number = ConnectionNumber::default();
@@ -113,19 +113,19 @@
             is_upstream,
             tracker,
             source: Some(source),
-            parts: VecDeque::new(),
-            has_begun: false,
+            chunks: VecDeque::new(),
+            has_first_event: false,
             end: None,
         }
     }
 
     /// Waits until the first event can be delivered, or the stream has failed before it.
     pub async fn begin(&mut self) -> Result<(), Refusal> {
-        while self.parts.is_empty() && self.end.is_none() {
+        while self.chunks.is_empty() && self.end.is_none() {
             self.advance().await;
         }
         match &self.end {
-            Some(StreamEnd::Failed(refusal)) if self.parts.is_empty() => Err(*refusal),
+            Some(StreamEnd::Failed(refusal)) if self.chunks.is_empty() => Err(*refusal),
             _ => Ok(()),
         }
     }
@@ -134,9 +134,9 @@
     pub async fn deliver(mut self, sender: mpsc::Sender<Part>) -> StreamEnd {
         let entry = self.entry.clone();
         loop {
-            while let Some(bytes) = self.parts.pop_front() {
+            while let Some(bytes) = self.chunks.pop_front() {
                 if sender.send(Part::Chunk(bytes)).await.is_err() {
-                    self.caller_gone();
+                    self.caller_disconnected();
                 }
             }
             match self.end.take() {
@@ -150,37 +150,37 @@
                     let _ = sender.send(Part::End).await;
                     return StreamEnd::Failed(refusal);
                 }
-                Some(StreamEnd::CallerGone) => return StreamEnd::CallerGone,
+                Some(StreamEnd::CallerDisconnected) => return StreamEnd::CallerDisconnected,
                 None => {}
             }
             tokio::select! {
                 () = self.advance() => {}
-                () = sender.closed() => self.caller_gone(),
-                () = entry.intake.wait_cut() => self.cut(),
+                () = sender.closed() => self.caller_disconnected(),
+                () = entry.intake.wait_for_abort() => self.abort(),
             }
         }
     }
 
     /// Ends the answer with an explicit error because the instance stops.
-    fn cut(&mut self) {
-        let refusal = self.entry.cut_refusal(Outcome::Failed);
+    fn abort(&mut self) {
+        let refusal = self.entry.abort_refusal(Outcome::Failed);
         for effect in self.feed(Event::GivenUp(refusal)) {
-            self.finish_effect(effect);
+            self.carry_out_now(effect);
         }
     }
 
-    fn caller_gone(&mut self) {
-        self.parts.clear();
-        self.end = Some(StreamEnd::CallerGone);
+    fn caller_disconnected(&mut self) {
+        self.chunks.clear();
+        self.end = Some(StreamEnd::CallerDisconnected);
         for effect in self.feed(Event::CallerDisconnected) {
-            self.finish_effect(effect);
+            self.carry_out_now(effect);
         }
     }
 
     /// Takes the next bytes or the next timeout in.
     async fn advance(&mut self) {
         let now = self.entry.node.now();
-        let silent = self.tracker.timeout_at() - now;
+        let time_left = self.tracker.timeout_at() - now;
         let effects = match &mut self.source {
             Some(source) => {
                 let number = source.number;
@@ -190,15 +190,15 @@
                     frame = source.body.frame() => match frame {
                         Some(Ok(frame)) => {
                             let bytes = frame.into_data().unwrap_or_default();
-                            self.take(&bytes)
+                            self.receive(&bytes)
                         }
                         _ => self.feed(Event::ConnectionLost { connection: number }),
                     },
-                    () = sleep(silent) => self.feed(Event::Tick),
+                    () = sleep(time_left) => self.feed(Event::Tick),
                 }
             }
             None => {
-                sleep(silent).await;
+                sleep(time_left).await;
                 self.feed(Event::Tick)
             }
         };
@@ -212,7 +212,7 @@
     }
 
     /// Splits bytes into events and feeds them to the tracker.
-    fn take(&mut self, bytes: &Bytes) -> Vec<Effect> {
+    fn receive(&mut self, bytes: &Bytes) -> Vec<Effect> {
         let mut effects = Vec::new();
         let Some(source) = &mut self.source else { return effects };
         source.splitter.push(bytes);
@@ -233,49 +233,49 @@
             };
             source.offset += 1;
             let chunk = Chunk { request, offset, length: 1, terminal: event.is_end() };
-            let mut step = self.feed(Event::Chunk { connection, chunk });
-            if step.iter().any(|it| matches!(it, Effect::Deliver { .. })) {
-                self.note_first_event();
-                self.parts.push_back(event.bytes);
+            let mut chunk_effects = self.feed(Event::Chunk { connection, chunk });
+            if chunk_effects.iter().any(|it| matches!(it, Effect::Deliver { .. })) {
+                self.record_first_event();
+                self.chunks.push_back(event.bytes);
             }
-            effects.append(&mut step);
+            effects.append(&mut chunk_effects);
         }
         effects
     }
 
-    fn note_first_event(&mut self) {
-        if self.has_begun {
+    fn record_first_event(&mut self) {
+        if self.has_first_event {
             return;
         }
-        self.has_begun = true;
-        self.entry.step(&self.id, Stage::FirstByte);
-        self.entry.routed(router::Event::FirstToken(self.attempt_id));
+        self.has_first_event = true;
+        self.entry.record_stage(&self.id, Stage::FirstByte);
+        self.entry.notify_router(router::Event::FirstToken(self.attempt_id));
     }
 
     async fn carry_out(&mut self, effects: Vec<Effect>) {
         let mut waiting: VecDeque<Effect> = effects.into();
         while let Some(effect) = waiting.pop_front() {
             let Effect::Resume { connection, offset } = effect else {
-                self.finish_effect(effect);
+                self.carry_out_now(effect);
                 continue;
             };
             tracing::info!(request = %self.id, offset, "stream resumed");
-            let more = match self.resume(connection, offset).await {
-                Resumption::Begun => Vec::new(),
-                Resumption::Lost => self.feed(Event::ConnectionLost { connection }),
-                Resumption::Refused => self.feed(Event::ResumeRefused { connection }),
+            let new_effects = match self.resume(connection, offset).await {
+                ResumeResult::Resumed => Vec::new(),
+                ResumeResult::ConnectionLost => self.feed(Event::ConnectionLost { connection }),
+                ResumeResult::Refused => self.feed(Event::ResumeRefused { connection }),
             };
-            waiting.extend(more);
+            waiting.extend(new_effects);
         }
     }
 
     /// Carries out an effect that needs no waiting.
-    fn finish_effect(&mut self, effect: Effect) {
+    fn carry_out_now(&mut self, effect: Effect) {
         match effect {
             Effect::Complete => {
                 self.end = Some(StreamEnd::Complete);
                 if let Some(source) = self.source.take() {
-                    give_back(&self.entry, source);
+                    reuse_connection(&self.entry, source);
                 }
             }
             Effect::Fail(refusal) => self.end = Some(StreamEnd::Failed(refusal)),
@@ -299,43 +299,43 @@
     }
 
     /// Asks the upstream for the stream from `offset` on, over a new connection.
-    async fn resume(&mut self, number: ConnectionNumber, offset: u64) -> Resumption {
+    async fn resume(&mut self, number: ConnectionNumber, offset: u64) -> ResumeResult {
         let path = format!("/v1/streams/{}?offset={offset}", self.id);
-        let Some(request) = self.request(Method::GET, &path) else { return Resumption::Refused };
+        let Some(request) = self.request(Method::GET, &path) else { return ResumeResult::Refused };
         let client = &self.entry.client;
         let result = client.call(self.address, request, Reuse::Never, RESUME_LIMITS).await;
         let (answer, connection) = match result {
             Ok((answer, connection)) if answer.status().is_success() => (answer, connection),
             Ok((answer, _)) => {
                 tracing::info!(request = %self.id, status = %answer.status(), "resume refused");
-                return Resumption::Refused;
+                return ResumeResult::Refused;
             }
             Err(error @ CallError::Lost { .. }) => {
                 tracing::info!(request = %self.id, %error, "resume failed");
-                return Resumption::Lost;
+                return ResumeResult::ConnectionLost;
             }
-            Err(error @ CallError::Silent { .. }) if self.may_wait() => {
+            Err(error @ CallError::Silent { .. }) if self.may_retry_resume() => {
                 tracing::info!(request = %self.id, %error, "resume late");
-                return Resumption::Lost;
+                return ResumeResult::ConnectionLost;
             }
             // A new connection that is silent as well tells against the upstream.
             Err(error) => {
                 tracing::info!(request = %self.id, %error, "resume failed");
-                return Resumption::Refused;
+                return ResumeResult::Refused;
             }
         };
         let body = answer.into_body();
         let splitter = EventSplitter::default();
         self.source = Some(Source { number, body, connection, splitter, offset });
-        Resumption::Begun
+        ResumeResult::Resumed
     }
 
     /// Whether an engine that is silent is asked for the stream again.
     ///
     /// A stream that has begun can't be had elsewhere; another one is sent elsewhere, unless the
     /// engine is only busy.
-    fn may_wait(&self) -> bool {
-        self.has_begun || silence::is_announced(&self.entry, self.address)
+    fn may_retry_resume(&self) -> bool {
+        self.has_first_event || silence::is_announced(&self.entry, self.address)
     }
 
     fn request(&self, method: Method, path: &str) -> Option<Request<Full<Bytes>>> {
@@ -366,18 +366,18 @@
 }
 
 /// Reads what is left of a finished body, so that its connection can be used again.
-fn give_back(entry: &Rc<Entry>, mut source: Source) {
+fn reuse_connection(entry: &Rc<Entry>, mut source: Source) {
     let entry = entry.clone();
     task::spawn_local(async move {
-        let rest = async { while let Some(Ok(_)) = source.body.frame().await {} };
-        if tokio::time::timeout(REST_LIMIT, rest).await.is_ok() {
+        let remainder = async { while let Some(Ok(_)) = source.body.frame().await {} };
+        if tokio::time::timeout(BODY_END_TIMEOUT, remainder).await.is_ok() {
             entry.client.give_back(source.connection);
         }
     });
 }
 
 /// Time that the end of a body may take after the terminal event.
-const REST_LIMIT: Duration = Duration::from_secs(1);
+const BODY_END_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The event that ends an answer which could not be finished.
 fn error_event(id: &RequestId, refusal: &Refusal) -> Bytes {
--- a/src/coordination/entry/services.rs
+++ b/src/coordination/entry/services.rs
@@ -30,27 +30,27 @@
         Entry,
         attempt::{self, Handle, Step},
         exchange::{Exchange, FailedAttempt},
-        inference::{self, AttemptEnd, Job},
-        outcomes::{self, ANSWER_BYTES, Served},
+        inference::{self, AttemptError, Job},
+        outcomes::{self, MAX_ANSWER_BYTES, ServiceAnswer},
     },
     protocol::{Problem, headers},
     transport::body::{self, Answer},
 };
 
 /// Time that an intent has to be committed.
-const BEGIN_LIMIT: Duration = Duration::from_secs(4);
+const INTENT_COMMIT_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Time that an outcome has to be committed.
-const FINISH_LIMIT: Duration = Duration::from_secs(10);
+const OUTCOME_COMMIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time after which the service may have told an unknown outcome.
-const UNKNOWN_PAUSE: Duration = Duration::from_secs(5);
+const UNKNOWN_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Time that the body of an answer may take after its head.
-const ANSWER_LIMIT: Duration = Duration::from_secs(10);
+const ANSWER_BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Shortest time that an attempt is worth.
-const ATTEMPT_ESTIMATE: Duration = Duration::from_millis(50);
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(50);
 
 /// A call that must not run twice.
 pub struct Booking {
@@ -67,26 +67,26 @@
     /// The caller's key.
     pub key: BookingKey,
     /// Fingerprint of method, path and body.
-    pub content: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Whether the service can be asked about the outcome.
-    pub outcomes: bool,
+    pub can_query_outcome: bool,
     /// The call.
     pub job: Job,
 }
 
 impl Booking {
     /// The service, if it can be asked about the outcome.
-    fn askable(&self) -> Option<ServiceId> {
+    fn queryable_service(&self) -> Option<ServiceId> {
         match &self.job.facts().target {
-            Target::Service(service) if self.outcomes => Some(service.clone()),
+            Target::Service(service) if self.can_query_outcome => Some(service.clone()),
             _ => None,
         }
     }
 }
 
 /// How the sending of a booking ended.
-enum End {
-    Answered(Served),
+enum SendResult {
+    Answered(ServiceAnswer),
     Lost(FailedAttempt),
     NotSent(Refusal),
 }
@@ -96,9 +96,9 @@
     let id = booking.job.facts().id.clone();
     let _slot = match inference::admit(&entry, &mut booking.job).await {
         Ok(slot) => slot,
-        Err(refusal) => return refuse_unasked(&entry, &id, &refusal),
+        Err(refusal) => return refuse_before_lookup(&entry, &id, &refusal),
     };
-    let limit = BEGIN_LIMIT.min(booking.job.facts().deadline);
+    let limit = INTENT_COMMIT_TIMEOUT.min(booking.job.facts().deadline);
     let mut attempt = attempt::start(&entry, booking.home.clone(), begin_of(&entry, &booking));
     match attempt.next(limit).await {
         Step::Send => run(&entry, booking, attempt).await,
@@ -107,8 +107,8 @@
 }
 
 /// Ends a booking with a refusal before the home group was asked about its key.
-pub fn refuse_unasked(entry: &Entry, id: &RequestId, refusal: &Refusal) -> Answer {
-    entry.end(id, refusal.outcome, refusal.reason.title());
+pub fn refuse_before_lookup(entry: &Entry, id: &RequestId, refusal: &Refusal) -> Answer {
+    entry.end_request(id, refusal.outcome, refusal.reason.title());
     body::refusal(&Problem::from_refusal(refusal).of(id).earlier_unknown())
 }
 
@@ -116,13 +116,13 @@
     Begin {
         team: booking.team.clone(),
         key: booking.key.clone(),
-        content: booking.content,
+        content: booking.fingerprint,
         request: booking.job.facts().id.clone(),
         owner: Owner { instance: entry.node.own.id.clone(), incarnation: entry.node.incarnation },
         revision: booking.revision,
         epoch: booking.epoch,
         moved: booking.moved,
-        askable: booking.askable(),
+        askable: booking.queryable_service(),
     }
 }
 
@@ -130,16 +130,16 @@
 fn answer_unsent(entry: &Entry, id: &RequestId, answer: &attempt_core::Answer) -> Answer {
     let problem = match answer {
         attempt_core::Answer::Done(recorded) => {
-            entry.end(id, Outcome::Answered, "recorded answer of an earlier request");
+            entry.end_request(id, Outcome::Answered, "recorded answer of an earlier request");
             return recorded_answer(id, recorded);
         }
         attempt_core::Answer::Unknown => {
             let title = "An earlier request with this key may have run; it is not sent again";
-            Problem::new(409, "outcome-unknown", title, Outcome::Unknown).after(UNKNOWN_PAUSE)
+            Problem::new(409, "outcome-unknown", title, Outcome::Unknown).after(UNKNOWN_RETRY_AFTER)
         }
         attempt_core::Answer::NotRun(reason) => not_run(reason),
     };
-    entry.end(id, problem.outcome, &problem.title);
+    entry.end_request(id, problem.outcome, &problem.title);
     body::refusal(&problem.of(id))
 }
 
@@ -149,9 +149,9 @@
         Problem::new(503, kind, title, Outcome::NotRun).after(wait)
     };
     // The key was not looked up; it may have been used before.
-    let unasked = |kind: &'static str, title: &str| {
-        let rest = "whether an earlier request with this key ran can't be told now";
-        refused(kind, &format!("{title}; {rest}")).earlier_unknown()
+    let not_looked_up = |kind: &'static str, title: &str| {
+        let note = "whether an earlier request with this key ran can't be told now";
+        refused(kind, &format!("{title}; {note}")).earlier_unknown()
     };
     match reason {
         NotRun::InProgress(request) => {
@@ -162,25 +162,27 @@
             let title = format!("The key belongs to request {request} with other content");
             Problem::new(422, "key-reused", &title, Outcome::NotRun)
         }
-        NotRun::NotHome(region) => {
-            unasked("not-home", &format!("The team's bookings are recorded in region {region}"))
-        }
-        NotRun::StaleConfiguration(revision) => unasked(
+        NotRun::NotHome(region) => not_looked_up(
+            "not-home",
+            &format!("The team's bookings are recorded in region {region}"),
+        ),
+        NotRun::StaleConfiguration(revision) => not_looked_up(
             "stale-configuration",
             &format!("This instance does not know revision {revision} yet"),
         ),
-        NotRun::NotAdopted => {
-            unasked("not-adopted", "The team's bookings are on their way to its new home region")
-        }
+        NotRun::NotAdopted => not_looked_up(
+            "not-adopted",
+            "The team's bookings are on their way to its new home region",
+        ),
         NotRun::Full => refused("keys-exhausted", "The home region keeps as many keys as it can"),
         NotRun::HomeUnavailable => {
-            unasked("home-unreachable", "The home region of the booking can't be reached")
+            not_looked_up("home-unreachable", "The home region of the booking can't be reached")
                 .after(Duration::from_secs(2))
         }
         NotRun::UpstreamUnavailable => {
             refused("upstream-unavailable", "No upstream could be reached")
         }
-        NotRun::Replaced => unasked("replaced", "This instance has been replaced"),
+        NotRun::Replaced => not_looked_up("replaced", "This instance has been replaced"),
     }
 }
 
@@ -188,51 +190,51 @@
 async fn run(entry: &Rc<Entry>, mut booking: Booking, mut attempt: Handle) -> Answer {
     let id = booking.job.facts().id.clone();
     let failed = match send(entry, &mut booking).await {
-        End::Answered(served) => return finish(entry, &booking, &mut attempt, served).await,
-        End::NotSent(refusal) => {
-            attempt.tell(Event::NotSent);
+        SendResult::Answered(answer) => return finish(entry, &booking, &mut attempt, answer).await,
+        SendResult::NotSent(refusal) => {
+            attempt.send_event(Event::NotSent);
             return inference::refuse(entry, &id, &refusal);
         }
-        End::Lost(failed) => failed,
+        SendResult::Lost(failed) => failed,
     };
-    if booking.outcomes
-        && let Some(served) = ask_outcome(entry, &booking, &failed).await
+    if booking.can_query_outcome
+        && let Some(answer) = query_outcome(entry, &booking, &failed).await
     {
-        return finish(entry, &booking, &mut attempt, served).await;
+        return finish(entry, &booking, &mut attempt, answer).await;
     }
-    attempt.tell(Event::AnswerLost);
+    attempt.send_event(Event::AnswerLost);
     let refusal = Refusal::new(Reason::AnswerLost, Duration::from_secs(5));
     inference::refuse(entry, &id, &refusal)
 }
 
 /// Sends the call until it is answered, or may have begun, or is given up unsent.
-async fn send(entry: &Rc<Entry>, booking: &mut Booking) -> End {
+async fn send(entry: &Rc<Entry>, booking: &mut Booking) -> SendResult {
     let id = booking.job.facts().id.clone();
     let target = booking.job.facts().target.clone();
     let deadline = entry.node.now() + booking.job.facts().deadline;
-    let mut attempts = Attempts::new(false, false, deadline, ATTEMPT_ESTIMATE);
+    let mut attempts = Attempts::new(false, false, deadline, MIN_ATTEMPT_TIME);
     loop {
         let failed = match inference::send(entry, &booking.job).await {
             Ok(exchange) => match read_answer(entry, booking.job.facts(), exchange).await {
-                Ok(served) => return End::Answered(served),
+                Ok(answer) => return SendResult::Answered(answer),
                 Err(failed) => failed,
             },
-            Err(AttemptEnd::Refused(refusal)) => return End::NotSent(refusal),
-            Err(AttemptEnd::Failed(failed)) => failed,
+            Err(AttemptError::Refused(refusal)) => return SendResult::NotSent(refusal),
+            Err(AttemptError::Failed(failed)) => failed,
         };
         tracing::info!(request = %id, reason = %failed.reason, "attempt failed");
         if !failed.failure.is_not_run() {
-            return End::Lost(failed);
+            return SendResult::Lost(failed);
         }
-        let decision = entry.with_budget(&target, |budget| {
+        let decision = entry.with_retry_budget(&target, |budget| {
             let now = entry.node.now();
-            attempts.decide(now, failed.failure, budget, &mut entry.spread.borrow_mut())
+            attempts.decide(now, failed.failure, budget, &mut entry.retry_jitter.borrow_mut())
         });
         inference::exclude(&mut booking.job, &failed);
         match decision {
-            Decision::GiveUp(refusal) => return End::NotSent(refusal),
+            Decision::GiveUp(refusal) => return SendResult::NotSent(refusal),
             Decision::RetryInZone | Decision::RetryInOtherZone => {
-                entry.step(&id, Stage::Retried { reason: failed.reason });
+                entry.record_stage(&id, Stage::Retried { reason: failed.reason });
             }
         }
     }
@@ -245,71 +247,82 @@
     entry: &Entry,
     facts: &RequestFacts,
     exchange: Exchange,
-) -> Result<Served, FailedAttempt> {
+) -> Result<ServiceAnswer, FailedAttempt> {
     let request = facts.id.clone();
-    let (place, attempt_id) = (exchange.place, exchange.attempt_id);
+    let (destination, attempt_id) = (exchange.destination, exchange.attempt_id);
     let (head, incoming) = exchange.answer.into_parts();
-    let content = match tokio::time::timeout(ANSWER_LIMIT, body::read(incoming, ANSWER_BYTES)).await
-    {
-        Ok(Ok(content)) => content,
-        _ => {
-            entry.routed(router::Event::Failed(attempt_id));
-            entry.suspect(suspects::Event::Inconclusive { request });
-            let reason = "the answer was cut before its end".into();
-            return Err(FailedAttempt { place, failure: Failure::Lost, reason });
-        }
-    };
-    entry.suspect(suspects::Event::Completed { request });
-    if inference::says_not_started(head.status, &content) {
-        entry.routed(router::Event::Failed(attempt_id));
+    let content =
+        match tokio::time::timeout(ANSWER_BODY_TIMEOUT, body::read(incoming, MAX_ANSWER_BYTES))
+            .await
+        {
+            Ok(Ok(content)) => content,
+            _ => {
+                entry.notify_router(router::Event::Failed(attempt_id));
+                entry.handle_suspect_event(suspects::Event::Inconclusive { request });
+                let reason = "the answer was cut before its end".into();
+                return Err(FailedAttempt { destination, failure: Failure::Lost, reason });
+            }
+        };
+    entry.handle_suspect_event(suspects::Event::Completed { request });
+    if inference::is_not_started(head.status, &content) {
+        entry.notify_router(router::Event::Failed(attempt_id));
         let reason = "the service did not begin it".into();
-        return Err(FailedAttempt { place, failure: Failure::NotSent, reason });
+        return Err(FailedAttempt { destination, failure: Failure::NotSent, reason });
     }
-    entry.routed(router::Event::FirstToken(attempt_id));
-    entry.routed(router::Event::Ended(attempt_id));
+    entry.notify_router(router::Event::FirstToken(attempt_id));
+    entry.notify_router(router::Event::Ended(attempt_id));
     let media = head.headers.get(header::CONTENT_TYPE).and_then(|it| it.to_str().ok());
     if head.headers.get(headers::OUTCOME).is_some_and(|it| it == "unknown") {
         let reason = "the receiving zone does not know the outcome".into();
-        return Err(FailedAttempt { place, failure: Failure::Lost, reason });
+        return Err(FailedAttempt { destination, failure: Failure::Lost, reason });
     }
-    inference::pay_for_retries(entry, &facts.target, &place, head.status);
+    inference::credit_retry_budget(entry, &facts.target, &destination, head.status);
     let recorded = Recorded {
         status: head.status.as_u16(),
         content_type: media.unwrap_or("application/octet-stream").into(),
         body: Body::of(&content),
     };
-    Ok(Served { recorded, content })
+    Ok(ServiceAnswer { recorded, content })
 }
 
 /// Answers the caller once the outcome is recorded, or after [`FINISH_LIMIT`].
-async fn finish(entry: &Entry, booking: &Booking, attempt: &mut Handle, served: Served) -> Answer {
+async fn finish(
+    entry: &Entry,
+    booking: &Booking,
+    attempt: &mut Handle,
+    answer: ServiceAnswer,
+) -> Answer {
     let id = &booking.job.facts().id;
-    let Served { recorded, content } = served;
-    let (status, media) = head_of(&recorded);
-    attempt.tell(Event::Answered(recorded));
-    attempt.next(FINISH_LIMIT).await;
-    entry.end(id, Outcome::Answered, "whole answer");
-    inference::pass_on(id, status, media.as_ref(), content)
+    let ServiceAnswer { recorded, content } = answer;
+    let (status, media) = answer_head(&recorded);
+    attempt.send_event(Event::Answered(recorded));
+    attempt.next(OUTCOME_COMMIT_TIMEOUT).await;
+    entry.end_request(id, Outcome::Answered, "whole answer");
+    inference::build_answer(id, status, media.as_ref(), content)
 }
 
 /// Asks the upstream that may have run a call what became of it.
-async fn ask_outcome(entry: &Entry, booking: &Booking, failed: &FailedAttempt) -> Option<Served> {
-    let inference::Place::Upstream(upstream) = &failed.place else { return None };
+async fn query_outcome(
+    entry: &Entry,
+    booking: &Booking,
+    failed: &FailedAttempt,
+) -> Option<ServiceAnswer> {
+    let inference::Destination::Upstream(upstream) = &failed.destination else { return None };
     let address = {
         let members = entry.node.members.borrow();
         members.upstream(entry.node.now(), upstream)?.announcement.address
     };
-    outcomes::ask(entry, address, &booking.key, &booking.job.facts().id).await
+    outcomes::query_outcome(entry, address, &booking.key, &booking.job.facts().id).await
 }
 
 /// Status and media type of a recorded answer.
-fn head_of(answer: &Recorded) -> (StatusCode, Option<header::HeaderValue>) {
+fn answer_head(answer: &Recorded) -> (StatusCode, Option<header::HeaderValue>) {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     (status, header::HeaderValue::from_str(&answer.content_type).ok())
 }
 
 fn recorded_answer(id: &RequestId, answer: &Recorded) -> Answer {
-    let (status, media) = head_of(answer);
+    let (status, media) = answer_head(answer);
     let content = match &answer.body {
         Body::Whole(content) => Bytes::from(content.clone()),
         Body::Omitted { size, print } => {
@@ -317,5 +330,5 @@
             Bytes::from(note.to_string())
         }
     };
-    inference::pass_on(id, status, media.as_ref(), content)
+    inference::build_answer(id, status, media.as_ref(), content)
 }
--- a/src/coordination/entry/silence.rs
+++ b/src/coordination/entry/silence.rs
@@ -39,26 +39,26 @@
 };
 
 /// Time after which the head of an answer is overdue.
-const HEAD_PATIENCE: Duration = Duration::from_secs(2);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time that an engine has to tell about a request on a new connection.
-const ASK_LIMITS: CallLimits =
+const STREAM_QUERY_LIMITS: CallLimits =
     CallLimits { connect: Duration::from_secs(1), head: Duration::from_secs(2) };
 
 /// How often an engine that renews its announcement is asked about a call whose connection broke.
-const ASKS: usize = 3;
+const MAX_QUERIES: usize = 3;
 
 /// How often a call is sent in one attempt, at most, when its connections break.
-const SENDS: usize = 2;
+const MAX_SENDS: usize = 2;
 
 /// Time that a generated answer has to arrive on its own connection.
-const ARRIVAL_LIMIT: Duration = Duration::from_secs(1);
+const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The head of an answer and the connection that brings it.
-pub type Answered = (Response<Incoming>, Connection);
+pub type ReceivedHead = (Response<Incoming>, Connection);
 
 /// Where a call goes, and for which request.
-pub struct Destination<'a> {
+pub struct EngineRequest<'a> {
     /// The engine.
     pub address: SocketAddr,
     /// The request.
@@ -68,13 +68,13 @@
 }
 
 /// What a new connection tells about a request.
-enum Word {
+enum QueryResult {
     /// The engine knows it; its events follow from the first one on.
-    Known(Answered),
+    Known(ReceivedHead),
     /// The engine does not know it.
     Unknown,
     /// No word came.
-    None,
+    Unanswered,
 }
 
 /// Sends a request to an engine and replaces its connection when that is silent.
@@ -84,55 +84,55 @@
 /// Fails as [`HttpClient::call`](crate::transport::http_client::HttpClient::call) does.
 pub async fn call(
     entry: &Entry,
-    to: Destination<'_>,
+    to: EngineRequest<'_>,
     request: Request<RequestBody>,
     call: &Call,
     limits: CallLimits,
-) -> Result<Answered, CallError> {
-    let first = send(entry, &to, request.clone(), call, limits);
-    let mut first = pin!(first);
+) -> Result<ReceivedHead, CallError> {
+    let sending = send(entry, &to, request.clone(), call, limits);
+    let mut sending = pin!(sending);
     loop {
-        if let Ok(result) = timeout(HEAD_PATIENCE, first.as_mut()).await {
+        if let Ok(result) = timeout(HEAD_TIMEOUT, sending.as_mut()).await {
             return result;
         }
-        let found = tokio::select! {
+        let action = tokio::select! {
             biased;
-            result = first.as_mut() => return result,
-            found = examine(entry, &to, call) => found,
+            result = sending.as_mut() => return result,
+            action = resolve_overdue(entry, &to, call) => action,
         };
-        match found {
-            Found::Answer(answered) => return Ok(answered),
-            Found::Silent => break,
-            Found::Busy => {}
-            Found::Unresponsive => {
-                return Err(CallError::Silent { address: to.address, limit: HEAD_PATIENCE });
+        match action {
+            OverdueAction::UseAnswer(received) => return Ok(received),
+            OverdueAction::Resend => break,
+            OverdueAction::Wait => {}
+            OverdueAction::Fail => {
+                return Err(CallError::Silent { address: to.address, limit: HEAD_TIMEOUT });
             }
         }
     }
     tracing::info!(request = %to.id, "silent connection replaced");
     entry.client.forget(to.address);
-    let renewed = Call { reuse: Reuse::Never, ..call.clone() };
-    send(entry, &to, request, &renewed, limits).await
+    let new_connection_call = Call { reuse: Reuse::Never, ..call.clone() };
+    send(entry, &to, request, &new_connection_call, limits).await
 }
 
 /// Sends a request, and replaces its connection when that breaks before the head of the answer.
 async fn send(
     entry: &Entry,
-    to: &Destination<'_>,
+    to: &EngineRequest<'_>,
     request: Request<RequestBody>,
     call: &Call,
     limits: CallLimits,
-) -> Result<Answered, CallError> {
-    let (mut reuse, mut sends_left) = (call.reuse, SENDS);
+) -> Result<ReceivedHead, CallError> {
+    let (mut reuse, mut sends_left) = (call.reuse, MAX_SENDS);
     loop {
         let result = entry.client.call(to.address, request.clone(), reuse, limits).await;
         if !matches!(result, Err(CallError::Lost { .. })) {
             return result;
         }
         sends_left -= 1;
-        match ask_while_announced(entry, to).await {
-            Word::Known(answered) if call.stream => return Ok(answered),
-            Word::Unknown if sends_left > 0 && !has_started_anew(entry, to) => {
+        match query_while_announced(entry, to).await {
+            QueryResult::Known(received) if call.stream => return Ok(received),
+            QueryResult::Unknown if sends_left > 0 && !has_restarted(entry, to) => {
                 tracing::info!(request = %to.id, "call that was not taken in is sent again");
                 entry.client.forget(to.address);
                 reuse = Reuse::Never;
@@ -143,32 +143,32 @@
 }
 
 /// Asks an engine about a request, again while it renews its announcement and tells nothing.
-async fn ask_while_announced(entry: &Entry, to: &Destination<'_>) -> Word {
-    for _ in 1..ASKS {
-        match ask(entry, to).await {
-            Word::None if is_announced(entry, to.address) => {}
-            word => return word,
+async fn query_while_announced(entry: &Entry, to: &EngineRequest<'_>) -> QueryResult {
+    for _ in 1..MAX_QUERIES {
+        match query_stream(entry, to).await {
+            QueryResult::Unanswered if is_announced(entry, to.address) => {}
+            result => return result,
         }
     }
-    ask(entry, to).await
+    query_stream(entry, to).await
 }
 
 /// Whether another incarnation of the engine is known than the one that the request went to.
-fn has_started_anew(entry: &Entry, to: &Destination<'_>) -> bool {
+fn has_restarted(entry: &Entry, to: &EngineRequest<'_>) -> bool {
     let sent_to = entry.suspects.borrow().incarnation_of(to.id);
     announced_incarnation(entry, to.address) != sent_to
 }
 
 /// What an examination of an overdue answer has found.
-enum Found {
+enum OverdueAction {
     /// The answer, on a new connection.
-    Answer(Answered),
+    UseAnswer(ReceivedHead),
     /// The connection is silent, and the request may be sent again.
-    Silent,
+    Resend,
     /// The engine tells nothing, but renews its announcement: it is waited for.
-    Busy,
+    Wait,
     /// The engine tells nothing, or the request may not be sent again.
-    Unresponsive,
+    Fail,
 }
 
 /// Whether the engine at an address has renewed its announcement within its lease.
@@ -184,36 +184,36 @@
     known.map(|it| it.announcement.incarnation)
 }
 
-async fn examine(entry: &Entry, to: &Destination<'_>, call: &Call) -> Found {
-    match ask(entry, to).await {
-        Word::None if is_announced(entry, to.address) => Found::Busy,
-        Word::None => Found::Unresponsive,
-        Word::Unknown => Found::Silent,
-        Word::Known(answered) if call.stream => Found::Answer(answered),
-        Word::Known((answer, _connection)) => {
+async fn resolve_overdue(entry: &Entry, to: &EngineRequest<'_>, call: &Call) -> OverdueAction {
+    match query_stream(entry, to).await {
+        QueryResult::Unanswered if is_announced(entry, to.address) => OverdueAction::Wait,
+        QueryResult::Unanswered => OverdueAction::Fail,
+        QueryResult::Unknown => OverdueAction::Resend,
+        QueryResult::Known(received) if call.stream => OverdueAction::UseAnswer(received),
+        QueryResult::Known((answer, _connection)) => {
             let mut events = answer.into_body();
             while let Some(Ok(_)) = events.frame().await {}
-            sleep(ARRIVAL_LIMIT).await;
-            match entry.with_budget(to.target, |budget| budget.take()) {
-                true => Found::Silent,
-                false => Found::Unresponsive,
+            sleep(ARRIVAL_TIMEOUT).await;
+            match entry.with_retry_budget(to.target, |budget| budget.take()) {
+                true => OverdueAction::Resend,
+                false => OverdueAction::Fail,
             }
         }
     }
 }
 
 /// Asks an engine on a new connection for the events of a request.
-async fn ask(entry: &Entry, to: &Destination<'_>) -> Word {
+async fn query_stream(entry: &Entry, to: &EngineRequest<'_>) -> QueryResult {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.method_mut() = Method::GET;
     let path = format!("/v1/streams/{}?offset=0", to.id);
-    let Ok(uri) = path.parse() else { return Word::None };
+    let Ok(uri) = path.parse() else { return QueryResult::Unanswered };
     *request.uri_mut() = uri;
     body::insert(request.headers_mut(), header::HOST.as_str(), &to.address.to_string());
     body::insert(request.headers_mut(), headers::REQUEST_ID, &to.id.to_string());
-    match entry.client.call(to.address, request, Reuse::Never, ASK_LIMITS).await {
-        Ok(answered) if answered.0.status().is_success() => Word::Known(answered),
-        Ok((answer, _)) if answer.status() == StatusCode::NOT_FOUND => Word::Unknown,
-        Ok(_) | Err(_) => Word::None,
+    match entry.client.call(to.address, request, Reuse::Never, STREAM_QUERY_LIMITS).await {
+        Ok(received) if received.0.status().is_success() => QueryResult::Known(received),
+        Ok((answer, _)) if answer.status() == StatusCode::NOT_FOUND => QueryResult::Unknown,
+        Ok(_) | Err(_) => QueryResult::Unanswered,
     }
 }
