--- a/src/coordination/entry/callers.rs
+++ b/src/coordination/entry/callers.rs
@@ -353,7 +353,7 @@
                 moved,
                 key,
                 fingerprint: call_fingerprint,
-                can_query_outcome: service.outcomes,
+                can_query_outcome: service.reports_outcomes,
                 job,
             },
         )),
--- a/src/coordination/entry/mod.rs
+++ b/src/coordination/entry/mod.rs
@@ -364,7 +364,7 @@
                 self.handle_suspect_event(suspects::Event::ReservationReleased { upstream })
             }
             Message::Questions { home, questions } => {
-                task::spawn_local(outcomes::settle_all(self.clone(), home, questions));
+                task::spawn_local(outcomes::resolve_all(self.clone(), home, questions));
             }
             message => {
                 tracing::warn!(%from, ?message, "message for another kind of process");
--- a/src/coordination/entry/outcomes.rs
+++ b/src/coordination/entry/outcomes.rs
@@ -1,7 +1,7 @@
 //! Questions to plain services about bookings of unknown outcome.
 //!
 //! The owner asks the upstream that it sent the booking to once after a lost answer. Everything
-//! later is up to the leader of the home group: it hands [`Question`]s to an entry instance of
+//! later is up to the leader of the home group: it hands [`OutcomeQuery`]s to an entry instance of
 //! each permitted zone, which asks the zone's upstreams of the service, owner or not. A question
 //! sends nothing again, and of several answers the home group records one.
 //!
@@ -16,10 +16,10 @@
 use http_body_util::Full;
 use hyper::{Method, Request, StatusCode, header};
 use medlarlug_core::{
-    home::{Action, Body, BookingKey, LookUp, Question, Recorded, Reply},
+    home::{Action, Body, BookingKey, OutcomeQuery, RecordLookup, RecordedAnswer, Reply},
     ids::{RegionId, RequestId},
     membership::Target,
-    record::{Outcome, RequestRecord, Stage, Step},
+    record::{Outcome, RequestRecord, Stage, TimelineEntry},
     release::ItemKey,
 };
 use smol_str::SmolStr;
@@ -47,24 +47,24 @@
 /// What a service answered to a booking.
 pub struct ServiceAnswer {
     /// What is recorded of it.
-    pub recorded: Recorded,
+    pub recorded: RecordedAnswer,
     /// The whole body.
     pub content: Bytes,
 }
 
 /// Asks the own zone's services about bookings of the home group of `home`, and settles them.
-pub async fn settle_all(entry: Rc<Entry>, home: RegionId, questions: Vec<Question>) {
-    join_all(questions.iter().map(|it| settle(&entry, &home, it))).await;
+pub async fn resolve_all(entry: Rc<Entry>, home: RegionId, queries: Vec<OutcomeQuery>) {
+    join_all(queries.iter().map(|it| resolve(&entry, &home, it))).await;
 }
 
-async fn settle(entry: &Entry, home: &RegionId, question: &Question) {
-    let answers = addresses(entry, question).into_iter();
-    let answers = answers.map(|it| query_outcome(entry, it, &question.key, &question.request));
+async fn resolve(entry: &Entry, home: &RegionId, query: &OutcomeQuery) {
+    let answers = addresses(entry, query).into_iter();
+    let answers = answers.map(|it| query_outcome(entry, it, &query.key, &query.request));
     let Some(answer) = join_all(answers).await.into_iter().flatten().next() else { return };
-    let request = &question.request;
+    let request = &query.request;
     // The record goes first: while the booking is not settled, the question comes again.
-    let result = match record_outcome(entry, question).await {
-        Ok(Reply::Ok) => settle_booking(entry, home, question, answer.recorded).await,
+    let result = match record_outcome(entry, query).await {
+        Ok(Reply::Ok) => resolve_booking(entry, home, query, answer.recorded).await,
         other => other,
     };
     match result {
@@ -75,39 +75,39 @@
 }
 
 /// The zone's upstreams of the service, if residency permits to ask them.
-fn addresses(entry: &Entry, question: &Question) -> Vec<SocketAddr> {
+fn addresses(entry: &Entry, query: &OutcomeQuery) -> Vec<SocketAddr> {
     let node = &entry.node;
     let Some(configuration) = entry.configuration() else { return Vec::new() };
-    if !question.may_be_asked(&configuration, &node.region) {
+    if !query.is_permitted_in(&configuration, &node.region) {
         return Vec::new();
     }
-    let target = Target::Service(question.service.clone());
+    let target = Target::Service(query.service.clone());
     let members = node.members.borrow();
     let upstreams = members.upstreams(node.now()).filter(|it| it.serves(&target));
     upstreams.map(|it| it.announcement.address).collect()
 }
 
-async fn settle_booking(
+async fn resolve_booking(
     entry: &Entry,
     home: &RegionId,
-    question: &Question,
-    answer: Recorded,
+    query: &OutcomeQuery,
+    answer: RecordedAnswer,
 ) -> Result<Reply, CallFailure> {
-    let Question { team, key, request, .. } = question.clone();
-    let action = Action::Settle { team, key, request, answer };
+    let OutcomeQuery { team, key, request, .. } = query.clone();
+    let action = Action::ResolveOutcome { team, key, request, answer };
     calls::act(&entry.node, home, action, GROUP_CALL_TIMEOUT).await
 }
 
 /// Notes in the record of a booking's request that the service told its outcome.
-async fn record_outcome(entry: &Entry, question: &Question) -> Result<Reply, CallFailure> {
-    let request = &question.request;
+async fn record_outcome(entry: &Entry, query: &OutcomeQuery) -> Result<Reply, CallFailure> {
+    let request = &query.request;
     let mut record = match calls::look_up(&entry.node, request, GROUP_CALL_TIMEOUT).await? {
-        LookUp::Found(record) => record,
+        RecordLookup::Found(record) => record,
         // The owner was lost before it sent the record.
-        LookUp::Expired | LookUp::NotYet => RequestRecord {
+        RecordLookup::Expired | RecordLookup::Pending => RequestRecord {
             id: request.clone(),
-            team: question.team.clone(),
-            target: ItemKey::Service(question.service.clone()),
+            team: query.team.clone(),
+            target: ItemKey::Service(query.service.clone()),
             outcome: None,
             timeline: Vec::new(),
         },
@@ -120,7 +120,7 @@
     let stage = Stage::Ended { outcome: Outcome::Answered, reason };
     // When the request was received is not known here.
     let after = record.timeline.last().map(|it| it.after).unwrap_or_default();
-    record.timeline.push(Step { after, stage });
+    record.timeline.push(TimelineEntry { after, stage });
     let action = Action::Records(vec![record]);
     calls::act(&entry.node, &request.region, action, GROUP_CALL_TIMEOUT).await
 }
@@ -132,12 +132,12 @@
     key: &BookingKey,
     request: &RequestId,
 ) -> Option<ServiceAnswer> {
-    let mut question = Request::new(Full::new(Bytes::new()));
-    *question.method_mut() = Method::GET;
-    *question.uri_mut() = format!("/outcomes/{key}").parse().ok()?;
-    body::insert(question.headers_mut(), header::HOST.as_str(), &address.to_string());
-    body::insert(question.headers_mut(), headers::REQUEST_ID, &request.to_string());
-    let result = entry.client.call(address, question, Reuse::Never, OUTCOME_QUERY_LIMITS).await;
+    let mut query = Request::new(Full::new(Bytes::new()));
+    *query.method_mut() = Method::GET;
+    *query.uri_mut() = format!("/outcomes/{key}").parse().ok()?;
+    body::insert(query.headers_mut(), header::HOST.as_str(), &address.to_string());
+    body::insert(query.headers_mut(), headers::REQUEST_ID, &request.to_string());
+    let result = entry.client.call(address, query, Reuse::Never, OUTCOME_QUERY_LIMITS).await;
     let (answer, _) = result.ok()?;
     if answer.status() != StatusCode::OK {
         return None;
@@ -157,7 +157,7 @@
         serde_json::Value::String(text) => text.clone().into_bytes(),
         other => serde_json::to_vec(other).ok()?,
     };
-    let recorded = Recorded {
+    let recorded = RecordedAnswer {
         status: 200,
         content_type: SmolStr::new_static("application/json"),
         body: Body::of(&content),
