--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -159,7 +159,7 @@
         stop: watch::Receiver<bool>,
     ) -> Result<Rc<Entry>, ServerError> {
         let internal = http_server::listen("peers", settings.info.internal).await?;
-        let clock = Clock::start_after(MAX_UPDATE_AGE);
+        let clock = Clock::start_with_offset(MAX_UPDATE_AGE);
         let entry = Rc::new(Entry {
             settings: RefCell::new(settings),
             names,
--- a/crates/medlarlug-gateway/src/keeper/mod.rs
+++ b/crates/medlarlug-gateway/src/keeper/mod.rs
@@ -21,7 +21,7 @@
         clock::Clock,
         keeper::{
             group::{Caller, Group, Output},
-            machine::{Machine, MachineError},
+            machine::{StateMachine, StateMachineError},
             storage::group_name,
         },
     },
@@ -78,7 +78,7 @@
     State(#[from] StateError),
     /// The stored or replicated state can't be decoded.
     #[error("failed to read the replicated state")]
-    Machine(#[from] MachineError),
+    Machine(#[from] StateMachineError),
     /// An address can't be bound.
     #[error(transparent)]
     Server(#[from] ServerError),
@@ -115,7 +115,7 @@
     /// the writer.
     unsynced: RefCell<Vec<(u64, Time)>>,
     /// Error of the state machine; the process has to end.
-    failure: RefCell<Option<MachineError>>,
+    failure: RefCell<Option<StateMachineError>>,
 }
 
 impl Keeper {
@@ -125,7 +125,7 @@
     ///
     /// The durable state can't be used, or the internal address can't be bound.
     pub async fn start(settings: NodeSettings) -> Result<Rc<Keeper>, KeeperError> {
-        let clock = Clock::start_after(MAX_UPDATE_AGE);
+        let clock = Clock::start_with_offset(MAX_UPDATE_AGE);
         let path = settings.data.clone().ok_or(KeeperError::NoFolder)?;
         let folder = DataFolder::open(&path, &settings.info.id)?;
         let journal = Journal::open(&folder)?;
@@ -228,7 +228,7 @@
     /// Passes an input to the group and carries out its outputs.
     fn drive_group<F>(&self, feed: F)
     where
-        F: FnOnce(&mut Group, Time, &mut Vec<Output>) -> Result<(), MachineError>,
+        F: FnOnce(&mut Group, Time, &mut Vec<Output>) -> Result<(), StateMachineError>,
     {
         let mut out = Vec::new();
         let result = feed(&mut self.group.borrow_mut(), self.now(), &mut out);
@@ -243,7 +243,7 @@
                 Output::Persist(batch) => self.persist(batch),
                 Output::Reply { caller, reply } => self.reply(caller, reply),
                 Output::Applied => is_changed = true,
-                Output::Role { role, term } => {
+                Output::RoleChanged { role, term } => {
                     tracing::info!(?role, term = term.0, "role changed");
                     if role == Role::Leader {
                         is_changed = true;
@@ -297,7 +297,7 @@
     /// Updates the head and the table from the state machine.
     fn refresh_head(&self) {
         let group = self.group.borrow();
-        let Some(publication) = group.machine().publication() else { return };
+        let Some(publication) = group.state_machine().publication() else { return };
         let head = PublicationHead {
             version: publication.version(),
             round: publication.round(),
@@ -431,7 +431,7 @@
             }
             Message::Fetch(version) => {
                 let group = self.group.borrow();
-                let Some(publication) = group.machine().publication() else { return };
+                let Some(publication) = group.state_machine().publication() else { return };
                 if publication.version() < version {
                     return;
                 }
@@ -527,10 +527,10 @@
     folder: &DataFolder,
     journal: &Journal,
     now: Time,
-) -> Result<Group, MachineError> {
+) -> Result<Group, StateMachineError> {
     let id = GroupId::Publication;
     let restored = journal.group(&group_name(&id));
-    let mut machine = Machine::new(&id);
+    let mut machine = StateMachine::new(&id);
     if let Some(snapshot) = &restored.snapshot {
         machine.restore(&id, &snapshot.data)?;
     }
--- a/src/bin/medlarlug-entry.rs
+++ b/src/bin/medlarlug-entry.rs
@@ -20,13 +20,13 @@
 }
 
 fn main() -> ExitCode {
-    daemon::exit("medlarlug-entry", start(&options().run()))
+    daemon::exit_code("medlarlug-entry", start(&options().run()))
 }
 
 fn start(options: &Options) -> eyre::Result<()> {
     let settings = EntrySettings::load(&options.settings)?;
     if options.check {
-        daemon::tell_valid(&options.settings);
+        daemon::print_valid(&options.settings);
         return Ok(());
     }
     daemon::run(settings.log, |context| entry::run(settings, context))
--- a/src/bin/medlarlug-keeper.rs
+++ b/src/bin/medlarlug-keeper.rs
@@ -23,13 +23,13 @@
 }
 
 fn main() -> ExitCode {
-    daemon::exit("medlarlug-keeper", start(&options().run()))
+    daemon::exit_code("medlarlug-keeper", start(&options().run()))
 }
 
 fn start(options: &Options) -> eyre::Result<()> {
     let settings = KeeperSettings::load(&options.settings)?;
     if options.check {
-        daemon::tell_valid(&options.settings);
+        daemon::print_valid(&options.settings);
         return Ok(());
     }
     if let Some(group) = &options.rebuild {
--- a/src/bin/medlarlug-standin.rs
+++ b/src/bin/medlarlug-standin.rs
@@ -25,13 +25,13 @@
 }
 
 fn main() -> ExitCode {
-    daemon::exit("medlarlug-standin", start(&options().run()))
+    daemon::exit_code("medlarlug-standin", start(&options().run()))
 }
 
 fn start(options: &Options) -> eyre::Result<()> {
     let settings = StandinSettings::load(&options.settings)?;
     if options.check {
-        daemon::tell_valid(&options.settings);
+        daemon::print_valid(&options.settings);
         return Ok(());
     }
     logs::start(options.log)?;
--- a/src/coordination/calls.rs
+++ b/src/coordination/calls.rs
@@ -3,8 +3,8 @@
 //! A command goes to the voter that led the group last; a voter that does not lead names the
 //! leader, and a silent one is passed over. A command may reach two voters this way, so every
 //! command of the state machines is idempotent. When the time runs out after a voter may have
-//! taken the command in, the result is [`CallFailure::Uncertain`] and not
-//! [`CallFailure::Unreached`].
+//! taken the command in, the result is [`CallError::Uncertain`] and not
+//! [`CallError::Unreachable`].
 
 use std::time::Duration;
 
@@ -34,10 +34,10 @@
 
 /// Why a command has no reply.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum CallFailure {
+pub enum CallError {
     /// No voter took the command in.
     #[error("no leader of group {group} could be reached")]
-    Unreached {
+    Unreachable {
         /// The group.
         group: GroupId,
     },
@@ -55,30 +55,30 @@
     },
     /// The reply doesn't belong to the request.
     #[error("group {group} sent a reply of another kind")]
-    Mismatch {
+    UnexpectedReply {
         /// The group.
         group: GroupId,
     },
 }
 
 /// Calls that wait for their reply.
-pub struct Calls {
+pub struct PendingCalls {
     last: u64,
     waiting: Vec<(u64, oneshot::Sender<GroupReply>)>,
     leaders: Vec<(GroupId, InstanceId)>,
 }
 
-impl Calls {
+impl PendingCalls {
     /// No call; the first one has the number after `start`.
     ///
     /// `start` has to differ from one start of the process to the next, so that a late reply to an
     /// earlier process is not taken for a reply to this one.
-    pub fn new(start: u64) -> Calls {
-        Calls { last: start, waiting: Vec::new(), leaders: Vec::new() }
+    pub fn new(start: u64) -> PendingCalls {
+        PendingCalls { last: start, waiting: Vec::new(), leaders: Vec::new() }
     }
 
     /// Hands a reply to the call that waits for it; a late reply is dropped.
-    pub fn reply(&mut self, call: u64, reply: GroupReply) {
+    pub fn complete(&mut self, call: u64, reply: GroupReply) {
         if let Ok(found) = self.waiting.binary_search_by_key(&call, |it| it.0) {
             let (_, sender) = self.waiting.remove(found);
             let _ = sender.send(reply);
@@ -86,14 +86,14 @@
     }
 
     /// Opens a call: its number, and where its reply will come.
-    pub fn open(&mut self) -> (u64, oneshot::Receiver<GroupReply>) {
+    pub fn register(&mut self) -> (u64, oneshot::Receiver<GroupReply>) {
         self.last += 1;
         let (sender, receiver) = oneshot::channel();
         self.waiting.push((self.last, sender));
         (self.last, receiver)
     }
 
-    fn close(&mut self, call: u64) {
+    fn remove(&mut self, call: u64) {
         if let Ok(found) = self.waiting.binary_search_by_key(&call, |it| it.0) {
             self.waiting.remove(found);
         }
@@ -124,11 +124,11 @@
     group: &GroupId,
     request: GroupRequest,
     limit: Duration,
-) -> Result<GroupReply, CallFailure> {
+) -> Result<GroupReply, CallError> {
     let end = Instant::now() + limit;
     let voters = node.voters(group);
     if voters.is_empty() {
-        return Err(CallFailure::UnknownGroup { group: group.clone() });
+        return Err(CallError::UnknownGroup { group: group.clone() });
     }
     let mut is_uncertain = false;
     let mut turns = Turns { voters, round: 0, silent: Vec::new() };
@@ -166,8 +166,8 @@
     }
     let group = group.clone();
     match is_uncertain {
-        true => Err(CallFailure::Uncertain { group }),
-        false => Err(CallFailure::Unreached { group }),
+        true => Err(CallError::Uncertain { group }),
+        false => Err(CallError::Unreachable { group }),
     }
 }
 
@@ -215,14 +215,14 @@
     request: GroupRequest,
     limit: Duration,
 ) -> Attempt {
-    let (call, receiver) = node.calls.borrow_mut().open();
+    let (call, receiver) = node.calls.borrow_mut().register();
     let message = Message::Call { call, group: group.clone(), request };
     if !node.send(voter, message) {
-        node.calls.borrow_mut().close(call);
+        node.calls.borrow_mut().remove(call);
         return Attempt::Unsent;
     }
     let answer = timeout(limit, receiver).await;
-    node.calls.borrow_mut().close(call);
+    node.calls.borrow_mut().remove(call);
     match answer {
         Ok(Ok(reply)) => Attempt::Answered(reply),
         _ => Attempt::Silent,
@@ -234,15 +234,15 @@
 /// # Errors
 ///
 /// Fails when no reply came within `limit`.
-pub async fn configure(
+pub async fn submit_configuration_command(
     node: &Node,
     command: configuration_group::Command,
     limit: Duration,
-) -> Result<configuration_group::Reply, CallFailure> {
+) -> Result<configuration_group::Reply, CallError> {
     let group = GroupId::Configuration;
     match submit(node, &group, GroupRequest::Configure(command), limit).await? {
         GroupReply::Configured(reply) => Ok(reply),
-        _ => Err(CallFailure::Mismatch { group }),
+        _ => Err(CallError::UnexpectedReply { group }),
     }
 }
 
@@ -251,16 +251,16 @@
 /// # Errors
 ///
 /// Fails when no reply came within `limit`.
-pub async fn act(
+pub async fn submit_home_action(
     node: &Node,
     region: &RegionId,
     action: home::Action,
     limit: Duration,
-) -> Result<home::Reply, CallFailure> {
+) -> Result<home::Reply, CallError> {
     let group = GroupId::Home(region.clone());
     match submit(node, &group, GroupRequest::Act(action), limit).await? {
         GroupReply::Acted(reply) => Ok(reply),
-        _ => Err(CallFailure::Mismatch { group }),
+        _ => Err(CallError::UnexpectedReply { group }),
     }
 }
 
@@ -269,15 +269,15 @@
 /// # Errors
 ///
 /// Fails when no reply came within `limit`.
-pub async fn founding(
+pub async fn read_founding_revision(
     node: &Node,
     region: &RegionId,
     limit: Duration,
-) -> Result<Option<Revision>, CallFailure> {
+) -> Result<Option<Revision>, CallError> {
     let group = GroupId::Home(region.clone());
     match submit(node, &group, GroupRequest::Founding, limit).await? {
         GroupReply::Founding(revision) => Ok(revision),
-        _ => Err(CallFailure::Mismatch { group }),
+        _ => Err(CallError::UnexpectedReply { group }),
     }
 }
 
@@ -286,14 +286,14 @@
 /// # Errors
 ///
 /// Fails when no reply came within `limit`.
-pub async fn moves(
+pub async fn read_home_moves(
     node: &Node,
     limit: Duration,
-) -> Result<Vec<configuration_group::HomeMove>, CallFailure> {
+) -> Result<Vec<configuration_group::HomeMove>, CallError> {
     let group = GroupId::Configuration;
     match submit(node, &group, GroupRequest::Moves, limit).await? {
         GroupReply::Moves(moves) => Ok(moves),
-        _ => Err(CallFailure::Mismatch { group }),
+        _ => Err(CallError::UnexpectedReply { group }),
     }
 }
 
@@ -302,15 +302,15 @@
 /// # Errors
 ///
 /// Fails when no reply came within `limit`.
-pub async fn force(
+pub async fn read_rollout(
     node: &Node,
     revision: Option<Revision>,
     limit: Duration,
-) -> Result<configuration_group::Rollout, CallFailure> {
+) -> Result<configuration_group::Rollout, CallError> {
     let group = GroupId::Configuration;
     match submit(node, &group, GroupRequest::Force(revision), limit).await? {
         GroupReply::Force(force) => Ok(force),
-        _ => Err(CallFailure::Mismatch { group }),
+        _ => Err(CallError::UnexpectedReply { group }),
     }
 }
 
@@ -319,14 +319,14 @@
 /// # Errors
 ///
 /// Fails when no reply came within `limit`.
-pub async fn look_up(
+pub async fn look_up_record(
     node: &Node,
     id: &RequestId,
     limit: Duration,
-) -> Result<home::RecordLookup, CallFailure> {
+) -> Result<home::RecordLookup, CallError> {
     let group = GroupId::Home(id.region.clone());
     match submit(node, &group, GroupRequest::LookUp(id.clone()), limit).await? {
         GroupReply::Known(known) => Ok(known),
-        _ => Err(CallFailure::Mismatch { group }),
+        _ => Err(CallError::UnexpectedReply { group }),
     }
 }
--- a/src/coordination/clock.rs
+++ b/src/coordination/clock.rs
@@ -27,7 +27,7 @@
 impl Clock {
     /// A clock whose origin is now.
     pub fn start() -> Clock {
-        Clock::start_after(Duration::ZERO)
+        Clock::start_with_offset(Duration::ZERO)
     }
 
     /// A clock that was started `past` ago, so that it can tell when something was that is up to
@@ -39,22 +39,22 @@
     /// use std::time::Duration;
     ///
     /// let age = Duration::from_secs(40);
-    /// let clock = Clock::start_after(Duration::from_secs(60));
+    /// let clock = Clock::start_with_offset(Duration::from_secs(60));
     /// let now = clock.now();
     /// assert_eq!(now - now.saturating_sub(age), age);
     /// ```
-    pub fn start_after(past: Duration) -> Clock {
-        Clock { start: boot_time(), first: Time::ZERO + past }
+    pub fn start_with_offset(past: Duration) -> Clock {
+        Clock { start: time_since_boot(), first: Time::ZERO + past }
     }
 
     /// The current reading.
     pub fn now(&self) -> Time {
-        self.first + boot_time().saturating_sub(self.start)
+        self.first + time_since_boot().saturating_sub(self.start)
     }
 }
 
 /// Time since the machine was started, suspension included.
-fn boot_time() -> Duration {
+fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
     Duration::new(seconds, u32::try_from(time.tv_nsec).unwrap_or_default())
@@ -64,7 +64,7 @@
 ///
 /// Milliseconds since 1970 rise from one start to the next unless the clock was set back, in
 /// which case peers ignore the process until its incarnation passes the former one.
-pub fn incarnation_of_start() -> Incarnation {
+pub fn incarnation_from_wall_clock() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Incarnation(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
--- a/src/coordination/daemon.rs
+++ b/src/coordination/daemon.rs
@@ -45,12 +45,12 @@
 }
 
 /// Tells that a settings file is valid, for `--check`.
-pub fn tell_valid(file: &Path) {
+pub fn print_valid(file: &Path) {
     println!("{}: valid", file.display());
 }
 
 /// The exit status of a program; prints what failed, with its causes, on one line.
-pub fn exit(program: &str, result: eyre::Result<()>) -> ExitCode {
+pub fn exit_code(program: &str, result: eyre::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/src/coordination/entry/attempt.rs
+++ b/src/coordination/entry/attempt.rs
@@ -129,7 +129,7 @@
 }
 
 async fn propose(entry: Rc<Entry>, step: u32, home: RegionId, action: Action) -> Option<Replied> {
-    match calls::act(&entry.node, &home, action, PROPOSAL_TIMEOUT).await {
+    match calls::submit_home_action(&entry.node, &home, action, PROPOSAL_TIMEOUT).await {
         Ok(reply) => Some(Replied { step, reply }),
         Err(error) => {
             tracing::debug!(%error, "a booking's proposal had no reply");
--- a/src/coordination/entry/callers.rs
+++ b/src/coordination/entry/callers.rs
@@ -40,8 +40,8 @@
             services::{self, Booking},
         },
         lookup::{self, RecordStatus},
-        node::InForce,
-        operators::{bearer, status_answer},
+        node::ActiveConfiguration,
+        operators::{bearer_key, record_status_answer},
     },
     protocol::{Problem, headers, inference::InferenceHead},
     transport::{
@@ -70,7 +70,7 @@
 /// A caller whose key was recognised.
 struct Caller {
     team: Team,
-    configuration: Rc<InForce>,
+    configuration: Rc<ActiveConfiguration>,
 }
 
 async fn answer(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
@@ -105,7 +105,7 @@
     let Some(configuration) = entry.configuration() else {
         return Err(refuse_for(entry, Reason::NoConfiguration, Duration::from_secs(1)));
     };
-    let key = bearer(request).map(|it| Fingerprint::of(it.as_bytes()));
+    let key = bearer_key(request).map(|it| Fingerprint::of(it.as_bytes()));
     let team = key.and_then(|it| configuration.team_of_key(it)).cloned();
     match team {
         Some(team) => Ok(Caller { team, configuration }),
@@ -152,9 +152,9 @@
     };
     match status {
         Ok(RecordStatus::Recorded(record)) if record.team != team.id => {
-            refuse(404, "no-record", lookup::NOT_SEEN)
+            refuse(404, "no-record", lookup::NOT_FOUND_TITLE)
         }
-        status => status_answer(status),
+        status => record_status_answer(status),
     }
 }
 
--- a/src/coordination/entry/internal.rs
+++ b/src/coordination/entry/internal.rs
@@ -94,7 +94,7 @@
         Ok(announcement) => announcement,
         Err(error) => return refuse(400, "no-announcement", &error.to_string()),
     };
-    let notices = entry.node.announced(announcement);
+    let notices = entry.node.apply_announcement(announcement);
     entry.handle_notices(&notices);
     body::json(StatusCode::OK, &serde_json::json!({}))
 }
--- a/src/coordination/entry/mod.rs
+++ b/src/coordination/entry/mod.rs
@@ -63,8 +63,8 @@
 use crate::{
     coordination::{
         entry::{admission::ZoneAdmission, cooldown::Cooldowns, intake::Intake, journal::Journal},
-        node::{InForce, Node, Received},
-        operators::ProcessPart,
+        node::{ActiveConfiguration, Node, Received},
+        operators::ProcessDetails,
     },
     protocol::Message,
     settings::{EntrySettings, Peer},
@@ -148,7 +148,7 @@
     }
 
     /// The configuration in force here, if a revision is known.
-    pub fn configuration(&self) -> Option<Rc<InForce>> {
+    pub fn configuration(&self) -> Option<Rc<ActiveConfiguration>> {
         self.node.configuration()
     }
 
@@ -282,7 +282,7 @@
 
     fn tick(&self) {
         self.set_gauges();
-        self.handle_notices(&self.node.report(self.status()));
+        self.handle_notices(&self.node.report_status(self.status()));
         self.handle_notices(&self.node.tick());
         self.configure_limits();
         self.handle_suspect_event(suspects::Event::Tick);
@@ -343,7 +343,7 @@
 
     fn receive(self: &Rc<Self>, received: Received) {
         match received {
-            Received::Done => {}
+            Received::Handled => {}
             Received::Notices(notices) => self.handle_notices(&notices),
             Received::Other(from, message) => self.receive_from_entry(from, *message),
         }
@@ -386,9 +386,9 @@
         }
     }
 
-    fn part(&self) -> ProcessPart {
+    fn details(&self) -> ProcessDetails {
         let running = u64::from(self.intake.in_flight());
-        ProcessPart { leaving: self.intake.is_leaving(), running, groups: Vec::new() }
+        ProcessDetails { leaving: self.intake.is_leaving(), running, groups: Vec::new() }
     }
 
     fn dump(&self) -> serde_json::Value {
--- a/src/coordination/entry/orders.rs
+++ b/src/coordination/entry/orders.rs
@@ -158,7 +158,7 @@
     let node = &entry.node;
     let holder = Owner { instance: node.own.id.clone(), incarnation: node.incarnation };
     let action = Action::Lease { holder, duration };
-    let event = match calls::act(node, &node.region, action, LEASE_TIMEOUT).await {
+    let event = match calls::submit_home_action(node, &node.region, action, LEASE_TIMEOUT).await {
         Ok(Reply::LeaseGranted { term, duration }) => Event::Granted { token, term, duration },
         Ok(_) => Event::HeldElsewhere,
         Err(error) => return tracing::debug!(%error, "lease of the issuer not asked for"),
--- a/src/coordination/entry/outcomes.rs
+++ b/src/coordination/entry/outcomes.rs
@@ -26,7 +26,7 @@
 use tokio::time::timeout;
 
 use crate::{
-    coordination::{calls, calls::CallFailure, entry::Entry},
+    coordination::{calls, calls::CallError, entry::Entry},
     protocol::headers,
     transport::{
         body,
@@ -92,16 +92,16 @@
     home: &RegionId,
     query: &OutcomeQuery,
     answer: RecordedAnswer,
-) -> Result<Reply, CallFailure> {
+) -> Result<Reply, CallError> {
     let OutcomeQuery { team, key, request, .. } = query.clone();
     let action = Action::ResolveOutcome { team, key, request, answer };
-    calls::act(&entry.node, home, action, GROUP_CALL_TIMEOUT).await
+    calls::submit_home_action(&entry.node, home, action, GROUP_CALL_TIMEOUT).await
 }
 
 /// Notes in the record of a booking's request that the service told its outcome.
-async fn record_outcome(entry: &Entry, query: &OutcomeQuery) -> Result<Reply, CallFailure> {
+async fn record_outcome(entry: &Entry, query: &OutcomeQuery) -> Result<Reply, CallError> {
     let request = &query.request;
-    let mut record = match calls::look_up(&entry.node, request, GROUP_CALL_TIMEOUT).await? {
+    let mut record = match calls::look_up_record(&entry.node, request, GROUP_CALL_TIMEOUT).await? {
         RecordLookup::Found(record) => record,
         // The owner was lost before it sent the record.
         RecordLookup::Expired | RecordLookup::Pending => RequestRecord {
@@ -122,7 +122,7 @@
     let after = record.timeline.last().map(|it| it.after).unwrap_or_default();
     record.timeline.push(TimelineEntry { after, stage });
     let action = Action::Records(vec![record]);
-    calls::act(&entry.node, &request.region, action, GROUP_CALL_TIMEOUT).await
+    calls::submit_home_action(&entry.node, &request.region, action, GROUP_CALL_TIMEOUT).await
 }
 
 /// Asks an upstream for the answer of the call that `request` made under `key`.
--- a/src/coordination/entry/process.rs
+++ b/src/coordination/entry/process.rs
@@ -12,10 +12,10 @@
 
 use crate::{
     coordination::{
-        clock::incarnation_of_start,
+        clock::incarnation_from_wall_clock,
         daemon::Context,
         entry::{Entry, callers, internal, orders, records},
-        keeper::operator_limits,
+        keeper::operator_server_limits,
         node::Node,
         operators::{self, OperatorApi},
     },
@@ -77,7 +77,7 @@
         Some(saved) => Storage::Disk(saved.read()?),
         None => Storage::Memory,
     };
-    let incarnation = incarnation_of_start();
+    let incarnation = incarnation_from_wall_clock();
     let node = Rc::new(Node::new(own, cluster, keys, incarnation, storage, links));
     let entry = Rc::new(Entry::new(node.clone(), settings));
     if let Some(saved) = saved {
@@ -125,9 +125,9 @@
     let api = OperatorApi::new(node.clone(), operators, context);
     let dump = entry.clone();
     let process = entry.clone();
-    let api = api.with_dump(move || dump.dump()).with_process(move || process.part());
+    let api = api.with_dump(move || dump.dump()).with_details(move || process.details());
     let listener = http_server::listen("operators", node.own.operators).await?;
-    task::spawn_local(operators::serve(api, listener, operator_limits(), closed.clone()));
+    task::spawn_local(operators::serve(api, listener, operator_server_limits(), closed.clone()));
 
     let listener = http_server::listen("internal", node.own.internal).await?;
     task::spawn_local(internal::serve(entry.clone(), listener, closed.clone()));
@@ -141,7 +141,7 @@
 
 /// Saves every configuration before it comes into force.
 async fn save_configurations(entry: Rc<Entry>, saved: SavedConfiguration) {
-    let mut unsaved = entry.node.unsaved();
+    let mut unsaved = entry.node.unsaved_configurations();
     loop {
         let newest = unsaved.borrow_and_update().clone();
         let newest = newest.filter(|it| it.revision > entry.node.follower.borrow().revision());
@@ -149,7 +149,7 @@
             let (written, saved) = (configuration.clone(), saved.clone());
             match task::spawn_blocking(move || saved.write(&written)).await {
                 Ok(Ok(())) => {
-                    entry.node.saved(configuration);
+                    entry.node.configuration_saved(configuration);
                     continue;
                 }
                 Ok(Err(error)) => tracing::error!(%error, "configuration not saved"),
@@ -166,7 +166,7 @@
 async fn drain_requests(entry: &Entry) {
     let intake = &entry.intake;
     intake.begin_drain(entry.node.now(), entry.settings.drain);
-    entry.handle_notices(&entry.node.report(entry.status()));
+    entry.handle_notices(&entry.node.report_status(entry.status()));
     sleep(LEAVING_NOTICE_TIME).await;
     while !intake.may_stop(entry.node.now()) {
         sleep(DRAIN_POLL_INTERVAL).await;
--- a/src/coordination/entry/records.rs
+++ b/src/coordination/entry/records.rs
@@ -34,7 +34,7 @@
             instance: node.own.id.clone(),
             incarnation: node.incarnation,
         };
-        match calls::act(node, &region, action, COMMIT_TIMEOUT).await {
+        match calls::submit_home_action(node, &region, action, COMMIT_TIMEOUT).await {
             Ok(home::Reply::Ok) => return,
             Ok(reply) => tracing::debug!(?reply, "start not recorded yet"),
             Err(error) => tracing::debug!(%error, "start not recorded yet"),
@@ -59,7 +59,7 @@
             return;
         }
         let action = home::Action::Records(batch.clone());
-        match calls::act(node, &node.region, action, COMMIT_TIMEOUT).await {
+        match calls::submit_home_action(node, &node.region, action, COMMIT_TIMEOUT).await {
             Ok(home::Reply::Ok) => {}
             Ok(reply) => {
                 tracing::debug!(?reply, "records not taken");
--- a/src/coordination/keeper/duties/confirmations.rs
+++ b/src/coordination/keeper/duties/confirmations.rs
@@ -21,7 +21,7 @@
         keeper::{
             Keeper,
             duties::{CALL_LIMIT, ROUND},
-            machine::Machine,
+            machine::StateMachine,
         },
         node::Node,
     },
@@ -107,18 +107,18 @@
     if !keeper.leads(&group) {
         return None;
     }
-    keeper.with_machine(&group, Machine::revision).flatten()
+    keeper.with_state_machine(&group, StateMachine::revision).flatten()
 }
 
 /// The newest configuration, if something drains.
 ///
 /// It is copied for that only: every commit of every group of this keeper leads here.
 fn newest_draining(keeper: &Keeper) -> Option<Configuration> {
-    let newest = keeper.with_machine(&GroupId::Configuration, |machine| match machine {
-        Machine::Configuration(machine) => {
+    let newest = keeper.with_state_machine(&GroupId::Configuration, |machine| match machine {
+        StateMachine::Configuration(machine) => {
             Some(machine.configuration()).filter(|it| !it.draining().is_empty()).cloned()
         }
-        Machine::Home(_) | Machine::Publication(_) => None,
+        StateMachine::Home(_) | StateMachine::Publication(_) => None,
     });
     newest.flatten()
 }
@@ -132,7 +132,7 @@
         return;
     }
     let command = Command::RemoveDrained { revision: newest.revision, items };
-    match calls::configure(node, command, CALL_LIMIT).await {
+    match calls::submit_configuration_command(node, command, CALL_LIMIT).await {
         Ok(Reply::Removed(revision)) => tracing::info!(%revision, "drained items removed"),
         Ok(reply) => tracing::debug!(?reply, "drained items not removed"),
         Err(error) => tracing::warn!(%error, "drained items not removed"),
--- a/src/coordination/keeper/duties/founding.rs
+++ b/src/coordination/keeper/duties/founding.rs
@@ -11,11 +11,11 @@
 
 use crate::{
     coordination::{
-        calls::{self, CallFailure},
+        calls::{self, CallError},
         keeper::{
             Keeper,
             duties::{CALL_LIMIT, ROUND},
-            machine::Machine,
+            machine::StateMachine,
         },
     },
     protocol::GroupId,
@@ -47,33 +47,31 @@
 
 fn is_due(keeper: &Keeper, region: &RegionId) -> bool {
     let group = GroupId::Home(region.clone());
-    let is_founded = keeper.with_machine(&group, |machine| match machine {
-        Machine::Home(machine) => machine.founding_revision().is_some(),
-        Machine::Configuration(_) | Machine::Publication(_) => true,
+    let is_founded = keeper.with_state_machine(&group, |machine| match machine {
+        StateMachine::Home(machine) => machine.founding_revision().is_some(),
+        StateMachine::Configuration(_) | StateMachine::Publication(_) => true,
     });
     let is_configured =
         || keeper.node.configuration().is_some_and(|it| it.region(region).is_some());
     keeper.leads(&group) && is_founded == Some(false) && is_configured()
 }
 
-async fn found(
-    keeper: &Keeper,
-    region: &RegionId,
-    token: FoundingToken,
-) -> Result<(), CallFailure> {
+async fn found(keeper: &Keeper, region: &RegionId, token: FoundingToken) -> Result<(), CallError> {
     let node = &keeper.node;
     // A new leader may not have applied its log yet; a linearizable read tells.
-    if calls::founding(node, region, CALL_LIMIT).await?.is_some() {
+    if calls::read_founding_revision(node, region, CALL_LIMIT).await?.is_some() {
         return Ok(());
     }
     let command = configuration_group::Command::FoundHome { region: region.clone(), token };
-    let (revision, first) = match calls::configure(node, command, CALL_LIMIT).await? {
-        configuration_group::Reply::Founded { revision, first } => (revision, first),
-        reply => {
-            tracing::warn!(%region, ?reply, "home group not founded");
-            return Ok(());
-        }
-    };
-    calls::act(node, region, home::Action::Found { revision, first }, CALL_LIMIT).await?;
+    let (revision, first) =
+        match calls::submit_configuration_command(node, command, CALL_LIMIT).await? {
+            configuration_group::Reply::Founded { revision, first } => (revision, first),
+            reply => {
+                tracing::warn!(%region, ?reply, "home group not founded");
+                return Ok(());
+            }
+        };
+    calls::submit_home_action(node, region, home::Action::Found { revision, first }, CALL_LIMIT)
+        .await?;
     Ok(())
 }
--- a/src/coordination/keeper/duties/mod.rs
+++ b/src/coordination/keeper/duties/mod.rs
@@ -23,7 +23,7 @@
 use crate::{
     coordination::{
         calls,
-        keeper::{Keeper, machine::Machine},
+        keeper::{Keeper, machine::StateMachine},
     },
     protocol::{GroupId, GroupReply, GroupRequest, Message},
 };
@@ -83,12 +83,12 @@
     let node = &keeper.node;
     let revision = node.follower.borrow().revision();
     let ask = follower::UpdateRequest { token: 0, revision, full: false };
-    let newer = keeper.with_machine(&group, |machine| match machine {
-        Machine::Configuration(machine) => machine.update_for(&ask),
-        Machine::Home(_) | Machine::Publication(_) => None,
+    let newer = keeper.with_state_machine(&group, |machine| match machine {
+        StateMachine::Configuration(machine) => machine.update_for(&ask),
+        StateMachine::Home(_) | StateMachine::Publication(_) => None,
     });
     let Some(update) = newer.flatten() else { return };
-    node.push(update.clone());
+    node.apply_update(update.clone());
     if keeper.leads(&group) {
         for peer in node.cluster.instances.iter().filter(|it| it.id != node.own.id) {
             node.send(&peer.id, Message::Push(Box::new(update.clone())));
@@ -114,7 +114,7 @@
     if !keeper.group_ids().contains(&group) {
         return;
     }
-    node.follow(sources(keeper));
+    node.set_update_sources(sources(keeper));
     if !keeper.leads(&group) {
         return;
     }
@@ -122,7 +122,7 @@
     match calls::submit(node, &group, GroupRequest::Revision, CALL_LIMIT).await {
         Ok(GroupReply::Revision(revision)) => {
             let age = node.now() - asked;
-            node.confirm(follower::Confirmation { revision, age });
+            node.apply_confirmation(follower::Confirmation { revision, age });
         }
         Ok(reply) => tracing::warn!(?reply, "configuration not confirmed"),
         Err(error) => tracing::debug!(%error, "configuration not confirmed"),
--- a/src/coordination/keeper/duties/moves.rs
+++ b/src/coordination/keeper/duties/moves.rs
@@ -22,11 +22,11 @@
 
 use crate::{
     coordination::{
-        calls::{self, CallFailure},
+        calls::{self, CallError},
         keeper::{
             Keeper,
             duties::{CALL_LIMIT, ROUND},
-            machine::Machine,
+            machine::StateMachine,
         },
     },
     protocol::GroupId,
@@ -37,7 +37,7 @@
 enum MoveError {
     /// A group gave no reply.
     #[error(transparent)]
-    Call(#[from] CallFailure),
+    Call(#[from] CallError),
     /// A group is not ready for the step.
     #[error("region {region} replied {reply:?}")]
     NotReady { region: RegionId, reply: Box<Reply> },
@@ -94,7 +94,7 @@
 }
 
 async fn carry_out_all(keeper: &Keeper, region: &RegionId) -> Result<(), MoveError> {
-    let moves = calls::moves(&keeper.node, CALL_LIMIT).await?;
+    let moves = calls::read_home_moves(&keeper.node, CALL_LIMIT).await?;
     let mut result = Ok(());
     for it in moves.into_iter().filter(|it| it.to == *region) {
         // One former home that can't be reached holds up no other move.
@@ -111,21 +111,22 @@
     let (team, epoch) = (it.team.clone(), it.epoch);
     if !has_adopted(keeper, it) {
         let seal = Action::Seal { team: team.clone(), to: it.to.clone(), epoch };
-        let handover = match calls::act(node, &it.from, seal, CALL_LIMIT).await? {
+        let handover = match calls::submit_home_action(node, &it.from, seal, CALL_LIMIT).await? {
             Reply::Handover(handover) => handover,
             reply => return Err(not_ready(&it.from, reply)),
         };
-        match calls::act(node, &it.to, Action::Adopt(handover), CALL_LIMIT).await? {
+        match calls::submit_home_action(node, &it.to, Action::Adopt(handover), CALL_LIMIT).await? {
             Reply::Ok => {}
             reply => return Err(not_ready(&it.to, reply)),
         }
     }
     let release = Action::Release { team: team.clone(), epoch };
-    match calls::act(node, &it.from, release, CALL_LIMIT).await? {
+    match calls::submit_home_action(node, &it.from, release, CALL_LIMIT).await? {
         Reply::Ok | Reply::NoSuchBooking => {}
         reply => return Err(not_ready(&it.from, reply)),
     }
-    calls::configure(node, Command::HomeAdopted { team, epoch }, CALL_LIMIT).await?;
+    calls::submit_configuration_command(node, Command::HomeAdopted { team, epoch }, CALL_LIMIT)
+        .await?;
     Ok(())
 }
 
@@ -137,9 +138,9 @@
         from: Some(it.from.clone()),
     };
     let group = GroupId::Home(it.to.clone());
-    let has_adopted = keeper.with_machine(&group, |machine| match machine {
-        Machine::Home(machine) => machine.has_adopted(&home),
-        Machine::Configuration(_) | Machine::Publication(_) => false,
+    let has_adopted = keeper.with_state_machine(&group, |machine| match machine {
+        StateMachine::Home(machine) => machine.has_adopted(&home),
+        StateMachine::Configuration(_) | StateMachine::Publication(_) => false,
     });
     has_adopted.unwrap_or(false)
 }
--- a/src/coordination/keeper/duties/outcomes.rs
+++ b/src/coordination/keeper/duties/outcomes.rs
@@ -10,7 +10,7 @@
 use tokio::{sync::watch, time::interval};
 
 use crate::{
-    coordination::keeper::{Keeper, duties::QUESTION_ROUND, machine::Machine},
+    coordination::keeper::{Keeper, duties::QUESTION_ROUND, machine::StateMachine},
     protocol::{GroupId, Message},
     settings::Peer,
 };
@@ -39,9 +39,9 @@
 /// Hands the questions of one round out; those that found no place in it come in a later one.
 fn hand_out(keeper: &Keeper, region: &RegionId, round: usize) {
     let group = GroupId::Home(region.clone());
-    let questions = keeper.with_machine(&group, |machine| match machine {
-        Machine::Home(machine) => machine.outcome_queries().collect(),
-        Machine::Configuration(_) | Machine::Publication(_) => Vec::new(),
+    let questions = keeper.with_state_machine(&group, |machine| match machine {
+        StateMachine::Home(machine) => machine.outcome_queries().collect(),
+        StateMachine::Configuration(_) | StateMachine::Publication(_) => Vec::new(),
     });
     let mut questions: Vec<OutcomeQuery> = questions.unwrap_or_default();
     if questions.is_empty() {
--- a/src/coordination/keeper/duties/owners.rs
+++ b/src/coordination/keeper/duties/owners.rs
@@ -16,7 +16,7 @@
 use crate::{
     coordination::{
         calls,
-        keeper::{Keeper, duties::CALL_LIMIT, machine::Machine},
+        keeper::{Keeper, duties::CALL_LIMIT, machine::StateMachine},
         node::Node,
     },
     protocol::GroupId,
@@ -51,9 +51,9 @@
     if !keeper.leads(group) {
         return Vec::new();
     }
-    let owners = keeper.with_machine(group, |machine| match machine {
-        Machine::Home(machine) => machine.open_owners(),
-        Machine::Configuration(_) | Machine::Publication(_) => Vec::new(),
+    let owners = keeper.with_state_machine(group, |machine| match machine {
+        StateMachine::Home(machine) => machine.open_owners(),
+        StateMachine::Configuration(_) | StateMachine::Publication(_) => Vec::new(),
     });
     owners.unwrap_or_default().into_iter().filter(|it| is_gone(keeper, it)).collect()
 }
@@ -78,7 +78,7 @@
     let Owner { instance, incarnation } = owner;
     tracing::info!(%region, %instance, "owner of bookings lost");
     let action = home::Action::InstanceDead { instance, incarnation };
-    if let Err(error) = calls::act(node, region, action, CALL_LIMIT).await {
+    if let Err(error) = calls::submit_home_action(node, region, action, CALL_LIMIT).await {
         tracing::warn!(%region, %error, "loss of an instance not recorded");
     }
 }
--- a/src/coordination/keeper/group.rs
+++ b/src/coordination/keeper/group.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::{
-    coordination::keeper::machine::{Machine, MachineError},
+    coordination::keeper::machine::{StateMachine, StateMachineError},
     protocol::{GroupId, GroupReply, GroupRequest},
 };
 
@@ -51,7 +51,7 @@
     /// The state machine changed.
     Applied,
     /// This replica now plays another part.
-    Role {
+    RoleChanged {
         /// The part.
         role: Role,
         /// The term.
@@ -72,7 +72,7 @@
 pub struct Group {
     id: GroupId,
     replica: Replica,
-    machine: Machine,
+    machine: StateMachine,
     last_ticket: Ticket,
     waiting: Vec<Waiting>,
     replies: VecDeque<(LogIndex, GroupReply)>,
@@ -83,7 +83,7 @@
 
 impl Group {
     /// A group whose replica was restored; `machine` holds the state of its snapshot.
-    pub fn new(id: GroupId, replica: Replica, machine: Machine) -> Group {
+    pub fn new(id: GroupId, replica: Replica, machine: StateMachine) -> Group {
         let compacted = replica.snapshot_index();
         Group {
             id,
@@ -108,7 +108,7 @@
     }
 
     /// The state machine.
-    pub fn machine(&self) -> &Machine {
+    pub fn state_machine(&self) -> &StateMachine {
         &self.machine
     }
 
@@ -122,7 +122,7 @@
     /// # Errors
     ///
     /// Fails when a committed command or a snapshot can't be decoded.
-    pub fn tick(&mut self, now: Time, out: &mut Vec<Output>) -> Result<(), MachineError> {
+    pub fn tick(&mut self, now: Time, out: &mut Vec<Output>) -> Result<(), StateMachineError> {
         self.run(now, Event::Tick, out)
     }
 
@@ -137,7 +137,7 @@
         from: InstanceId,
         message: replication::Message,
         out: &mut Vec<Output>,
-    ) -> Result<(), MachineError> {
+    ) -> Result<(), StateMachineError> {
         self.run(now, Event::Message { from, message }, out)
     }
 
@@ -151,7 +151,7 @@
         now: Time,
         sequence: u64,
         out: &mut Vec<Output>,
-    ) -> Result<(), MachineError> {
+    ) -> Result<(), StateMachineError> {
         self.run(now, Event::Persisted { sequence }, out)
     }
 
@@ -160,7 +160,7 @@
     /// # Errors
     ///
     /// Fails when a committed command or a snapshot can't be decoded.
-    pub fn transfer(&mut self, now: Time, out: &mut Vec<Output>) -> Result<(), MachineError> {
+    pub fn transfer(&mut self, now: Time, out: &mut Vec<Output>) -> Result<(), StateMachineError> {
         self.run(now, Event::TransferLeadership, out)
     }
 
@@ -175,7 +175,7 @@
         caller: Caller,
         request: GroupRequest,
         out: &mut Vec<Output>,
-    ) -> Result<(), MachineError> {
+    ) -> Result<(), StateMachineError> {
         if !self.is_leader() {
             let reply = GroupReply::NotLeader(self.replica.leader().cloned());
             out.push(Output::Reply { caller, reply });
@@ -218,7 +218,12 @@
         previous.map_or(Duration::ZERO, |previous| now - previous)
     }
 
-    fn run(&mut self, now: Time, event: Event, out: &mut Vec<Output>) -> Result<(), MachineError> {
+    fn run(
+        &mut self,
+        now: Time,
+        event: Event,
+        out: &mut Vec<Output>,
+    ) -> Result<(), StateMachineError> {
         let mut effects = Vec::new();
         self.replica.handle(now, event, &mut effects);
         for effect in effects {
@@ -227,7 +232,11 @@
         self.compact(now, out)
     }
 
-    fn carry_out(&mut self, effect: Effect, out: &mut Vec<Output>) -> Result<(), MachineError> {
+    fn carry_out(
+        &mut self,
+        effect: Effect,
+        out: &mut Vec<Output>,
+    ) -> Result<(), StateMachineError> {
         match effect {
             Effect::Send { to, message } => out.push(Output::Send { to, message }),
             Effect::Persist(batch) => out.push(Output::Persist(batch)),
@@ -245,7 +254,7 @@
             }
             Effect::RoleChanged { role, term } => {
                 self.proposed = None;
-                out.push(Output::Role { role, term });
+                out.push(Output::RoleChanged { role, term });
             }
         }
         Ok(())
@@ -301,7 +310,7 @@
         self.waiting.binary_search_by_key(&ticket, |it| it.ticket).ok()
     }
 
-    fn compact(&mut self, now: Time, out: &mut Vec<Output>) -> Result<(), MachineError> {
+    fn compact(&mut self, now: Time, out: &mut Vec<Output>) -> Result<(), StateMachineError> {
         let index = self.replica.applied();
         if index.0 < self.compacted.0 + SNAPSHOT_INTERVAL_ENTRIES {
             return Ok(());
--- a/src/coordination/keeper/machine.rs
+++ b/src/coordination/keeper/machine.rs
@@ -14,7 +14,7 @@
 
 /// A failure of a state machine.
 #[derive(Debug, Error)]
-pub enum MachineError {
+pub enum StateMachineError {
     /// A committed command can't be decoded.
     #[error("a committed command of group {group} can't be decoded")]
     Command {
@@ -37,7 +37,7 @@
 
 /// The state machine of one group, by the kind of the group.
 #[derive(Debug)]
-pub enum Machine {
+pub enum StateMachine {
     /// Of the configuration group.
     Configuration(Box<ConfigurationGroup>),
     /// Of a home group.
@@ -46,13 +46,13 @@
     Publication(Box<Publication>),
 }
 
-impl Machine {
+impl StateMachine {
     /// The empty state machine of a group.
-    pub fn new(group: &GroupId) -> Machine {
+    pub fn new(group: &GroupId) -> StateMachine {
         match group {
-            GroupId::Configuration => Machine::Configuration(Box::default()),
-            GroupId::Home(_) => Machine::Home(Box::default()),
-            GroupId::Publication => Machine::Publication(Box::default()),
+            GroupId::Configuration => StateMachine::Configuration(Box::default()),
+            GroupId::Home(_) => StateMachine::Home(Box::default()),
+            GroupId::Publication => StateMachine::Publication(Box::default()),
         }
     }
 
@@ -62,19 +62,23 @@
     ///
     /// Fails when the command can't be decoded, which means that this program is older than the
     /// one that proposed it.
-    pub fn apply(&mut self, group: &GroupId, command: &[u8]) -> Result<GroupReply, MachineError> {
-        let error = |source| MachineError::Command { group: group.clone(), source };
+    pub fn apply(
+        &mut self,
+        group: &GroupId,
+        command: &[u8],
+    ) -> Result<GroupReply, StateMachineError> {
+        let error = |source| StateMachineError::Command { group: group.clone(), source };
         match self {
-            Machine::Configuration(machine) => {
+            StateMachine::Configuration(machine) => {
                 let command: configuration_group::Command =
                     postcard::from_bytes(command).map_err(error)?;
                 Ok(GroupReply::Configured(machine.apply(command)))
             }
-            Machine::Home(machine) => {
+            StateMachine::Home(machine) => {
                 let command: home::Command = postcard::from_bytes(command).map_err(error)?;
                 Ok(GroupReply::Acted(machine.apply(command)))
             }
-            Machine::Publication(machine) => {
+            StateMachine::Publication(machine) => {
                 let command: publication::Command = postcard::from_bytes(command).map_err(error)?;
                 machine.apply(command);
                 Ok(GroupReply::Accepted)
@@ -85,22 +89,22 @@
     /// Answers a request that reads only.
     pub fn read(&self, request: &GroupRequest) -> GroupReply {
         match (self, request) {
-            (Machine::Home(machine), GroupRequest::LookUp(id)) => {
+            (StateMachine::Home(machine), GroupRequest::LookUp(id)) => {
                 GroupReply::Known(machine.look_up(id))
             }
-            (Machine::Configuration(machine), GroupRequest::History) => {
+            (StateMachine::Configuration(machine), GroupRequest::History) => {
                 GroupReply::History(machine.history(HISTORY_ENTRIES))
             }
-            (Machine::Configuration(machine), GroupRequest::Revision) => {
+            (StateMachine::Configuration(machine), GroupRequest::Revision) => {
                 GroupReply::Revision(machine.configuration().revision)
             }
-            (Machine::Configuration(machine), GroupRequest::Moves) => {
+            (StateMachine::Configuration(machine), GroupRequest::Moves) => {
                 GroupReply::Moves(machine.moves().to_vec())
             }
-            (Machine::Home(machine), GroupRequest::Founding) => {
+            (StateMachine::Home(machine), GroupRequest::Founding) => {
                 GroupReply::Founding(machine.founding_revision())
             }
-            (Machine::Publication(machine), GroupRequest::Published) => {
+            (StateMachine::Publication(machine), GroupRequest::Published) => {
                 GroupReply::Published(machine.clone())
             }
             _ => GroupReply::Unfit,
@@ -110,25 +114,25 @@
     /// The newest revision; `None` in a home group.
     pub fn revision(&self) -> Option<Revision> {
         match self {
-            Machine::Configuration(machine) => Some(machine.configuration().revision),
-            Machine::Home(_) | Machine::Publication(_) => None,
+            StateMachine::Configuration(machine) => Some(machine.configuration().revision),
+            StateMachine::Home(_) | StateMachine::Publication(_) => None,
         }
     }
 
     /// The state of the publication group; `None` in other groups.
     pub fn publication(&self) -> Option<&Publication> {
         match self {
-            Machine::Publication(machine) => Some(machine),
-            Machine::Configuration(_) | Machine::Home(_) => None,
+            StateMachine::Publication(machine) => Some(machine),
+            StateMachine::Configuration(_) | StateMachine::Home(_) => None,
         }
     }
 
     /// The state as a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         match self {
-            Machine::Configuration(machine) => machine.encode_snapshot(),
-            Machine::Home(machine) => machine.encode_snapshot(),
-            Machine::Publication(machine) => machine.encode_snapshot(),
+            StateMachine::Configuration(machine) => machine.encode_snapshot(),
+            StateMachine::Home(machine) => machine.encode_snapshot(),
+            StateMachine::Publication(machine) => machine.encode_snapshot(),
         }
     }
 
@@ -137,16 +141,16 @@
     /// # Errors
     ///
     /// Fails when the snapshot can't be decoded.
-    pub fn restore(&mut self, group: &GroupId, snapshot: &[u8]) -> Result<(), MachineError> {
-        let error = |source| MachineError::Snapshot { group: group.clone(), source };
+    pub fn restore(&mut self, group: &GroupId, snapshot: &[u8]) -> Result<(), StateMachineError> {
+        let error = |source| StateMachineError::Snapshot { group: group.clone(), source };
         match self {
-            Machine::Configuration(machine) => {
+            StateMachine::Configuration(machine) => {
                 **machine = ConfigurationGroup::decode_snapshot(snapshot).map_err(error)?;
             }
-            Machine::Home(machine) => {
+            StateMachine::Home(machine) => {
                 **machine = HomeGroup::decode_snapshot(snapshot).map_err(error)?;
             }
-            Machine::Publication(machine) => {
+            StateMachine::Publication(machine) => {
                 **machine = Publication::decode_snapshot(snapshot).map_err(error)?;
             }
         }
--- a/src/coordination/keeper/mod.rs
+++ b/src/coordination/keeper/mod.rs
@@ -34,17 +34,17 @@
 
 use crate::{
     coordination::{
-        clock::incarnation_of_start,
+        clock::incarnation_from_wall_clock,
         daemon::Context,
         keeper::{
             duties::confirmations::Confirmations,
             group::{Caller, Group, Output},
-            machine::{Machine, MachineError},
+            machine::{StateMachine, StateMachineError},
             status::{dump_group, group_status},
             storage::{StateWriter, Storage, group_name, groups_of},
         },
         node::{Node, Received},
-        operators::{self, OperatorApi, ProcessPart},
+        operators::{self, OperatorApi, ProcessDetails},
     },
     protocol::{GroupId, GroupReply, GroupRequest, Message},
     settings::KeeperSettings,
@@ -75,7 +75,7 @@
     State(#[from] StateError),
     /// A state machine failed.
     #[error("a replication group failed")]
-    Machine(#[from] MachineError),
+    Machine(#[from] StateMachineError),
 }
 
 /// The keeper process.
@@ -104,7 +104,7 @@
         own,
         cluster,
         keys,
-        incarnation_of_start(),
+        incarnation_from_wall_clock(),
         follower::Storage::Memory,
         links,
     ));
@@ -118,9 +118,9 @@
     let api = OperatorApi::new(node.clone(), settings.operators.clone(), context);
     let dump = keeper.clone();
     let process = keeper.clone();
-    let api = api.with_dump(move || dump.dump()).with_process(move || process.part());
+    let api = api.with_dump(move || dump.dump()).with_details(move || process.details());
     let listener = http_server::listen("operators", node.own.operators).await?;
-    let server = operators::serve(api, listener, operator_limits(), stop.clone());
+    let server = operators::serve(api, listener, operator_server_limits(), stop.clone());
     task::spawn_local(server);
 
     duties::start(&keeper, &stop);
@@ -146,7 +146,7 @@
 }
 
 /// Bounds of the operators' server.
-pub fn operator_limits() -> ServerLimits {
+pub fn operator_server_limits() -> ServerLimits {
     ServerLimits {
         header_bytes: 16 * 1024,
         header_time: Duration::from_secs(10),
@@ -169,9 +169,13 @@
     }
 
     /// Reads the state machine of a group, if this keeper is a member.
-    pub fn with_machine<T>(&self, group: &GroupId, read: impl FnOnce(&Machine) -> T) -> Option<T> {
+    pub fn with_state_machine<T>(
+        &self,
+        group: &GroupId,
+        read: impl FnOnce(&StateMachine) -> T,
+    ) -> Option<T> {
         let groups = self.groups.borrow();
-        groups.iter().find(|it| it.id() == group).map(|it| read(it.machine()))
+        groups.iter().find(|it| it.id() == group).map(|it| read(it.state_machine()))
     }
 
     /// The groups that this keeper is a member of.
@@ -184,12 +188,12 @@
         self.applied.subscribe()
     }
 
-    fn receive(&self, from: InstanceId, message: Message) -> Result<(), MachineError> {
+    fn receive(&self, from: InstanceId, message: Message) -> Result<(), StateMachineError> {
         if let Message::Ask(ask) = &message {
             self.confirmations.told(&self.node, &from, ask.revision);
         }
         match self.node.receive(from, message) {
-            Received::Done => Ok(()),
+            Received::Handled => Ok(()),
             Received::Notices(notices) => {
                 self.note(&notices);
                 Ok(())
@@ -198,7 +202,11 @@
         }
     }
 
-    fn receive_for_group(&self, from: InstanceId, message: Message) -> Result<(), MachineError> {
+    fn receive_for_group(
+        &self,
+        from: InstanceId,
+        message: Message,
+    ) -> Result<(), StateMachineError> {
         match message {
             Message::Call { call, group, request } => {
                 self.call(Caller { instance: from, call }, &group, request)
@@ -214,7 +222,7 @@
     }
 
     /// Tells a group what was synced.
-    fn persisted(&self, synced: Synced) -> Result<(), MachineError> {
+    fn persisted(&self, synced: Synced) -> Result<(), StateMachineError> {
         let Synced { group, sequence } = synced;
         let id = self.group_ids().into_iter().find(|it| group_name(it) == group);
         match id {
@@ -228,7 +236,7 @@
         caller: Caller,
         group: &GroupId,
         request: GroupRequest,
-    ) -> Result<(), MachineError> {
+    ) -> Result<(), StateMachineError> {
         if let GroupRequest::Force(revision) = request {
             return self.tell_force(caller, revision);
         }
@@ -241,8 +249,13 @@
     }
 
     /// Answers where a revision is in force; the leader of the configuration group knows it.
-    fn tell_force(&self, caller: Caller, revision: Option<Revision>) -> Result<(), MachineError> {
-        let newest = self.with_machine(&GroupId::Configuration, Machine::revision).flatten();
+    fn tell_force(
+        &self,
+        caller: Caller,
+        revision: Option<Revision>,
+    ) -> Result<(), StateMachineError> {
+        let newest =
+            self.with_state_machine(&GroupId::Configuration, StateMachine::revision).flatten();
         let revision = revision.or(newest).unwrap_or_default();
         let reply = match self.confirmations.force(&self.node, revision) {
             Some(force) => GroupReply::Force(force),
@@ -259,7 +272,7 @@
         groups.iter().find(|it| it.id() == group).and_then(leader)
     }
 
-    fn tick(&self, is_slow: bool) -> Result<(), MachineError> {
+    fn tick(&self, is_slow: bool) -> Result<(), StateMachineError> {
         for group in self.group_ids() {
             self.with_group(&group, |it, now, out| it.tick(now, out))?;
         }
@@ -270,7 +283,7 @@
                 leaving: false,
                 settling: false,
             };
-            self.note(&self.node.report(status));
+            self.note(&self.node.report_status(status));
             self.note(&self.node.tick());
         }
         Ok(())
@@ -292,8 +305,8 @@
             &mut Group,
             medlarlug_core::time::Time,
             &mut Vec<Output>,
-        ) -> Result<(), MachineError>,
-    ) -> Result<(), MachineError> {
+        ) -> Result<(), StateMachineError>,
+    ) -> Result<(), StateMachineError> {
         let mut out = Vec::new();
         {
             let mut groups = self.groups.borrow_mut();
@@ -305,7 +318,7 @@
         self.carry_out(id, out)
     }
 
-    fn carry_out(&self, id: &GroupId, outputs: Vec<Output>) -> Result<(), MachineError> {
+    fn carry_out(&self, id: &GroupId, outputs: Vec<Output>) -> Result<(), StateMachineError> {
         let mut has_changed = false;
         for output in outputs {
             match output {
@@ -318,7 +331,7 @@
                     self.node.send(&caller.instance, Message::Reply { call: caller.call, reply });
                 }
                 Output::Applied => has_changed = true,
-                Output::Role { role, term } => {
+                Output::RoleChanged { role, term } => {
                     tracing::info!(group = %id, ?role, %term, "role changed");
                     has_changed = true;
                 }
@@ -356,9 +369,9 @@
         Ok(())
     }
 
-    fn part(&self) -> ProcessPart {
+    fn details(&self) -> ProcessDetails {
         let groups = self.groups.borrow().iter().map(group_status).collect();
-        ProcessPart { groups, ..ProcessPart::default() }
+        ProcessDetails { groups, ..ProcessDetails::default() }
     }
 
     fn dump(&self) -> serde_json::Value {
--- a/src/coordination/keeper/status.rs
+++ b/src/coordination/keeper/status.rs
@@ -4,7 +4,7 @@
 use smol_str::{SmolStr, StrExt, ToSmolStr};
 
 use crate::{
-    coordination::keeper::{group::Group, machine::Machine},
+    coordination::keeper::{group::Group, machine::StateMachine},
     protocol::operators::GroupStatus,
 };
 
@@ -29,9 +29,9 @@
 /// A group in the dump of the process's state.
 pub fn dump_group(group: &Group) -> serde_json::Value {
     let replica = group.replica();
-    let founded = match group.machine() {
-        Machine::Home(machine) => machine.founding_revision(),
-        Machine::Configuration(_) | Machine::Publication(_) => None,
+    let founded = match group.state_machine() {
+        StateMachine::Home(machine) => machine.founding_revision(),
+        StateMachine::Configuration(_) | StateMachine::Publication(_) => None,
     };
     serde_json::json!({
         "group": group.id().to_string(),
--- a/src/coordination/keeper/storage.rs
+++ b/src/coordination/keeper/storage.rs
@@ -12,7 +12,7 @@
     coordination::{
         keeper::{
             group::Group,
-            machine::{Machine, MachineError},
+            machine::{StateMachine, StateMachineError},
         },
         node::Node,
     },
@@ -111,7 +111,7 @@
     node: &Node,
     storage: &Storage,
     may_form: bool,
-) -> Result<Vec<Group>, MachineError> {
+) -> Result<Vec<Group>, StateMachineError> {
     let homes = node.cluster.homes.iter();
     let homes = homes.map(|it| (GroupId::Home(it.region.clone()), &it.voters));
     let configuration = (GroupId::Configuration, &node.cluster.configuration);
@@ -127,9 +127,9 @@
     storage: &Storage,
     may_form: bool,
     (id, voters): (GroupId, Vec<InstanceId>),
-) -> Result<Group, MachineError> {
+) -> Result<Group, StateMachineError> {
     let restored = storage.restored(&id);
-    let mut machine = Machine::new(&id);
+    let mut machine = StateMachine::new(&id);
     if let Some(snapshot) = &restored.snapshot {
         machine.restore(&id, &snapshot.data)?;
     }
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -18,7 +18,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    coordination::{calls::Calls, clock::Clock},
+    coordination::{calls::PendingCalls, clock::Clock},
     protocol::{DeploymentKeys, GroupId, Message},
     settings::{ClusterSettings, Peer, PeerKind},
     transport::links::Links,
@@ -46,7 +46,7 @@
     /// The process's clock.
     pub clock: Clock,
     /// Calls to replication groups.
-    pub calls: RefCell<Calls>,
+    pub calls: RefCell<PendingCalls>,
     /// Who is there.
     pub members: RefCell<Membership>,
     /// The configuration in force here.
@@ -56,27 +56,27 @@
     awaited: RefCell<PendingResponses>,
     revision: watch::Sender<Revision>,
     unsaved: watch::Sender<Option<Box<Configuration>>>,
-    current: RefCell<Option<Rc<InForce>>>,
+    current: RefCell<Option<Rc<ActiveConfiguration>>>,
 }
 
 /// The configuration in force at an instance, with the index that every request needs.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     /// The configuration.
     pub configuration: Configuration,
     // Teams by the fingerprints of their bearer keys, sorted.
     keys: Vec<(Fingerprint, TeamId)>,
 }
 
-impl InForce {
-    fn new(configuration: Configuration) -> InForce {
+impl ActiveConfiguration {
+    fn new(configuration: Configuration) -> ActiveConfiguration {
         let of_team = |team: &Team| -> Vec<(Fingerprint, TeamId)> {
             team.keys.iter().map(|key| (*key, team.id.clone())).collect()
         };
         let mut keys: Vec<(Fingerprint, TeamId)> =
             configuration.teams().flat_map(of_team).collect();
         keys.sort();
-        InForce { configuration, keys }
+        ActiveConfiguration { configuration, keys }
     }
 
     /// The team that owns the bearer key with this fingerprint.
@@ -86,7 +86,7 @@
     }
 }
 
-impl Deref for InForce {
+impl Deref for ActiveConfiguration {
     type Target = Configuration;
 
     fn deref(&self) -> &Configuration {
@@ -117,7 +117,7 @@
         let follower = Follower::new(follower::Timing::default(), storage, start);
         let sources = sources_of(&cluster, &own);
         let revision = watch::Sender::new(follower.revision());
-        let current = follower.configuration().cloned().map(InForce::new).map(Rc::new);
+        let current = follower.configuration().cloned().map(ActiveConfiguration::new).map(Rc::new);
         let region = cluster.region_of(&own.zone).cloned().expect("the settings were checked");
         let node = Node {
             own,
@@ -126,7 +126,7 @@
             cluster,
             keys,
             clock,
-            calls: RefCell::new(Calls::new(start)),
+            calls: RefCell::new(PendingCalls::new(start)),
             members: RefCell::new(members),
             follower: RefCell::new(follower),
             links: RefCell::new(links),
@@ -135,7 +135,7 @@
             unsaved: watch::Sender::new(None),
             current: RefCell::new(current),
         };
-        node.follow(sources);
+        node.set_update_sources(sources);
         node
     }
 
@@ -181,27 +181,27 @@
     }
 
     /// A receiver that sees every configuration that has to be saved before it is in force.
-    pub fn unsaved(&self) -> watch::Receiver<Option<Box<Configuration>>> {
+    pub fn unsaved_configurations(&self) -> watch::Receiver<Option<Box<Configuration>>> {
         self.unsaved.subscribe()
     }
 
     /// Brings a configuration into force that is saved now.
-    pub fn saved(&self, configuration: Box<Configuration>) {
+    pub fn configuration_saved(&self, configuration: Box<Configuration>) {
         self.run_follower(follower::Event::Saved(configuration));
     }
 
     /// The configuration in force here, if a revision is known.
-    pub fn configuration(&self) -> Option<Rc<InForce>> {
+    pub fn configuration(&self) -> Option<Rc<ActiveConfiguration>> {
         self.current.borrow().clone()
     }
 
     /// Takes an announcement of an upstream in.
-    pub fn announced(&self, announcement: Announcement) -> Vec<Notice> {
+    pub fn apply_announcement(&self, announcement: Announcement) -> Vec<Notice> {
         self.run_membership(membership::Event::Announced(announcement))
     }
 
     /// Tells peers the own load and state.
-    pub fn report(&self, status: Status) -> Vec<Notice> {
+    pub fn report_status(&self, status: Status) -> Vec<Notice> {
         self.run_membership(membership::Event::Status(status))
     }
 
@@ -214,17 +214,17 @@
     }
 
     /// Names whom the follower asks.
-    pub fn follow(&self, sources: Sources) {
+    pub fn set_update_sources(&self, sources: Sources) {
         self.run_follower(follower::Event::Sources(sources));
     }
 
     /// Takes a newer configuration in, as a keeper learns it from its own group.
-    pub fn push(&self, update: follower::Update) {
+    pub fn apply_update(&self, update: follower::Update) {
         self.run_follower(follower::Event::Pushed(update));
     }
 
     /// Confirms the newest revision, as a keeper knows it from its own group.
-    pub fn confirm(&self, confirmation: follower::Confirmation) {
+    pub fn apply_confirmation(&self, confirmation: follower::Confirmation) {
         self.run_follower(follower::Event::Confirmed(confirmation));
     }
 
@@ -236,25 +236,25 @@
                 Received::Notices(self.run_membership(membership::Event::Message { from, message }))
             }
             Message::Reply { call, reply } => {
-                self.calls.borrow_mut().reply(call, reply);
-                Received::Done
+                self.calls.borrow_mut().complete(call, reply);
+                Received::Handled
             }
             Message::Ask(ask) => {
                 let answer = self.follower.borrow().answer(self.now(), ask);
                 self.send(&from, Message::Answer(Box::new(answer)));
-                Received::Done
+                Received::Handled
             }
             Message::Answer(answer) => {
                 self.run_follower(follower::Event::ResponseReceived(*answer));
-                Received::Done
+                Received::Handled
             }
             Message::Push(update) => {
                 self.run_follower(follower::Event::Pushed(*update));
-                Received::Done
+                Received::Handled
             }
             Message::Unheard => {
                 self.replace_unheard(&from);
-                Received::Done
+                Received::Handled
             }
             other => Received::Other(from, Box::new(other)),
         }
@@ -299,7 +299,7 @@
     /// Indexes a configuration that has come into force.
     fn keep_current(&self) {
         let newest = self.follower.borrow().configuration().cloned();
-        self.current.replace(newest.map(InForce::new).map(Rc::new));
+        self.current.replace(newest.map(ActiveConfiguration::new).map(Rc::new));
     }
 
     /// Replaces the own connection to a silent peer, and asks the peer to replace its own.
@@ -330,7 +330,7 @@
 #[derive(Debug)]
 pub enum Received {
     /// It was handled.
-    Done,
+    Handled,
     /// It was handled, and what is known of others changed.
     Notices(Vec<Notice>),
     /// It is for the particular kind of process.
--- a/src/coordination/operators/confirmations.rs
+++ b/src/coordination/operators/confirmations.rs
@@ -27,7 +27,7 @@
 /// this process's peers told it.
 pub(super) async fn confirmations(api: &OperatorApi, request: &Request<Incoming>) -> Confirmations {
     let revision = revision_of(request);
-    match calls::force(&api.node, revision, FORCE_LIMIT).await {
+    match calls::read_rollout(&api.node, revision, FORCE_LIMIT).await {
         Ok(force) => confirmations_of(&api.node, &force),
         Err(error) => {
             tracing::debug!(%error, "confirmations taken from peers");
--- a/src/coordination/operators/mod.rs
+++ b/src/coordination/operators/mod.rs
@@ -35,7 +35,7 @@
 
 use crate::{
     coordination::{
-        calls::CallFailure,
+        calls::CallError,
         daemon::Context,
         lookup::{self, RecordStatus},
         node::Node,
@@ -59,11 +59,11 @@
 
 type Dump = Box<dyn Fn() -> Value>;
 
-type Process = Box<dyn Fn() -> ProcessPart>;
+type Process = Box<dyn Fn() -> ProcessDetails>;
 
 /// What only one kind of process knows of its status.
 #[derive(Debug, Clone, Default)]
-pub struct ProcessPart {
+pub struct ProcessDetails {
     /// Whether it is about to stop.
     pub leaving: bool,
     /// Requests that run.
@@ -84,7 +84,7 @@
 impl OperatorApi {
     /// An interface that dumps nothing but the common part.
     pub fn new(node: Rc<Node>, operators: Vec<Operator>, context: Context) -> OperatorApi {
-        let process = Box::new(ProcessPart::default);
+        let process = Box::new(ProcessDetails::default);
         let dump = Box::new(|| Value::Null);
         OperatorApi { node, operators, context, process, dump }
     }
@@ -95,12 +95,12 @@
     }
 
     /// The same interface, with the status that only this kind of process has.
-    pub fn with_process(self, process: impl Fn() -> ProcessPart + 'static) -> OperatorApi {
+    pub fn with_details(self, process: impl Fn() -> ProcessDetails + 'static) -> OperatorApi {
         OperatorApi { process: Box::new(process), ..self }
     }
 
     fn operator(&self, request: &Request<Incoming>) -> Option<OperatorId> {
-        let key = Fingerprint::of(bearer(request)?.as_bytes());
+        let key = Fingerprint::of(bearer_key(request)?.as_bytes());
         let found = self.operators.iter().find(|it| it.key == key)?;
         Some(found.id.clone())
     }
@@ -122,7 +122,7 @@
 }
 
 /// The bearer key of a request.
-pub fn bearer<B>(request: &Request<B>) -> Option<&str> {
+pub fn bearer_key<B>(request: &Request<B>) -> Option<&str> {
     let value = request.headers().get(header::AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ").map(str::trim)
 }
@@ -175,9 +175,9 @@
 }
 
 /// The answer to an operator or caller whose call to a group failed.
-pub fn call_failed(failure: &CallFailure) -> Answer {
+pub fn call_error_answer(failure: &CallError) -> Answer {
     let outcome = match failure {
-        CallFailure::Uncertain { .. } => Outcome::Unknown,
+        CallError::Uncertain { .. } => Outcome::Unknown,
         _ => Outcome::NotRun,
     };
     let problem = Problem::new(503, "group-unreachable", &failure.to_string(), outcome);
@@ -205,15 +205,15 @@
         Ok(id) => id,
         Err(error) => return refuse(400, "no-request-id", &format!("{error}")),
     };
-    status_answer(lookup::record_status(&api.node, &id, LOOK_UP_LIMIT).await)
+    record_status_answer(lookup::record_status(&api.node, &id, LOOK_UP_LIMIT).await)
 }
 
 /// The answer that tells what is known of a request.
-pub fn status_answer(status: Result<RecordStatus, CallFailure>) -> Answer {
+pub fn record_status_answer(status: Result<RecordStatus, CallError>) -> Answer {
     match status {
         Ok(RecordStatus::Recorded(record)) => ok(&record),
         Ok(RecordStatus::Expired) => refuse(410, "record-expired", "the record is no longer kept"),
-        Ok(RecordStatus::NotSeen) => refuse(404, "no-record", lookup::NOT_SEEN),
-        Err(failure) => call_failed(&failure),
+        Ok(RecordStatus::NotFound) => refuse(404, "no-record", lookup::NOT_FOUND_TITLE),
+        Err(failure) => call_error_answer(&failure),
     }
 }
--- a/src/coordination/operators/releases.rs
+++ b/src/coordination/operators/releases.rs
@@ -12,7 +12,7 @@
 use crate::{
     coordination::{
         calls,
-        operators::{LOOK_UP_LIMIT, OperatorApi, call_failed, ok, read_body, refuse},
+        operators::{LOOK_UP_LIMIT, OperatorApi, call_error_answer, ok, read_body, refuse},
     },
     protocol::{GroupId, GroupReply, GroupRequest, operators::AcceptedNote},
     transport::body::Answer,
@@ -46,7 +46,7 @@
             ok(&notes)
         }
         Ok(_) => refuse(500, "mismatch", "the configuration group sent another kind of reply"),
-        Err(failure) => call_failed(&failure),
+        Err(failure) => call_error_answer(&failure),
     }
 }
 
@@ -94,7 +94,7 @@
         let title = format!("the note names {}, the key is {operator}'s", note.operator());
         return refuse(403, "foreign-operator", &title);
     }
-    match calls::configure(&api.node, Command::Apply(note), APPLY_LIMIT).await {
+    match calls::submit_configuration_command(&api.node, Command::Apply(note), APPLY_LIMIT).await {
         Ok(Reply::Accepted(accepted)) => {
             tracing::info!(%operator, number = %accepted.number, revision = %accepted.revision,
                 "release note accepted");
@@ -105,7 +105,7 @@
             tracing::error!(?reply, "unexpected reply to a release note");
             refuse(500, "mismatch", "the configuration group sent another kind of reply")
         }
-        Err(failure) => call_failed(&failure),
+        Err(failure) => call_error_answer(&failure),
     }
 }
 
