--- a/crates/medlarlug-core/src/record.rs
+++ b/crates/medlarlug-core/src/record.rs
@@ -1,8 +1,8 @@
-//! What became of one request.
+//! Records of requests: their timelines and outcomes.
 //!
-//! Every request that an instance takes in ends in exactly one [`Outcome`]. Its record holds a
-//! timeline of stages and lives in the home group of the region that took the request in; the
-//! [`RequestId`] names that region.
+//! Every request that an instance accepts ends in exactly one [`Outcome`]. Its record contains a timeline of
+//! stages and is stored in the home group of the region that received the request, which is the region in
+//! the [`RequestId`].
 
 pub mod batch;
 
@@ -16,20 +16,20 @@
     release::ItemKey,
 };
 
-/// How a request ended.
+/// Final state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The caller was sent the whole answer; or the service told it later, and the caller gets it by
-    /// sending its booking again.
+    /// The complete answer was sent to the caller; or a query to the service returned it later, and the
+    /// caller gets it when it sends its booking again.
     Answered,
-    /// Refused, and no upstream can have begun it.
+    /// The request was refused, and no upstream can have started it.
     NotRun,
-    /// It ran, or was tried, and failed for good.
+    /// The request ran or was attempted, and failed permanently.
     Failed,
-    /// It may or may not have run.
+    /// The request may or may not have run.
     Unknown,
-    /// It was taken in and its end was not recorded, because the instance stopped before.
+    /// The request was accepted, but its instance stopped before it recorded how the request ended.
     NotRecorded,
 }
 
@@ -45,61 +45,61 @@
     }
 }
 
-/// A stage in the life of a request.
+/// Stage in the processing of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// The instance took it in.
+    /// An instance received the request from the caller.
     Received {
-        /// The instance.
+        /// Receiving instance.
         instance: InstanceId,
     },
-    /// It was handed to another availability zone.
+    /// The request was forwarded to another availability zone.
     Forwarded {
-        /// The receiving zone.
+        /// Zone that it was forwarded to.
         zone: ZoneId,
     },
-    /// It was sent to an upstream.
+    /// The request was sent to an upstream.
     Sent {
-        /// The upstream.
+        /// Upstream that it was sent to.
         upstream: UpstreamId,
     },
-    /// The upstream answered the first byte.
+    /// The first byte of the upstream's answer was received.
     FirstByte,
-    /// An attempt failed and another is made.
+    /// An attempt failed and the request is retried.
     Retried {
-        /// Why the attempt failed.
+        /// Short description of the failure.
         reason: SmolStr,
     },
-    /// It ended.
+    /// The request ended.
     Ended {
-        /// How.
+        /// Final state of the request.
         outcome: Outcome,
-        /// Why, in a few words.
+        /// Short description of the reason.
         reason: SmolStr,
     },
 }
 
-/// A stage and the time since the request was received.
+/// Stage of a request and when it was reached.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimelineEntry {
     /// Time since the request was received.
     pub after: Duration,
-    /// The stage.
+    /// Stage that was reached.
     pub stage: Stage,
 }
 
-/// The record of one request.
+/// Record of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Whose it is.
+    /// Team that sent it.
     pub team: TeamId,
-    /// The model or service that it asked for.
+    /// Model or service that it is for.
     pub target: ItemKey,
-    /// How it ended; `None` while it runs.
+    /// How the request ended; `None` while it runs.
     pub outcome: Option<Outcome>,
-    /// What happened to it, in order.
+    /// Stages of the request, in chronological order.
     pub timeline: Vec<TimelineEntry>,
 }
--- a/crates/medlarlug-core/src/record/batch.rs
+++ b/crates/medlarlug-core/src/record/batch.rs
@@ -1,10 +1,10 @@
-//! The encoding of a batch of records, with each name once.
+//! Compact encoding of a batch of request records.
 //!
-//! Most of a record is names: instance, team, target, upstream, reason. A batch holds them in
-//! tables, and its rows hold places in these. Request numbers are differences to the row before;
-//! times are whole microseconds.
+//! Most of a record consists of names: instance, team, target, upstream, reason. A batch stores each name
+//! once, in tables, and its rows refer to them by index. Sequence numbers are stored as differences to the
+//! previous row, times as whole microseconds.
 //!
-//! The module is made for `#[serde(with = "...")]` on a `Vec<RequestRecord>`.
+//! The module is meant for `#[serde(with = "...")]` on a `Vec<RequestRecord>`.
 
 use std::time::Duration;
 
@@ -18,23 +18,23 @@
     release::ItemKey,
 };
 
-/// Why bytes are no batch of records.
+/// Reason for which a batch of records cannot be encoded or decoded.
 #[derive(Debug, Error)]
 enum BatchError {
-    /// A row names a place that its table does not have.
-    #[error("a record names place {place} of a table of {length}")]
-    Place { place: u32, length: usize },
-    /// A name is no id.
+    /// A row refers to an index beyond the end of its table.
+    #[error("invalid batch of request records: index {index} into a table of {length} entries")]
+    IndexOutOfRange { index: u32, length: usize },
+    /// A name in a table is not a valid id.
     #[error(transparent)]
     Id(#[from] IdError),
-    /// The batch has more names than a place can tell.
-    #[error("a batch of records holds too many names")]
+    /// A table has more entries than an index can represent.
+    #[error("batch of request records has too many names for 32-bit indexes")]
     TooLarge,
 }
 
-/// What the ids of requests of one process have in common.
+/// Common part of the request ids of one process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct Origin {
+struct Process {
     region: RegionId,
     instance: InstanceId,
     incarnation: Incarnation,
@@ -51,58 +51,61 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Row {
-    origin: u32,
-    /// Request number, as the wrapping difference to the row before.
-    number: i64,
+struct PackedRecord {
+    #[serde(rename = "origin")]
+    process: u32,
+    /// Wrapping difference of the request's sequence number to that of the previous row.
+    #[serde(rename = "number")]
+    sequence_delta: i64,
     team: u32,
     target: u32,
     outcome: Option<Outcome>,
-    /// Microseconds since the request was received, and the stage.
+    /// Time since the request was received, in microseconds, and the stage.
     timeline: Vec<(u64, PackedStage)>,
 }
 
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct Packed {
-    origins: Vec<Origin>,
+struct PackedBatch {
+    #[serde(rename = "origins")]
+    processes: Vec<Process>,
     targets: Vec<ItemKey>,
     names: Vec<SmolStr>,
-    rows: Vec<Row>,
+    rows: Vec<PackedRecord>,
 }
 
-/// Serializes records with each name once.
+/// Serializes a batch of records.
 ///
 /// # Errors
 ///
-/// Fails when the serializer does.
+/// Fails if a table gets more entries than an index can represent, or if the serializer fails.
 pub fn serialize<S: Serializer>(records: &[RequestRecord], to: S) -> Result<S::Ok, S::Error> {
     pack(records).map_err(S::Error::custom)?.serialize(to)
 }
 
-/// Deserializes what [`serialize`] wrote.
+/// Deserializes a batch that [`serialize`] wrote.
 ///
 /// # Errors
 ///
-/// Fails when the bytes are no batch of records.
+/// Fails if the bytes are not an encoded batch of records.
 pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<RequestRecord>, D::Error> {
-    unpack(Packed::deserialize(from)?).map_err(D::Error::custom)
+    unpack(PackedBatch::deserialize(from)?).map_err(D::Error::custom)
 }
 
-fn pack(records: &[RequestRecord]) -> Result<Packed, BatchError> {
-    let mut packed = Packed::default();
-    let mut last = 0;
+fn pack(records: &[RequestRecord]) -> Result<PackedBatch, BatchError> {
+    let mut packed = PackedBatch::default();
+    let mut previous = 0;
     for record in records {
         let RequestId { region, instance, incarnation, sequence } = record.id.clone();
-        let origin = place(&mut packed.origins, Origin { region, instance, incarnation })?;
-        let number = sequence.wrapping_sub(last).cast_signed();
-        last = sequence;
-        let team = place(&mut packed.names, record.team.to_smolstr())?;
-        let target = place(&mut packed.targets, record.target.clone())?;
+        let process = intern(&mut packed.processes, Process { region, instance, incarnation })?;
+        let sequence_delta = sequence.wrapping_sub(previous).cast_signed();
+        previous = sequence;
+        let team = intern(&mut packed.names, record.team.to_smolstr())?;
+        let target = intern(&mut packed.targets, record.target.clone())?;
         let names = &mut packed.names;
         let steps = record.timeline.iter().map(|it| pack_step(names, it));
         let timeline = steps.collect::<Result<_, BatchError>>()?;
         let outcome = record.outcome;
-        packed.rows.push(Row { origin, number, team, target, outcome, timeline });
+        packed.rows.push(PackedRecord { process, sequence_delta, team, target, outcome, timeline });
     }
     Ok(packed)
 }
@@ -111,7 +114,7 @@
     names: &mut Vec<SmolStr>,
     step: &TimelineEntry,
 ) -> Result<(u64, PackedStage), BatchError> {
-    let mut name = |text: SmolStr| place(names, text);
+    let mut name = |text: SmolStr| intern(names, text);
     let stage = match &step.stage {
         Stage::Received { instance } => PackedStage::Received(name(instance.to_smolstr())?),
         Stage::Forwarded { zone } => PackedStage::Forwarded(name(zone.to_smolstr())?),
@@ -123,26 +126,26 @@
     Ok((u64::try_from(step.after.as_micros()).unwrap_or(u64::MAX), stage))
 }
 
-/// The place of an item in a table, to which it is added if it is new.
-fn place<T: PartialEq>(table: &mut Vec<T>, item: T) -> Result<u32, BatchError> {
+/// Returns the index of `item` in a table, and adds it first if it is not there yet.
+fn intern<T: PartialEq>(table: &mut Vec<T>, item: T) -> Result<u32, BatchError> {
     let found = table.iter().position(|it| *it == item);
-    let place = found.unwrap_or(table.len());
+    let index = found.unwrap_or(table.len());
     if found.is_none() {
         table.push(item);
     }
-    u32::try_from(place).map_err(|_| BatchError::TooLarge)
+    u32::try_from(index).map_err(|_| BatchError::TooLarge)
 }
 
-fn unpack(packed: Packed) -> Result<Vec<RequestRecord>, BatchError> {
-    let Packed { origins, targets, names, rows } = packed;
-    let mut last = 0u64;
+fn unpack(packed: PackedBatch) -> Result<Vec<RequestRecord>, BatchError> {
+    let PackedBatch { processes, targets, names, rows } = packed;
+    let mut previous = 0u64;
     let mut records = Vec::with_capacity(rows.len());
     for row in rows {
-        let Origin { region, instance, incarnation } = at(&origins, row.origin)?.clone();
-        last = last.wrapping_add_signed(row.number);
-        let id = RequestId { region, instance, incarnation, sequence: last };
-        let team = TeamId::try_from(at(&names, row.team)?.clone())?;
-        let target = at(&targets, row.target)?.clone();
+        let Process { region, instance, incarnation } = lookup(&processes, row.process)?.clone();
+        previous = previous.wrapping_add_signed(row.sequence_delta);
+        let id = RequestId { region, instance, incarnation, sequence: previous };
+        let team = TeamId::try_from(lookup(&names, row.team)?.clone())?;
+        let target = lookup(&targets, row.target)?.clone();
         let steps = row.timeline.into_iter().map(|it| unpack_step(&names, it));
         let timeline = steps.collect::<Result<_, BatchError>>()?;
         records.push(RequestRecord { id, team, target, outcome: row.outcome, timeline });
@@ -154,19 +157,19 @@
     names: &[SmolStr],
     (micros, stage): (u64, PackedStage),
 ) -> Result<TimelineEntry, BatchError> {
-    let name = |place| at(names, place).cloned();
+    let name = |index| lookup(names, index).cloned();
     let stage = match stage {
-        PackedStage::Received(place) => Stage::Received { instance: name(place)?.try_into()? },
-        PackedStage::Forwarded(place) => Stage::Forwarded { zone: name(place)?.try_into()? },
-        PackedStage::Sent(place) => Stage::Sent { upstream: name(place)?.try_into()? },
+        PackedStage::Received(index) => Stage::Received { instance: name(index)?.try_into()? },
+        PackedStage::Forwarded(index) => Stage::Forwarded { zone: name(index)?.try_into()? },
+        PackedStage::Sent(index) => Stage::Sent { upstream: name(index)?.try_into()? },
         PackedStage::FirstByte => Stage::FirstByte,
-        PackedStage::Retried(place) => Stage::Retried { reason: name(place)? },
-        PackedStage::Ended(outcome, place) => Stage::Ended { outcome, reason: name(place)? },
+        PackedStage::Retried(index) => Stage::Retried { reason: name(index)? },
+        PackedStage::Ended(outcome, index) => Stage::Ended { outcome, reason: name(index)? },
     };
     Ok(TimelineEntry { after: Duration::from_micros(micros), stage })
 }
 
-fn at<T>(table: &[T], place: u32) -> Result<&T, BatchError> {
-    let found = usize::try_from(place).ok().and_then(|it| table.get(it));
-    found.ok_or(BatchError::Place { place, length: table.len() })
+fn lookup<T>(table: &[T], index: u32) -> Result<&T, BatchError> {
+    let found = usize::try_from(index).ok().and_then(|it| table.get(it));
+    found.ok_or(BatchError::IndexOutOfRange { index, length: table.len() })
 }
--- a/crates/medlarlug-core/src/release/configuration.rs
+++ b/crates/medlarlug-core/src/release/configuration.rs
@@ -1,4 +1,4 @@
-//! The items in force at one revision.
+//! The configuration: the items in effect at one revision.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,7 +10,7 @@
     },
 };
 
-/// The items in force at one revision, sorted by key.
+/// The items in effect at one revision, sorted by key.
 ///
 /// ```
 /// use medlarlug_core::{ids::Revision, release::Configuration};
@@ -21,9 +21,9 @@
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Revision at which these items are in force.
+    /// Revision of this configuration.
     pub revision: Revision,
-    /// Revision that the last release note produced; later ones changed nothing that a note lists.
+    /// Revision that the last release note produced. Later revisions changed nothing that a note lists.
     #[serde(rename = "edited")]
     pub last_note_revision: Revision,
     items: Vec<Item>,
@@ -31,22 +31,22 @@
     homes: Vec<TeamHome>,
 }
 
-/// Where the bookings of a team are recorded. Kept when the team is withdrawn, as its bookings
-/// are.
+/// Home region of a team, in which its bookings are recorded. It is kept when the team is withdrawn, like
+/// the bookings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamHome {
-    /// The team.
+    /// Team that has this home.
     pub team: TeamId,
-    /// Its home region.
+    /// Home region of the team.
     pub region: RegionId,
-    /// Revision at which it got this home.
+    /// Revision at which the team got this home region.
     pub epoch: Revision,
-    /// Its former home region, if it had another one.
+    /// Previous home region, if the team had another one.
     pub from: Option<RegionId>,
 }
 
 impl Configuration {
-    /// A configuration of `items`, which may come in any order.
+    /// Creates a configuration of `items`, which may be in any order.
     pub fn new(revision: Revision, mut items: Vec<Item>) -> Configuration {
         items.sort_by_key(Item::key);
         let mut configuration = Configuration {
@@ -60,25 +60,25 @@
         configuration
     }
 
-    /// Withdrawn models and services that running requests still use, sorted by key.
+    /// Withdrawn models and services that running requests may still use, sorted by key.
     ///
-    /// They take no new request.
+    /// They accept no new requests.
     pub fn draining(&self) -> &[Item] {
         &self.draining
     }
 
-    /// Where the bookings of `team` are recorded.
+    /// Home of `team`, or its last home if it is withdrawn.
     pub fn home_of(&self, team: &TeamId) -> Option<&TeamHome> {
         let found = self.homes.binary_search_by(|it| it.team.cmp(team)).ok()?;
         Some(&self.homes[found])
     }
 
-    /// The homes of all teams, also of withdrawn ones, sorted by team.
+    /// Homes of all teams, including withdrawn ones, sorted by team.
     pub fn homes(&self) -> &[TeamHome] {
         &self.homes
     }
 
-    /// Moves the item under `key` to the draining ones.
+    /// Moves the item with this key to the draining items.
     pub(crate) fn start_draining(&mut self, key: &ItemKey) -> Option<()> {
         let item = self.remove(key)?;
         match self.draining.binary_search_by(|it| it.key().cmp(key)) {
@@ -88,13 +88,13 @@
         Some(())
     }
 
-    /// Ends the draining of the item under `key`.
+    /// Removes the item with this key from the draining items.
     pub(crate) fn remove_draining(&mut self, key: &ItemKey) -> Option<Item> {
         let found = self.draining.binary_search_by(|it| it.key().cmp(key)).ok()?;
         Some(self.draining.remove(found))
     }
 
-    /// The next revision, without these draining items.
+    /// Returns the configuration at the next revision, without these draining items.
     pub(crate) fn without_drained(&self, keys: &[ItemKey]) -> Result<Configuration, NoteError> {
         let mut next = self.with_next_revision();
         for key in keys {
@@ -103,14 +103,14 @@
         Ok(next)
     }
 
-    /// The next revision, with the same items.
+    /// Returns the configuration at the next revision, with the same items.
     pub(crate) fn with_next_revision(&self) -> Configuration {
         let mut next = self.clone();
         next.revision = self.revision.next();
         next
     }
 
-    /// Brings the record of homes up to the teams' items at this revision.
+    /// Updates the homes to the home regions that the teams' items list at this revision.
     pub(crate) fn update_homes(&mut self) {
         let teams: Vec<(TeamId, RegionId)> =
             self.teams().map(|it| (it.id.clone(), it.home.clone())).collect();
@@ -129,18 +129,18 @@
         }
     }
 
-    /// All items, sorted by key.
+    /// Items that are not draining, sorted by key.
     pub fn items(&self) -> &[Item] {
         &self.items
     }
 
-    /// The item under `key`.
+    /// Item with this key; draining items are not found.
     pub fn item(&self, key: &ItemKey) -> Option<&Item> {
         let found = self.items.binary_search_by(|it| it.key().cmp(key)).ok()?;
         Some(&self.items[found])
     }
 
-    /// Puts `item` in, in the place of one with the same key.
+    /// Inserts `item`, or replaces the item with the same key.
     pub fn put(&mut self, item: Item) {
         let key = item.key();
         match self.items.binary_search_by(|it| it.key().cmp(&key)) {
@@ -149,13 +149,13 @@
         }
     }
 
-    /// Takes the item under `key` out.
+    /// Removes the item with this key and returns it.
     pub fn remove(&mut self, key: &ItemKey) -> Option<Item> {
         let found = self.items.binary_search_by(|it| it.key().cmp(key)).ok()?;
         Some(self.items.remove(found))
     }
 
-    /// The region with this id.
+    /// Region with this id.
     pub fn region(&self, id: &RegionId) -> Option<&Region> {
         match self.item(&ItemKey::Region(id.clone()))? {
             Item::Region(region) => Some(region),
@@ -163,7 +163,7 @@
         }
     }
 
-    /// The model with this id.
+    /// Model with this id, unless it is draining.
     pub fn model(&self, id: &ModelId) -> Option<&Model> {
         match self.item(&ItemKey::Model(id.clone()))? {
             Item::Model(model) => Some(model),
@@ -171,7 +171,7 @@
         }
     }
 
-    /// The service with this id.
+    /// Service with this id, unless it is draining.
     pub fn service(&self, id: &ServiceId) -> Option<&Service> {
         match self.item(&ItemKey::Service(id.clone()))? {
             Item::Service(service) => Some(service),
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The team with this id.
+    /// Team with this id.
     pub fn team(&self, id: &TeamId) -> Option<&Team> {
         match self.item(&ItemKey::Team(id.clone()))? {
             Item::Team(team) => Some(team),
@@ -187,7 +187,7 @@
         }
     }
 
-    /// The link between two regions.
+    /// Link that leads from one region to the other; each direction is an item of its own.
     pub fn link(&self, from: &RegionId, to: &RegionId) -> Option<&Link> {
         match self.item(&ItemKey::Link(from.clone(), to.clone()))? {
             Item::Link(link) => Some(link),
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The policy.
+    /// Routing policy, if the configuration has one.
     pub fn policy(&self) -> Option<&Policy> {
         match self.item(&ItemKey::Policy)? {
             Item::Policy(policy) => Some(policy),
@@ -203,7 +203,7 @@
         }
     }
 
-    /// The teams, sorted by id.
+    /// Teams, sorted by id.
     pub fn teams(&self) -> impl Iterator<Item = &Team> {
         self.items.iter().filter_map(|it| match it {
             Item::Team(team) => Some(team),
@@ -211,7 +211,7 @@
         })
     }
 
-    /// The models, sorted by id.
+    /// Models that are not draining, sorted by id.
     pub fn models(&self) -> impl Iterator<Item = &Model> {
         self.items.iter().filter_map(|it| match it {
             Item::Model(model) => Some(model),
@@ -219,7 +219,7 @@
         })
     }
 
-    /// The regions, sorted by id.
+    /// Regions, sorted by id.
     pub fn regions(&self) -> impl Iterator<Item = &Region> {
         self.items.iter().filter_map(|it| match it {
             Item::Region(region) => Some(region),
@@ -227,22 +227,22 @@
         })
     }
 
-    /// The region that `zone` belongs to.
+    /// Region that `zone` belongs to.
     pub fn region_of(&self, zone: &ZoneId) -> Option<&RegionId> {
         self.regions().find(|it| it.zones.contains(zone)).map(|it| &it.id)
     }
 
     /// Whether a request of `team` for `target` may be served in `region`.
     ///
-    /// Both the team's rule and the target's rule have to permit it; a target that is not known
-    /// is permitted nowhere.
+    /// Both the team's and the target's residency rule have to permit it. An unknown or draining target is
+    /// permitted nowhere.
     pub fn is_permitted(&self, team: &Team, target: &ItemKey, region: &RegionId) -> bool {
         self.item(target).is_some_and(|it| permits(team, it, region))
     }
 
-    /// Whether a request that has begun already may go on in `region`.
+    /// Whether a request of `team` for `target` that has already started may continue in `region`.
     ///
-    /// As [`is_permitted`](Self::is_permitted), but a draining target is permitted, too.
+    /// Like [`is_permitted`](Self::is_permitted), except that the target may be draining.
     pub fn may_continue(&self, team: &Team, target: &ItemKey, region: &RegionId) -> bool {
         let draining = self.draining.binary_search_by(|it| it.key().cmp(target)).ok();
         let item = self.item(target).or_else(|| draining.map(|found| &self.draining[found]));
--- a/crates/medlarlug-core/src/release/item.rs
+++ b/crates/medlarlug-core/src/release/item.rs
@@ -10,7 +10,7 @@
     units::{Price, Rate, Slots},
 };
 
-/// One item of a configuration.
+/// Item of a configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Item {
@@ -18,36 +18,36 @@
     Region(Region),
     /// A model and its versions.
     Model(Model),
-    /// A plain service.
+    /// A plain service and its call rules.
     Service(Service),
-    /// A team of callers.
+    /// A team of callers, with its limits and bearer keys.
     Team(Team),
     /// The wide-area link between two regions.
     Link(Link),
-    /// Weights of the routing decision; there is one at most.
+    /// Weights of the routing decision; a configuration has at most one.
     Policy(Policy),
 }
 
-/// Names one item; sorts by kind, then by id.
+/// Identifies an item; ordered by kind, then by id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemKey {
-    /// A region.
+    /// Key of a region.
     Region(RegionId),
-    /// A model.
+    /// Key of a model.
     Model(ModelId),
-    /// A plain service.
+    /// Key of a plain service.
     Service(ServiceId),
-    /// A team.
+    /// Key of a team.
     Team(TeamId),
-    /// A link, by its two regions.
+    /// Key of a link: its sending and its receiving region.
     Link(RegionId, RegionId),
-    /// The policy.
+    /// Key of the policy.
     Policy,
 }
 
 impl Item {
-    /// The key under which the item stands in a configuration.
+    /// Key of the item, which is unique within a configuration.
     pub fn key(&self) -> ItemKey {
         match self {
             Item::Region(it) => ItemKey::Region(it.id.clone()),
@@ -73,25 +73,25 @@
     }
 }
 
-/// A region and its availability zones.
+/// Region and its availability zones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Region {
-    /// The region.
+    /// Id of the region.
     pub id: RegionId,
-    /// Its availability zones.
+    /// Availability zones of the region; a zone belongs to one region only.
     pub zones: Vec<ZoneId>,
 }
 
-/// A model and the versions that may serve it.
+/// Model and the versions that may serve it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The model.
+    /// Id of the model.
     pub id: ModelId,
-    /// Versions that may serve it, the preferred one first.
+    /// Versions that may serve the model, most preferred first.
     pub versions: Vec<VersionId>,
-    /// Adapters that callers may ask for.
+    /// Adapters that callers may request.
     #[serde(default)]
     pub adapters: Vec<AdapterId>,
     /// Where requests for it may be served, beside what the team's own rule permits.
@@ -99,16 +99,16 @@
     pub residency: Residency,
 }
 
-/// A plain service.
+/// Plain service: an upstream that is not an inference engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The service.
+    /// Id of the service.
     pub id: ServiceId,
-    /// Whether its `POST` calls may be repeated after an unknown outcome.
+    /// Whether its `POST` calls may be retried after an unknown outcome.
     #[serde(default)]
     pub idempotent: bool,
-    /// Whether it answers `GET /outcomes/{key}` about a call that was sent to it.
+    /// Whether the service answers `GET /outcomes/{key}` with the outcome of a call that was sent to it.
     #[serde(rename = "outcomes", default)]
     pub reports_outcomes: bool,
     /// Where requests for it may be served, beside what the team's own rule permits.
@@ -116,36 +116,37 @@
     pub residency: Residency,
 }
 
-/// A team of callers.
+/// Team of callers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// The team.
+    /// Id of the team.
     pub id: TeamId,
-    /// Its home region: bookings are recorded there.
+    /// Home region of the team, in which its bookings are recorded.
     pub home: RegionId,
-    /// Fingerprints of its valid bearer keys, two at most.
+    /// Fingerprints of the team's valid bearer keys, at most
+    /// [`MAX_BEARER_KEYS`](crate::release::note::MAX_BEARER_KEYS).
     pub keys: Vec<Fingerprint>,
-    /// Where its requests may be served.
+    /// Regions in which the team's requests may be served.
     #[serde(default)]
     pub residency: Residency,
-    /// Requests a second that it may send, over all instances of a region.
+    /// Requests per second that the team may send to all instances of a region together.
     pub rate: Rate,
-    /// Requests that it may send at once after a pause.
+    /// Requests that the team may send at once after an idle period.
     pub burst: Slots,
-    /// Priority of its requests; a higher one goes first.
+    /// Priority of the team's requests; requests of higher priority are served first.
     #[serde(default)]
     pub priority: u8,
 }
 
-/// Where a request may be served.
+/// Regions in which a request may be served.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Residency {
-    /// In the team's home region only; what is not known is treated so.
+    /// Only in the team's home region. This is the default where no rule is set.
     #[default]
     Home,
-    /// In the listed regions.
+    /// Only in the listed regions.
     Regions(Vec<RegionId>),
     /// In every region.
     Anywhere,
@@ -171,22 +172,22 @@
     }
 }
 
-/// The wide-area link from one region to another.
+/// Wide-area link from one region to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Link {
-    /// Sending region.
+    /// Region from which requests are sent.
     pub from: RegionId,
-    /// Receiving region.
+    /// Region to which requests are sent.
     pub to: RegionId,
-    /// Time one way, in milliseconds.
+    /// One-way delay, in milliseconds.
     pub delay_ms: u32,
-    /// Price of sending one request and its answer over the link.
+    /// Price of sending one request over the link and its answer back.
     pub price: Price,
 }
 
 impl Link {
-    /// Time one way.
+    /// One-way delay.
     pub fn delay(&self) -> Duration {
         Duration::from_millis(u64::from(self.delay_ms))
     }
@@ -196,10 +197,10 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
-    /// Price that one second until the first token is worth.
+    /// Price of one second of time to first token.
     pub latency_weight: Price,
-    /// Factor on the price of links and engines.
+    /// Factor applied to the price of links and engines.
     pub cost_weight: Price,
-    /// Longest time to the first token that a request is taken in for, in milliseconds.
+    /// Longest time to first token for which a request is accepted, in milliseconds.
     pub deadline_ms: u32,
 }
--- a/crates/medlarlug-core/src/release/mod.rs
+++ b/crates/medlarlug-core/src/release/mod.rs
@@ -1,17 +1,17 @@
 //! Release notes and the configuration that they produce.
 //!
-//! Operators drive the gateway through *release notes*. A note lists the items that it adds,
-//! changes and withdraws against a base revision, and carries the operator's own number. An
-//! accepted note turns the configuration of one [`Revision`](crate::ids::Revision) into that of
-//! the next; an accepted revision is never taken back.
+//! Operators configure the gateway with *release notes*. A note lists the items that it adds, changes and
+//! withdraws relative to a base revision, and has a number that the operator assigns. An accepted note
+//! turns the configuration of one [`Revision`](crate::ids::Revision) into that of the next. An accepted
+//! revision is never undone.
 //!
-//! * [`item`]: what a note can list: regions, models, services, teams, links, the policy.
-//! * [`note`]: the note as written (raw) and as checked.
-//! * [`configuration`]: the items in force at one revision.
-//! * [`validation`]: what a configuration has to fulfil as a whole.
+//! * [`item`]: the items that a note can list: regions, models, services, teams, links, the policy.
+//! * [`note`]: release notes, as written by an operator and as checked.
+//! * [`configuration`]: the items in effect at one revision.
+//! * [`validation`]: rules that a configuration has to satisfy as a whole.
 //!
-//! A withdrawn model or service is *draining* at first: it takes no new request, while running
-//! ones go on. It is removed at a later revision, when no instance runs a request for it.
+//! A withdrawn model or service is *draining* at first: it accepts no new requests, while running ones
+//! continue. It is removed at a later revision, when no instance runs a request for it any more.
 
 pub mod configuration;
 pub mod item;
--- a/crates/medlarlug-core/src/release/note.rs
+++ b/crates/medlarlug-core/src/release/note.rs
@@ -1,4 +1,4 @@
-//! Release notes, as written and as checked.
+//! Release notes, as written by an operator and as checked.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -12,90 +12,91 @@
     },
 };
 
-/// Keys that a team may have at once, so that one can be replaced by another.
+/// Maximum number of bearer keys of a team: two, so that a key can be replaced without interruption.
 pub const MAX_BEARER_KEYS: usize = 2;
 
-/// A release note as an operator writes it.
+/// Release note as an operator writes it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawNote {
-    /// The operator's number of this note.
+    /// Number that the operator assigned to the note.
     pub number: ReleaseNumber,
-    /// Who applies it.
+    /// Operator who applies the note.
     pub operator: OperatorId,
-    /// The revision that the note builds on.
+    /// Revision that the note is based on.
     pub base: Revision,
-    /// Items that must not exist yet.
+    /// Items to add, which must not exist yet.
     #[serde(default)]
     pub added: Vec<Item>,
-    /// Items that replace existing ones.
+    /// Items that replace existing items with the same keys.
     #[serde(default)]
     pub changed: Vec<Item>,
-    /// Keys of items that are taken out.
+    /// Keys of the items to withdraw.
     #[serde(default)]
     pub withdrawn: Vec<ItemKey>,
 }
 
-/// A release note that is consistent in itself.
+/// Release note that lists at least one item and none of them twice.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "RawNote", into = "RawNote")]
 pub struct ReleaseNote(RawNote);
 
-/// Why a release note is refused.
+/// Reason for which a release note is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum NoteError {
-    /// The note lists nothing.
-    #[error("the release note lists nothing")]
+    /// The note lists no items.
+    #[error("the release note lists no items")]
     Empty,
-    /// The note lists one item twice.
+    /// The note lists an item more than once.
     #[error("the release note lists {0} more than once")]
     Repeated(ItemKey),
-    /// An added item exists already.
-    #[error("{0} exists already; list it under `changed`")]
+    /// An added item already exists.
+    #[error("{0} already exists; list it under `changed`")]
     Exists(ItemKey),
     /// A changed or withdrawn item does not exist.
     #[error("{0} does not exist")]
     Missing(ItemKey),
-    /// An item refers to one that would not exist.
+    /// An item refers to an item that the resulting configuration would not contain.
     #[error("{from} refers to {to}, which would not exist")]
     Dangling {
-        /// The referring item.
+        /// Item that contains the reference.
         from: ItemKey,
-        /// The missing item.
+        /// Item that is missing.
         to: ItemKey,
     },
     /// A zone is listed more than once.
     #[error("zone {zone} is listed under region {first} and under region {second}")]
     SharedZone {
-        /// The zone.
+        /// Zone that is listed more than once.
         zone: ZoneId,
-        /// A region that lists it.
+        /// First region that lists it.
         first: RegionId,
-        /// The region that lists it again.
+        /// Other region that lists it, or the same one.
         second: RegionId,
     },
-    /// A team has too many keys.
-    #[error("team {team} has {count} keys; {MAX_BEARER_KEYS} are permitted")]
+    /// A team has more than [`MAX_BEARER_KEYS`] bearer keys.
+    #[error("team {team} has {count} bearer keys; at most {MAX_BEARER_KEYS} are permitted")]
     TooManyKeys {
-        /// The team.
+        /// Team that has too many keys.
         team: TeamId,
-        /// Its number of keys.
+        /// Number of keys that the team has.
         count: usize,
     },
-    /// One key is listed twice.
-    #[error("one key belongs to team {first} and to team {second}")]
+    /// A bearer key is listed more than once.
+    #[error("the same bearer key is listed for team {first} and for team {second}")]
     SharedKey {
-        /// A team that lists the key.
+        /// First team that lists the key.
         first: TeamId,
-        /// The team that lists it again.
+        /// Other team that lists it, or the same one.
         second: TeamId,
     },
-    /// The base revision is not the one in force.
-    #[error("the note builds on revision {base}, but revision {current} is in force")]
+    /// Another note was accepted after the base revision, or the base revision is newer than the one in
+    /// effect.
+    #[error("the note is based on revision {base}, but revision {current} is in effect")]
     Stale {
-        /// Base that the note names.
+        /// Base revision of the note.
         base: Revision,
-        /// Revision in force.
+        /// Revision that is in effect.
         current: Revision,
     },
 }
@@ -124,17 +125,17 @@
 }
 
 impl ReleaseNote {
-    /// The operator's number of this note.
+    /// Number that the operator assigned to the note.
     pub fn number(&self) -> ReleaseNumber {
         self.0.number
     }
 
-    /// Who applies it.
+    /// Operator who applies the note.
     pub fn operator(&self) -> &OperatorId {
         &self.0.operator
     }
 
-    /// The revision that the note builds on.
+    /// Revision that the note is based on.
     pub fn base(&self) -> Revision {
         self.0.base
     }
@@ -144,12 +145,13 @@
         &self.0.withdrawn
     }
 
-    /// The configuration that follows `current` once this note is accepted.
+    /// Returns the configuration that results from applying the note to `current`.
     ///
     /// # Errors
     ///
-    /// Fails when another note was accepted after the base, when an added item exists, when a
-    /// changed or withdrawn one doesn't, or when the result would not be consistent.
+    /// Fails if another note was accepted after the base revision, if the base revision is newer than
+    /// `current`, if an added item already exists, if a changed or withdrawn item does not exist, or if the
+    /// resulting configuration would be inconsistent.
     pub fn apply(&self, current: &Configuration) -> Result<Configuration, NoteError> {
         if self.base() < current.last_note_revision || self.base() > current.revision {
             return Err(NoteError::Stale { base: self.base(), current: current.revision });
--- a/crates/medlarlug-core/src/release/validation.rs
+++ b/crates/medlarlug-core/src/release/validation.rs
@@ -1,4 +1,4 @@
-//! What a configuration has to fulfil as a whole.
+//! Rules that a configuration has to satisfy as a whole.
 
 use crate::{
     fingerprint::Fingerprint,
@@ -10,12 +10,12 @@
     },
 };
 
-/// Checks that every reference leads to an item, that no zone belongs to two regions, and that no
-/// key belongs to two teams.
+/// Checks that every referenced region exists, that no zone is listed more than once, that no team has more
+/// than [`MAX_BEARER_KEYS`] bearer keys, and that no bearer key is listed more than once.
 ///
 /// # Errors
 ///
-/// Fails with the first violation, in the order of the items' keys.
+/// Returns the first violation: references are checked before zones, and zones before bearer keys.
 pub fn check(configuration: &Configuration) -> Result<(), NoteError> {
     for item in configuration.items() {
         check_references(configuration, item)?;
