--- a/crates/medlarlug-core/src/gateway/cold.rs
+++ b/crates/medlarlug-core/src/gateway/cold.rs
@@ -2,9 +2,9 @@
 //!
 //! The limit holds for all entry instances together. Instances that see the same peers agree on a
 //! single sender for each cold upstream, the instance with the highest rendezvous rank for it. It
-//! sends only while its [`view`](super::view) is settled. Behind a network partition,
-//! after a freeze or a start, and while keepers are down, a cold upstream gets no requests and
-//! becomes warm by itself.
+//! sends only while its [`view`](super::view) is settled. Behind a network partition, after a
+//! freeze or a start, and while keepers are down, a cold upstream gets no requests and becomes warm
+//! by itself.
 
 use std::time::Duration;
 
@@ -148,8 +148,8 @@
         let restored = before.zones.iter().filter(|zone| lacks(self.zones, zone));
         let evacuated = self.zones.iter().filter(|zone| lacks(before.zones, zone));
         let restored: Vec<ZoneId> = restored.cloned().collect();
-        let seen = (restored.len() + evacuated.count()) as u64;
-        (self.round.saturating_sub(before.round) <= seen).then_some(restored)
+        let visible_changes = (restored.len() + evacuated.count()) as u64;
+        (self.round.saturating_sub(before.round) <= visible_changes).then_some(restored)
     }
 }
 
@@ -157,24 +157,24 @@
 #[derive(Debug, Clone, Default)]
 pub struct ColdSendPacer {
     /// The earliest time of the next request, sorted by upstream.
-    next: Vec<(UpstreamId, Time)>,
+    next_send: Vec<(UpstreamId, Time)>,
 }
 
 impl ColdSendPacer {
     /// Whether a request may be sent now to an upstream that tolerates `rate` requests per second.
     pub fn may_send(&self, now: Time, upstream: &UpstreamId, rate: f64) -> bool {
-        let at = self.next.binary_search_by(|it| it.0.cmp(upstream));
-        rate > 0.0 && at.map_or(true, |at| self.next[at].1 <= now)
+        let at = self.next_send.binary_search_by(|it| it.0.cmp(upstream));
+        rate > 0.0 && at.map_or(true, |at| self.next_send[at].1 <= now)
     }
 
     /// Counts a request that is sent now.
     pub fn record_send(&mut self, now: Time, upstream: &UpstreamId, rate: f64) {
         let interval = Duration::from_secs_f64(1.0 / (rate * USED_RATE_SHARE).max(0.01));
-        self.next.retain(|it| it.1 > now);
+        self.next_send.retain(|it| it.1 > now);
         let next = now + interval;
-        match self.next.binary_search_by(|it| it.0.cmp(upstream)) {
-            Ok(at) => self.next[at].1 = next,
-            Err(at) => self.next.insert(at, (upstream.clone(), next)),
+        match self.next_send.binary_search_by(|it| it.0.cmp(upstream)) {
+            Ok(at) => self.next_send[at].1 = next,
+            Err(at) => self.next_send.insert(at, (upstream.clone(), next)),
         }
     }
 }
