--- a/benches/capacity/configuration.rs
+++ b/benches/capacity/configuration.rs
@@ -75,8 +75,8 @@
     let age = std::time::Duration::from_millis(300);
     let confirmation = Some(Confirmation { revision: Revision(100_000), age });
     let answer = UpdateResponse { token, update: None, confirmation };
-    let answer = Message::Answer(Box::new(answer));
-    (wire::frame_bytes(Message::Ask(ask)), wire::frame_bytes(answer))
+    let answer = Message::UpdateResponse(Box::new(answer));
+    (wire::frame_bytes(Message::UpdateRequest(ask)), wire::frame_bytes(answer))
 }
 
 /// Frames of the call by which a voter confirms the newest revision, and of its reply.
--- a/benches/capacity/links.rs
+++ b/benches/capacity/links.rs
@@ -29,8 +29,8 @@
     for peers in sizes {
         for number in made..*peers {
             let peer: InstanceId = id(&format!("peer-{number:03}"));
-            links.add(peer.clone(), address);
-            links.send(&peer, Message::Unheard).expect("a link");
+            links.add_peer(peer.clone(), address);
+            links.send(&peer, Message::NothingReceived).expect("a link");
         }
         made = *peers;
         sleep(SETTLING);
--- a/benches/failover.rs
+++ b/benches/failover.rs
@@ -95,7 +95,7 @@
         let (mut links, incoming) =
             Links::listen(own.id.clone(), settings.keys.clone(), own.peers).expect("links");
         for peer in settings.cluster.instances.iter().filter(|it| it.id != own.id) {
-            links.add(peer.id.clone(), peer.peers);
+            links.add_peer(peer.id.clone(), peer.peers);
         }
         let leader = wait_leader(deployment).parse().expect("an instance");
         Client { links, incoming, leader, last: 0 }
--- a/benches/gateway.rs
+++ b/benches/gateway.rs
@@ -127,7 +127,7 @@
         first.get_or_insert_with(|| start.elapsed());
     }
     let whole = start.elapsed();
-    client.give_back(connection);
+    client.release(connection);
     Some(Timing { first: first.unwrap_or(whole), whole, status })
 }
 
@@ -297,7 +297,7 @@
         .expect("a request");
     let (answer, connection) = client.call(entry, request, Reuse::Allowed, LIMITS).await.ok()?;
     let body = answer.into_body().collect().await.ok()?.to_bytes();
-    client.give_back(connection);
+    client.release(connection);
     let json: serde_json::Value = serde_json::from_slice(&body).ok()?;
     let address = json["entries"][0]["address"].as_str()?.parse().ok()?;
     Some((address, Duration::from_secs(json["lifetime"].as_u64()?)))
--- a/benches/replication.rs
+++ b/benches/replication.rs
@@ -12,7 +12,7 @@
 };
 
 use hdrhistogram::Histogram;
-use medlarlug::state::{DataFolder, GroupName, Journal, Report, Writer};
+use medlarlug::state::{DataFolder, GroupName, Journal, SyncResult, Writer};
 use medlarlug_core::{
     ids::{InstanceId, LogIndex, Term},
     replication::{
@@ -129,7 +129,7 @@
 struct Host {
     replica: Replica,
     writer: Writer,
-    reports: UnboundedReceiver<Report>,
+    reports: UnboundedReceiver<SyncResult>,
     _path: TempDir,
     _folder: DataFolder,
 }
--- a/crates/medlarlug-gateway/src/entry/attempt.rs
+++ b/crates/medlarlug-gateway/src/entry/attempt.rs
@@ -7,7 +7,7 @@
 use hyper::{HeaderMap, Request, Response, StatusCode, Uri, body::Incoming, header};
 use medlarlug::{
     protocol::events::EventSplitter,
-    transport::http_client::{CallError, CallLimits, Connection, Reuse},
+    transport::http_client::{CallLimits, Connection, HttpCallError, Reuse},
 };
 use medlarlug_core::{
     gateway::{
@@ -219,14 +219,14 @@
                     let Ok(data) = frame.into_data() else { continue };
                     self.splitter.push(&data);
                     self.received += data.len();
-                    if self.splitter.is_overfull() || self.received > MAX_STREAM_BYTES {
+                    if self.splitter.exceeds_limit() || self.received > MAX_STREAM_BYTES {
                         tracing::warn!(
                             received = self.received,
                             "stream cut: stream or event too long"
                         );
                         return Piece::Broken;
                     }
-                    if let Some(events) = self.splitter.take_whole() {
+                    if let Some(events) = self.splitter.take_complete() {
                         self.slot.answered();
                         return Piece::Events(events);
                     }
@@ -235,7 +235,7 @@
                     self.slot.request_end = RequestEnd::Unanswered;
                     return Piece::Broken;
                 }
-                None if self.splitter.has_rest() => {
+                None if self.splitter.has_partial_event() => {
                     self.slot.request_end = RequestEnd::Unanswered;
                     return Piece::Broken;
                 }
@@ -260,7 +260,7 @@
     /// Returns the connection to the pool after the end of the stream.
     pub(super) fn finish(mut self, entry: &Entry) {
         if let Some(connection) = self.connection.take() {
-            entry.client.give_back_among(connection, self.hop.idle());
+            entry.client.release_bounded(connection, self.hop.idle());
         }
     }
 }
@@ -320,7 +320,7 @@
         Hop::Upstream { choice, birth, .. } => entry.still_accepts(&choice.id, *birth),
         Hop::Peer { .. } => true,
     };
-    let called = entry.client.call_while(address, request, reuse, limits, is_wanted).await;
+    let called = entry.client.call_if_wanted(address, request, reuse, limits, is_wanted).await;
     let (answer, connection) = match called {
         Ok(answered) => answered,
         Err(error) => {
@@ -361,7 +361,7 @@
                     false => UpstreamOutcome::Answered,
                 };
                 record_health(entry, hop, end);
-                entry.client.give_back_among(connection, hop.idle());
+                entry.client.release_bounded(connection, hop.idle());
                 Outcome::Answer(Response::from_parts(parts, bytes))
             }
             Err(ReadError::Cut) => {
@@ -508,7 +508,7 @@
         if is_leaving && self.availabilities.borrow_mut().record_leaving(now, id, birth) {
             metrics::counter!(names::LEAVING_UPSTREAMS).increment(1);
             tracing::info!(request = %call.id, upstream = %id, birth = birth.0, "upstream announced in an answer that it is leaving");
-            self.client.forget(address);
+            self.client.close_idle(address);
             self.links.send_all(&Message::Leaving { upstream: id.clone(), birth });
         }
         if answer.status() != StatusCode::SERVICE_UNAVAILABLE {
@@ -576,9 +576,9 @@
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-fn judge_failure(entry: &Rc<Entry>, hop: &Hop, error: &CallError) -> Outcome {
+fn judge_failure(entry: &Rc<Entry>, hop: &Hop, error: &HttpCallError) -> Outcome {
     match error {
-        CallError::Connect { source, .. } => {
+        HttpCallError::Connect { source, .. } => {
             let is_refused = |error: &std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
             if let Hop::Upstream { choice, .. } = hop
                 && source.as_ref().is_some_and(is_refused)
@@ -588,14 +588,14 @@
             record_health(entry, hop, UpstreamOutcome::Unreachable);
             Outcome::NotRun(NotRun::Unreachable)
         }
-        CallError::Withdrawn { .. } => Outcome::NotRun(NotRun::Withdrawn),
-        CallError::Lost { .. } => {
+        HttpCallError::Withdrawn { .. } => Outcome::NotRun(NotRun::Withdrawn),
+        HttpCallError::Lost { .. } => {
             record_health(entry, hop, UpstreamOutcome::Broken);
             Outcome::Unknown(Unknown::ConnectionLost)
         }
-        CallError::Silent { address, .. } => {
+        HttpCallError::TimedOut { address, .. } => {
             record_health(entry, hop, UpstreamOutcome::Failed);
-            entry.client.forget(*address);
+            entry.client.close_idle(*address);
             Outcome::Unknown(Unknown::TimedOut)
         }
     }
--- a/crates/medlarlug-gateway/src/entry/crashes.rs
+++ b/crates/medlarlug-gateway/src/entry/crashes.rs
@@ -360,11 +360,11 @@
     let began = entry.now();
     sleep(CRASH_SETTLE_TIME).await;
     let running = entry.loads.borrow().report_of(&key.upstream).running;
-    let idle = entry.client.idle(address);
+    let idle = entry.client.idle_connections(address);
     if running == 0 && idle == 0 {
         tracing::warn!(upstream = %key.upstream, "all connections to the upstream broke; it may have crashed");
         entry.healths.borrow_mut().record_crash(began, &key.upstream);
-        if http_client::is_refused(address, PROBE_TIMEOUT).await {
+        if http_client::refuses_connections(address, PROBE_TIMEOUT).await {
             entry.record_crash(key.clone(), "refuses connections");
         }
     }
--- a/crates/medlarlug-gateway/src/entry/serve.rs
+++ b/crates/medlarlug-gateway/src/entry/serve.rs
@@ -202,7 +202,7 @@
             plan.record_outcome(entry, &call, CallOutcome::Rejected);
             return rejected(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
         }
-        Ok(Err(BodyError::Cut)) => {
+        Ok(Err(BodyError::Truncated)) => {
             plan.record_outcome(entry, &call, CallOutcome::Left);
             return rejected(StatusCode::BAD_REQUEST, "the body was cut");
         }
@@ -416,10 +416,10 @@
             let (mut parts, bytes) = found.into_parts();
             strip_connection(&mut parts.headers);
             parts.headers.remove(header::CONTENT_LENGTH);
-            Reported { answer: Response::from_parts(parts, body::whole(bytes)), report }
+            Reported { answer: Response::from_parts(parts, body::full(bytes)), report }
         }
         Resolution::Stream(stream) => {
-            let (sender, content) = body::streamed();
+            let (sender, content) = body::channel();
             let mut answer = Response::new(content);
             *answer.status_mut() = stream.status;
             let mut headers = stream.headers.clone();
--- a/crates/medlarlug-gateway/src/keeper/requests.rs
+++ b/crates/medlarlug-gateway/src/keeper/requests.rs
@@ -179,7 +179,9 @@
             loop {
                 match self.attempt(request.clone()).await {
                     Some(GroupReply::NotLeader(_)) | None => sleep(RETRY_DELAY).await,
-                    Some(GroupReply::Uncertain | GroupReply::Unfit) => return Err(Unavailable),
+                    Some(GroupReply::Uncertain | GroupReply::UnsupportedRequest) => {
+                        return Err(Unavailable);
+                    }
                     Some(reply) => return Ok(reply),
                 }
             }
--- a/src/coordination/calls.rs
+++ b/src/coordination/calls.rs
@@ -275,8 +275,8 @@
     limit: Duration,
 ) -> Result<Option<Revision>, CallError> {
     let group = GroupId::Home(region.clone());
-    match submit(node, &group, GroupRequest::Founding, limit).await? {
-        GroupReply::Founding(revision) => Ok(revision),
+    match submit(node, &group, GroupRequest::FoundingRevision, limit).await? {
+        GroupReply::FoundingRevision(revision) => Ok(revision),
         _ => Err(CallError::UnexpectedReply { group }),
     }
 }
@@ -291,8 +291,8 @@
     limit: Duration,
 ) -> Result<Vec<configuration_group::HomeMove>, CallError> {
     let group = GroupId::Configuration;
-    match submit(node, &group, GroupRequest::Moves, limit).await? {
-        GroupReply::Moves(moves) => Ok(moves),
+    match submit(node, &group, GroupRequest::HomeMoves, limit).await? {
+        GroupReply::HomeMoves(moves) => Ok(moves),
         _ => Err(CallError::UnexpectedReply { group }),
     }
 }
@@ -308,8 +308,8 @@
     limit: Duration,
 ) -> Result<configuration_group::Rollout, CallError> {
     let group = GroupId::Configuration;
-    match submit(node, &group, GroupRequest::Force(revision), limit).await? {
-        GroupReply::Force(force) => Ok(force),
+    match submit(node, &group, GroupRequest::Rollout(revision), limit).await? {
+        GroupReply::Rollout(force) => Ok(force),
         _ => Err(CallError::UnexpectedReply { group }),
     }
 }
@@ -326,7 +326,7 @@
 ) -> Result<home::RecordLookup, CallError> {
     let group = GroupId::Home(id.region.clone());
     match submit(node, &group, GroupRequest::LookUp(id.clone()), limit).await? {
-        GroupReply::Known(known) => Ok(known),
+        GroupReply::Record(known) => Ok(known),
         _ => Err(CallError::UnexpectedReply { group }),
     }
 }
--- a/src/coordination/entry/callers.rs
+++ b/src/coordination/entry/callers.rs
@@ -43,7 +43,7 @@
         node::ActiveConfiguration,
         operators::{bearer_key, record_status_answer},
     },
-    protocol::{Problem, headers, inference::InferenceHead},
+    protocol::{Problem, headers, inference::InferenceParams},
     transport::{
         body::{self, Answer, BodyError},
         http_client::Reuse,
@@ -94,11 +94,11 @@
 }
 
 fn refuse(status: u16, kind: &str, title: &str) -> Answer {
-    body::refusal(&Problem::new(status, kind, title, Outcome::NotRun))
+    body::problem_answer(&Problem::new(status, kind, title, Outcome::NotRun))
 }
 
 fn refuse_for(entry: &Entry, reason: Reason, wait: Duration) -> Answer {
-    body::refusal(&Problem::from_refusal(&entry.refusal(reason, wait)))
+    body::problem_answer(&Problem::from_refusal(&entry.refusal(reason, wait)))
 }
 
 fn authenticate(entry: &Entry, request: &Request<Incoming>) -> Result<Caller, Answer> {
@@ -162,7 +162,7 @@
 async fn read_body(entry: &Entry, request: Request<Incoming>) -> Result<Bytes, Answer> {
     let limits = &entry.settings.limits;
     let reading = body::read(request.into_body(), limits.body.0 as usize);
-    match timeout(limits.sender, reading).await {
+    match timeout(limits.receive_timeout, reading).await {
         Ok(Ok(content)) => Ok(content),
         Ok(Err(error @ BodyError::TooLong { .. })) => {
             Err(refuse(413, "body-too-long", &error.to_string()))
@@ -192,7 +192,7 @@
         Ok(content) => content,
         Err(answer) => return answer,
     };
-    let head = match InferenceHead::parse(&content) {
+    let head = match InferenceParams::parse(&content) {
         Ok(head) => head,
         Err(error) => return refuse(400, "no-inference-request", &error.to_string()),
     };
@@ -202,7 +202,7 @@
     }
     let id = match entry.begin_request(caller.team.id.clone(), target) {
         Ok(id) => id,
-        Err(refusal) => return body::refusal(&Problem::from_refusal(&refusal)),
+        Err(refusal) => return body::problem_answer(&Problem::from_refusal(&refusal)),
     };
     if let Err(refusal) = entry.check_limit(&caller.team.id) {
         return inference::refuse(&entry, &id, &refusal);
@@ -212,7 +212,7 @@
         team: caller.team.id,
         target: Target::Model(head.model.clone()),
         adapter: head.adapter.clone(),
-        prompt: head.prompt,
+        prompt: head.prompt_tokens,
         prefixes: inference::prefixes_of(&head),
         priority: caller.team.priority,
         deadline,
@@ -248,7 +248,7 @@
 
 fn failed(id: &RequestId) -> Answer {
     let problem = Problem::new(500, "failed", "the request failed", Outcome::Unknown);
-    body::refusal(&problem.of(id))
+    body::problem_answer(&problem.for_request(id))
 }
 
 /// Parses service and path of `/v1/services/{service}/{path}`.
@@ -265,7 +265,7 @@
 /// earlier call under it is unknown.
 fn refuse_call(refusal: &Refusal, is_keyed: bool) -> Answer {
     let problem = Problem::from_refusal(refusal);
-    body::refusal(&if is_keyed { problem.earlier_unknown() } else { problem })
+    body::problem_answer(&if is_keyed { problem.with_unknown_earlier_outcome() } else { problem })
 }
 
 async fn call_service(entry: Rc<Entry>, caller: Caller, request: Request<Incoming>) -> Answer {
@@ -367,7 +367,7 @@
         return Ok(None);
     };
     let text = value.to_str().unwrap_or_default();
-    let longest = entry.settings.limits.key;
+    let longest = entry.settings.limits.idempotency_key_bytes;
     if text.len() > longest {
         let title = format!("the Idempotency-Key has more than {longest} bytes");
         return Err(refuse(400, "key-too-long", &title));
--- a/src/coordination/entry/exchange.rs
+++ b/src/coordination/entry/exchange.rs
@@ -26,7 +26,7 @@
     protocol::headers,
     telemetry::metrics::CROSSED,
     transport::body,
-    transport::http_client::{CallError, CallLimits, Connection, RequestBody, Reuse},
+    transport::http_client::{CallLimits, Connection, HttpCallError, RequestBody, Reuse},
 };
 
 /// Time for a connection to an upstream or another instance to open.
@@ -228,16 +228,16 @@
     destination: Destination,
     address: SocketAddr,
     id: &RequestId,
-    error: &CallError,
+    error: &HttpCallError,
 ) -> FailedAttempt {
     // Other idle connections to the same address may be unresponsive as well.
-    entry.client.forget(address);
+    entry.client.close_idle(address);
     let failure = match error.is_unsent() {
         true => Failure::NotSent,
         false => Failure::Lost,
     };
     if let Destination::Upstream(upstream) = &destination {
-        if matches!(error, CallError::Connect { .. } | CallError::Silent { .. }) {
+        if matches!(error, HttpCallError::Connect { .. } | HttpCallError::TimedOut { .. }) {
             entry.cooldowns.begin(entry.node.now(), upstream);
         }
         match failure {
--- a/src/coordination/entry/forward.rs
+++ b/src/coordination/entry/forward.rs
@@ -83,7 +83,7 @@
     *request.method_mut() = Method::POST;
     *request.uri_mut() = PATH.parse().ok()?;
     body::insert(request.headers_mut(), header::HOST.as_str(), &address.to_string());
-    body::insert(request.headers_mut(), headers::CODE, &code);
+    body::insert(request.headers_mut(), headers::MAC, &code);
     Some(request)
 }
 
--- a/src/coordination/entry/inference/delivery.rs
+++ b/src/coordination/entry/inference/delivery.rs
@@ -63,7 +63,7 @@
             reason,
         }));
     }
-    let (sender, body) = body::streamed();
+    let (sender, body) = body::channel();
     let mut answer = Response::new(body);
     let fields = answer.headers_mut();
     let media = header::HeaderValue::from_static("text/event-stream");
@@ -146,7 +146,7 @@
         let reason = smol_str::format_smolstr!("the upstream answered with status {status}");
         return failed(Failure::Error, reason);
     }
-    entry.client.give_back(exchange.connection);
+    entry.client.release(exchange.connection);
     entry.notify_router(router::Event::FirstToken(attempt_id));
     entry.notify_router(router::Event::Ended(attempt_id));
     credit_retry_budget(entry, &facts.target, &destination, status);
@@ -175,7 +175,7 @@
     media: Option<&header::HeaderValue>,
     content: Bytes,
 ) -> Answer {
-    let mut answer = Response::new(body::whole(content));
+    let mut answer = Response::new(body::full(content));
     *answer.status_mut() = status;
     if let Some(media) = media {
         answer.headers_mut().insert(header::CONTENT_TYPE, media.clone());
--- a/src/coordination/entry/inference/job.rs
+++ b/src/coordination/entry/inference/job.rs
@@ -13,7 +13,7 @@
 use smol_str::SmolStr;
 
 use crate::{
-    coordination::entry::exchange::Call, protocol::inference::InferenceHead,
+    coordination::entry::exchange::Call, protocol::inference::InferenceParams,
     transport::http_client::Reuse,
 };
 
@@ -82,8 +82,8 @@
 pub const DEFAULT_COST_TOKENS: u32 = 1_000;
 
 /// Size of an inference request for fair queueing, in tokens.
-pub fn cost_of(head: &InferenceHead) -> u32 {
-    let tokens = head.prompt.0.saturating_add(head.answer.0);
+pub fn cost_of(head: &InferenceParams) -> u32 {
+    let tokens = head.prompt_tokens.0.saturating_add(head.max_answer_tokens.0);
     u32::try_from(tokens).unwrap_or(u32::MAX)
 }
 
@@ -96,7 +96,7 @@
 const HEAD_TIMEOUT_MARGIN: Duration = Duration::from_secs(20);
 
 /// The prefixes of a prompt in the form that the router takes, the longest first.
-pub fn prefixes_of(head: &InferenceHead) -> Vec<Prefix> {
+pub fn prefixes_of(head: &InferenceParams) -> Vec<Prefix> {
     let block = medlarlug_core::fingerprint::PREFIX_BLOCK_BYTES as u64 / BYTES_PER_TOKEN;
     let numbered = head.prefixes.iter().zip(1u64..);
     let mut prefixes: Vec<Prefix> = numbered
--- a/src/coordination/entry/inference/mod.rs
+++ b/src/coordination/entry/inference/mod.rs
@@ -133,5 +133,5 @@
 /// Ends a request with a refusal, and returns the answer for the caller.
 pub fn refuse(entry: &Entry, id: &RequestId, refusal: &Refusal) -> Answer {
     entry.end_request(id, refusal.outcome, refusal.reason.title());
-    body::refusal(&Problem::from_refusal(refusal).of(id))
+    body::problem_answer(&Problem::from_refusal(refusal).for_request(id))
 }
--- a/src/coordination/entry/internal.rs
+++ b/src/coordination/entry/internal.rs
@@ -65,7 +65,7 @@
 }
 
 fn refuse(status: u16, kind: &str, title: &str) -> Answer {
-    body::refusal(&Problem::new(status, kind, title, Outcome::NotRun))
+    body::problem_answer(&Problem::new(status, kind, title, Outcome::NotRun))
 }
 
 /// Reads a body and checks its authentication code.
@@ -74,7 +74,7 @@
     request: Request<Incoming>,
     limit: usize,
 ) -> Result<Bytes, Answer> {
-    let code = request.headers().get(headers::CODE).and_then(|it| it.to_str().ok());
+    let code = request.headers().get(headers::MAC).and_then(|it| it.to_str().ok());
     let code = code.unwrap_or_default().to_owned();
     let content = body::read(request.into_body(), limit)
         .await
@@ -114,7 +114,7 @@
     let request = header.request().clone();
     let refuse_as = |reason: Reason, title: &str| {
         let problem = Problem::new(reason.status(), reason.slug(), title, Outcome::NotRun);
-        body::refusal(&problem.of(&request))
+        body::problem_answer(&problem.for_request(&request))
     };
     let Some(configuration) = entry.configuration() else {
         return refuse_as(Reason::NoConfiguration, Reason::NoConfiguration.title());
@@ -144,6 +144,6 @@
     task.await.unwrap_or_else(|_| {
         entry.intake.release();
         let problem = Problem::new(500, "failed", "the request failed", Outcome::Unknown);
-        body::refusal(&problem.of(&id))
+        body::problem_answer(&problem.for_request(&id))
     })
 }
--- a/src/coordination/entry/mod.rs
+++ b/src/coordination/entry/mod.rs
@@ -139,7 +139,7 @@
         let limits = &self.settings.limits;
         ServerLimits {
             header_bytes: limits.header.0 as usize,
-            header_time: limits.sender,
+            header_time: limits.receive_timeout,
             connections: limits.connections as usize,
             requests: limits.requests,
         }
@@ -327,7 +327,7 @@
                     }
                 }
                 limits::Effect::RequestResync(peer) => {
-                    self.node.send(&peer, Message::AskDemand);
+                    self.node.send(&peer, Message::DemandRequest);
                 }
                 limits::Effect::Send { to, report } => {
                     self.node.send(&to, Message::Demand { report });
@@ -359,7 +359,7 @@
                 let age = Duration::ZERO;
                 self.handle_limit_event(limits::Event::ReportReceived { report, age });
             }
-            Message::AskDemand => self.handle_limit_event(limits::Event::ResyncRequested(from)),
+            Message::DemandRequest => self.handle_limit_event(limits::Event::ResyncRequested(from)),
             Message::Fact(fact) => self.handle_suspect_event(suspects::Event::FactReceived(fact)),
             Message::Reserve { upstream, lifetime } => {
                 self.handle_suspect_event(suspects::Event::Reserved { upstream, lifetime });
@@ -367,8 +367,8 @@
             Message::Free { upstream } => {
                 self.handle_suspect_event(suspects::Event::ReservationReleased { upstream })
             }
-            Message::Questions { home, questions } => {
-                task::spawn_local(outcomes::resolve_all(self.clone(), home, questions));
+            Message::OutcomeQueries { home, queries } => {
+                task::spawn_local(outcomes::resolve_all(self.clone(), home, queries));
             }
             message => {
                 tracing::warn!(%from, ?message, "message for another kind of process");
--- a/src/coordination/entry/process.rs
+++ b/src/coordination/entry/process.rs
@@ -165,7 +165,7 @@
 /// Reports the instance as leaving, waits for in-flight requests, and delivers the last records.
 async fn drain_requests(entry: &Entry) {
     let intake = &entry.intake;
-    intake.begin_drain(entry.node.now(), entry.settings.drain);
+    intake.begin_drain(entry.node.now(), entry.settings.drain_timeout);
     entry.handle_notices(&entry.node.report_status(entry.status()));
     sleep(LEAVING_NOTICE_TIME).await;
     while !intake.may_stop(entry.node.now()) {
--- a/src/coordination/entry/relay.rs
+++ b/src/coordination/entry/relay.rs
@@ -30,7 +30,7 @@
     transport::{
         body,
         body::Part,
-        http_client::{CallError, CallLimits, Connection, Reuse},
+        http_client::{CallLimits, Connection, HttpCallError, Reuse},
     },
 };
 
@@ -221,7 +221,7 @@
         let mut effects = Vec::new();
         let Some(source) = &mut self.source else { return effects };
         source.splitter.push(bytes);
-        if source.splitter.is_overfull() {
+        if source.splitter.exceeds_limit() {
             let connection = source.number;
             return self.feed(Event::ConnectionLost { connection });
         }
@@ -299,7 +299,7 @@
     fn close(&mut self, connection: ConnectionNumber) {
         if self.source.as_ref().is_some_and(|it| it.number == connection) {
             self.source = None;
-            self.entry.client.forget(self.address);
+            self.entry.client.close_idle(self.address);
         }
     }
 
@@ -318,11 +318,11 @@
                 );
                 return ResumeResult::Refused;
             }
-            Err(error @ CallError::Lost { .. }) => {
+            Err(error @ HttpCallError::Lost { .. }) => {
                 tracing::info!(request = %self.id, %error, "failed to resume the stream");
                 return ResumeResult::ConnectionLost;
             }
-            Err(error @ CallError::Silent { .. }) if self.may_retry_resume() => {
+            Err(error @ HttpCallError::TimedOut { .. }) if self.may_retry_resume() => {
                 tracing::info!(
                     request = %self.id, %error,
                     "no answer to the request to resume the stream"
@@ -383,7 +383,7 @@
     task::spawn_local(async move {
         let remainder = async { while let Some(Ok(_)) = source.body.frame().await {} };
         if tokio::time::timeout(BODY_END_TIMEOUT, remainder).await.is_ok() {
-            entry.client.give_back(source.connection);
+            entry.client.release(source.connection);
         }
     });
 }
@@ -393,7 +393,7 @@
 
 /// The error event that ends an answer which could not be completed.
 fn error_event(id: &RequestId, refusal: &Refusal) -> Bytes {
-    let problem = Problem::from_refusal(refusal).of(id);
+    let problem = Problem::from_refusal(refusal).for_request(id);
     let data = serde_json::json!({ "error": problem });
     Bytes::from(format!("event: error\ndata: {data}\n\n"))
 }
--- a/src/coordination/entry/services.rs
+++ b/src/coordination/entry/services.rs
@@ -110,7 +110,9 @@
 /// of an earlier request under the key is unknown.
 pub fn refuse_before_lookup(entry: &Entry, id: &RequestId, refusal: &Refusal) -> Answer {
     entry.end_request(id, refusal.outcome, refusal.reason.title());
-    body::refusal(&Problem::from_refusal(refusal).of(id).earlier_unknown())
+    body::problem_answer(
+        &Problem::from_refusal(refusal).for_request(id).with_unknown_earlier_outcome(),
+    )
 }
 
 fn begin_of(entry: &Entry, booking: &Booking) -> Begin {
@@ -136,28 +138,29 @@
         }
         attempt_core::Answer::Unknown => {
             let title = "An earlier request with this key may have run; it is not sent again";
-            Problem::new(409, "outcome-unknown", title, Outcome::Unknown).after(UNKNOWN_RETRY_AFTER)
+            Problem::new(409, "outcome-unknown", title, Outcome::Unknown)
+                .with_retry_after(UNKNOWN_RETRY_AFTER)
         }
         attempt_core::Answer::NotRun(reason) => not_run(reason),
     };
     entry.end_request(id, problem.outcome, &problem.title);
-    body::refusal(&problem.of(id))
+    body::problem_answer(&problem.for_request(id))
 }
 
 fn not_run(reason: &NotRun) -> Problem {
     let wait = Duration::from_secs(1);
     let refused = |kind: &'static str, title: &str| {
-        Problem::new(503, kind, title, Outcome::NotRun).after(wait)
+        Problem::new(503, kind, title, Outcome::NotRun).with_retry_after(wait)
     };
     // The key was not looked up, so an earlier request may have used it.
     let not_looked_up = |kind: &'static str, title: &str| {
         let note = "whether an earlier request with this key ran can't be told now";
-        refused(kind, &format!("{title}; {note}")).earlier_unknown()
+        refused(kind, &format!("{title}; {note}")).with_unknown_earlier_outcome()
     };
     match reason {
         NotRun::InProgress(request) => {
             let title = format!("Request {request} with this key is under way");
-            Problem::new(409, "in-progress", &title, Outcome::Unknown).after(wait)
+            Problem::new(409, "in-progress", &title, Outcome::Unknown).with_retry_after(wait)
         }
         NotRun::KeyReused(request) => {
             let title = format!("The key belongs to request {request} with other content");
@@ -178,7 +181,7 @@
         NotRun::Full => refused("keys-exhausted", "The home region keeps as many keys as it can"),
         NotRun::HomeUnavailable => {
             not_looked_up("home-unreachable", "The home region of the booking can't be reached")
-                .after(Duration::from_secs(2))
+                .with_retry_after(Duration::from_secs(2))
         }
         NotRun::UpstreamUnavailable => {
             refused("upstream-unavailable", "No upstream could be reached")
--- a/src/coordination/entry/silence.rs
+++ b/src/coordination/entry/silence.rs
@@ -39,7 +39,7 @@
     coordination::entry::{Entry, exchange::Call},
     protocol::headers,
     transport::body,
-    transport::http_client::{CallError, CallLimits, Connection, RequestBody, Reuse},
+    transport::http_client::{CallLimits, Connection, HttpCallError, RequestBody, Reuse},
 };
 
 /// Time after which the head of an answer is overdue and the engine is queried.
@@ -93,7 +93,7 @@
     request: Request<RequestBody>,
     call: &Call,
     limits: CallLimits,
-) -> Result<ReceivedHead, CallError> {
+) -> Result<ReceivedHead, HttpCallError> {
     let sending = send(entry, &to, request.clone(), call, limits);
     let mut sending = pin!(sending);
     loop {
@@ -110,12 +110,12 @@
             OverdueAction::Resend => break,
             OverdueAction::Wait => {}
             OverdueAction::Fail => {
-                return Err(CallError::Silent { address: to.address, limit: HEAD_TIMEOUT });
+                return Err(HttpCallError::TimedOut { address: to.address, limit: HEAD_TIMEOUT });
             }
         }
     }
     tracing::info!(request = %to.id, "unresponsive connection replaced");
-    entry.client.forget(to.address);
+    entry.client.close_idle(to.address);
     let new_connection_call = Call { reuse: Reuse::Never, ..call.clone() };
     send(entry, &to, request, &new_connection_call, limits).await
 }
@@ -127,11 +127,11 @@
     request: Request<RequestBody>,
     call: &Call,
     limits: CallLimits,
-) -> Result<ReceivedHead, CallError> {
+) -> Result<ReceivedHead, HttpCallError> {
     let (mut reuse, mut sends_left) = (call.reuse, MAX_SENDS);
     loop {
         let result = entry.client.call(to.address, request.clone(), reuse, limits).await;
-        if !matches!(result, Err(CallError::Lost { .. })) {
+        if !matches!(result, Err(HttpCallError::Lost { .. })) {
             return result;
         }
         sends_left -= 1;
@@ -139,7 +139,7 @@
             QueryResult::Known(received) if call.stream => return Ok(received),
             QueryResult::Unknown if sends_left > 0 && !has_restarted(entry, to) => {
                 tracing::info!(request = %to.id, "engine did not receive the call, sending it again");
-                entry.client.forget(to.address);
+                entry.client.close_idle(to.address);
                 reuse = Reuse::Never;
             }
             _ => return result,
--- a/src/coordination/keeper/duties/outcomes.rs
+++ b/src/coordination/keeper/duties/outcomes.rs
@@ -58,11 +58,11 @@
             continue;
         }
         let is_permitted = |it: &&OutcomeQuery| it.is_permitted_in(&configuration, &zone.region);
-        let questions: Vec<OutcomeQuery> = questions.iter().filter(is_permitted).cloned().collect();
-        if !questions.is_empty() {
+        let queries: Vec<OutcomeQuery> = questions.iter().filter(is_permitted).cloned().collect();
+        if !queries.is_empty() {
             let entry = entries[round % entries.len()];
             let home = region.clone();
-            keeper.node.send(&entry.id, Message::Questions { home, questions });
+            keeper.node.send(&entry.id, Message::OutcomeQueries { home, queries });
         }
     }
 }
--- a/src/coordination/keeper/group.rs
+++ b/src/coordination/keeper/group.rs
@@ -204,9 +204,9 @@
             GroupRequest::LookUp(_)
             | GroupRequest::History
             | GroupRequest::Revision
-            | GroupRequest::Founding
-            | GroupRequest::Moves
-            | GroupRequest::Force(_)
+            | GroupRequest::FoundingRevision
+            | GroupRequest::HomeMoves
+            | GroupRequest::Rollout(_)
             | GroupRequest::Published => return None,
         };
         command.ok()
@@ -302,7 +302,8 @@
     fn read(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
         let Some(at) = self.place(ticket) else { return };
         let waiting = self.waiting.remove(at);
-        let reply = waiting.read.map_or(GroupReply::Unfit, |it| self.machine.read(&it));
+        let reply =
+            waiting.read.map_or(GroupReply::UnsupportedRequest, |it| self.machine.read(&it));
         out.push(Output::Reply { caller: waiting.caller, reply });
     }
 
--- a/src/coordination/keeper/machine.rs
+++ b/src/coordination/keeper/machine.rs
@@ -90,7 +90,7 @@
     pub fn read(&self, request: &GroupRequest) -> GroupReply {
         match (self, request) {
             (StateMachine::Home(machine), GroupRequest::LookUp(id)) => {
-                GroupReply::Known(machine.look_up(id))
+                GroupReply::Record(machine.look_up(id))
             }
             (StateMachine::Configuration(machine), GroupRequest::History) => {
                 GroupReply::History(machine.history(HISTORY_ENTRIES))
@@ -98,16 +98,16 @@
             (StateMachine::Configuration(machine), GroupRequest::Revision) => {
                 GroupReply::Revision(machine.configuration().revision)
             }
-            (StateMachine::Configuration(machine), GroupRequest::Moves) => {
-                GroupReply::Moves(machine.moves().to_vec())
+            (StateMachine::Configuration(machine), GroupRequest::HomeMoves) => {
+                GroupReply::HomeMoves(machine.moves().to_vec())
             }
-            (StateMachine::Home(machine), GroupRequest::Founding) => {
-                GroupReply::Founding(machine.founding_revision())
+            (StateMachine::Home(machine), GroupRequest::FoundingRevision) => {
+                GroupReply::FoundingRevision(machine.founding_revision())
             }
             (StateMachine::Publication(machine), GroupRequest::Published) => {
                 GroupReply::Published(machine.clone())
             }
-            _ => GroupReply::Unfit,
+            _ => GroupReply::UnsupportedRequest,
         }
     }
 
--- a/src/coordination/keeper/mod.rs
+++ b/src/coordination/keeper/mod.rs
@@ -48,7 +48,7 @@
     },
     protocol::{GroupId, GroupReply, GroupRequest, Message},
     settings::KeeperSettings,
-    state::{Report, StateError, Synced},
+    state::{StateError, SyncResult, Synced},
     transport::{
         http_server::{self, ServerError, ServerLimits},
         links::{Incoming, LinkError, Links},
@@ -189,7 +189,7 @@
     }
 
     fn receive(&self, from: InstanceId, message: Message) -> Result<(), StateMachineError> {
-        if let Message::Ask(ask) = &message {
+        if let Message::UpdateRequest(ask) = &message {
             self.confirmations.told(&self.node, &from, ask.revision);
         }
         match self.node.receive(from, message) {
@@ -237,7 +237,7 @@
         group: &GroupId,
         request: GroupRequest,
     ) -> Result<(), StateMachineError> {
-        if let GroupRequest::Force(revision) = request {
+        if let GroupRequest::Rollout(revision) = request {
             return self.tell_force(caller, revision);
         }
         if !self.groups.borrow().iter().any(|it| it.id() == group) {
@@ -258,7 +258,7 @@
             self.with_state_machine(&GroupId::Configuration, StateMachine::revision).flatten();
         let revision = revision.or(newest).unwrap_or_default();
         let reply = match self.confirmations.force(&self.node, revision) {
-            Some(force) => GroupReply::Force(force),
+            Some(force) => GroupReply::Rollout(force),
             None => GroupReply::NotLeader(self.leader(&GroupId::Configuration)),
         };
         self.node.send(&caller.instance, Message::Reply { call: caller.call, reply });
@@ -347,7 +347,7 @@
     async fn hand_over(
         &self,
         incoming: &mut Incoming,
-        reports: &mut UnboundedReceiver<Report>,
+        reports: &mut UnboundedReceiver<SyncResult>,
     ) -> Result<(), KeeperError> {
         for group in self.group_ids() {
             self.with_group(&group, |it, now, out| it.transfer(now, out))?;
--- a/src/coordination/keeper/storage.rs
+++ b/src/coordination/keeper/storage.rs
@@ -18,7 +18,7 @@
     },
     protocol::GroupId,
     settings::KeeperSettings,
-    state::{DataFolder, GroupName, Journal, Report, StateError, Writer},
+    state::{DataFolder, GroupName, Journal, StateError, SyncResult, Writer},
 };
 
 /// Time between two heartbeats of the configuration group, whose voters may be many and far apart
@@ -75,7 +75,7 @@
     /// # Errors
     ///
     /// Fails when the thread can't be started.
-    pub fn start(self) -> Result<(StateWriter, UnboundedReceiver<Report>), StateError> {
+    pub fn start(self) -> Result<(StateWriter, UnboundedReceiver<SyncResult>), StateError> {
         match self {
             Storage::Disk(folder, journal) => {
                 let (writer, reports) = Writer::start(*journal)?;
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -106,7 +106,7 @@
     ) -> Node {
         // Calls of a keeper may go to a group that it leads itself, over the same path.
         for peer in &cluster.instances {
-            links.add(peer.id.clone(), peer.peers);
+            links.add_peer(peer.id.clone(), peer.peers);
         }
         let seed = |peer: &Peer| seed_of(&cluster, peer);
         let peers = cluster.instances.iter().filter(|it| it.id != own.id).map(seed).collect();
@@ -239,12 +239,12 @@
                 self.calls.borrow_mut().complete(call, reply);
                 Received::Handled
             }
-            Message::Ask(ask) => {
+            Message::UpdateRequest(ask) => {
                 let answer = self.follower.borrow().answer(self.now(), ask);
-                self.send(&from, Message::Answer(Box::new(answer)));
+                self.send(&from, Message::UpdateResponse(Box::new(answer)));
                 Received::Handled
             }
-            Message::Answer(answer) => {
+            Message::UpdateResponse(answer) => {
                 self.run_follower(follower::Event::ResponseReceived(*answer));
                 Received::Handled
             }
@@ -252,7 +252,7 @@
                 self.run_follower(follower::Event::Pushed(*update));
                 Received::Handled
             }
-            Message::Unheard => {
+            Message::NothingReceived => {
                 self.replace_unheard(&from);
                 Received::Handled
             }
@@ -282,7 +282,7 @@
         for effect in effects {
             match effect {
                 follower::Effect::RequestUpdate { source, request } => {
-                    self.send(&source, Message::Ask(request));
+                    self.send(&source, Message::UpdateRequest(request));
                 }
                 follower::Effect::Save(configuration) => {
                     self.unsaved.send_replace(Some(configuration));
@@ -308,11 +308,11 @@
     /// hear this instance all the while.
     fn reconnect(&self, peer: &InstanceId) {
         self.replace_link(peer);
-        self.send(peer, Message::Unheard);
+        self.send(peer, Message::NothingReceived);
     }
 
     fn replace_unheard(&self, peer: &InstanceId) {
-        let age = self.links.borrow().age(peer);
+        let age = self.links.borrow().connection_age(peer);
         if age.is_some_and(|age| age >= MIN_LINK_AGE) {
             self.replace_link(peer);
         }
@@ -355,7 +355,10 @@
 
 /// Whether the receiver answers at once, in one way or another.
 fn calls_for_answer(message: &Message) -> bool {
-    matches!(message, Message::Call { .. } | Message::Ask(_) | Message::Replication { .. })
+    matches!(
+        message,
+        Message::Call { .. } | Message::UpdateRequest(_) | Message::Replication { .. }
+    )
 }
 
 fn seed_of(cluster: &ClusterSettings, peer: &Peer) -> Seed {
--- a/src/coordination/operators/mod.rs
+++ b/src/coordination/operators/mod.rs
@@ -163,14 +163,14 @@
 }
 
 fn refuse(status: u16, kind: &str, title: &str) -> Answer {
-    body::refusal(&Problem::new(status, kind, title, Outcome::NotRun))
+    body::problem_answer(&Problem::new(status, kind, title, Outcome::NotRun))
 }
 
 /// Reads a body of at most `limit` bytes; fails with the refusal.
 async fn read_body(request: Request<Incoming>, limit: usize) -> Result<Bytes, Answer> {
     body::read(request.into_body(), limit).await.map_err(|error| match error {
         BodyError::TooLong { .. } => refuse(413, "body-too-long", &error.to_string()),
-        BodyError::Cut => refuse(400, "body-cut", &error.to_string()),
+        BodyError::Truncated => refuse(400, "body-cut", &error.to_string()),
     })
 }
 
@@ -181,7 +181,7 @@
         _ => Outcome::NotRun,
     };
     let problem = Problem::new(503, "group-unreachable", &failure.to_string(), outcome);
-    body::refusal(&problem.after(Duration::from_secs(1)))
+    body::problem_answer(&problem.with_retry_after(Duration::from_secs(1)))
 }
 
 async fn set_level(api: &OperatorApi, request: Request<Incoming>) -> Answer {
--- a/src/protocol/deployment_key.rs
+++ b/src/protocol/deployment_key.rs
@@ -14,7 +14,7 @@
 
 /// Length of the message authentication code of a frame, in bytes: half of the hash, as RFC 2104
 /// allows in section 5.
-pub const CODE_BYTES: usize = 16;
+pub const FRAME_MAC_BYTES: usize = 16;
 
 const CONTEXT: &str = "medlarlug deployment key v1";
 const FRAME_CONTEXT: &str = "medlarlug frame key v1";
@@ -50,12 +50,12 @@
     ///
     /// The receiver's id has 63 characters at most, so its length fits the byte before it, and no
     /// two pairs of receiver and content are hashed alike.
-    fn frame_code(&self, to: &InstanceId, content: &[u8]) -> [u8; CODE_BYTES] {
+    fn frame_code(&self, to: &InstanceId, content: &[u8]) -> [u8; FRAME_MAC_BYTES] {
         let to = to.as_str().as_bytes();
         let mut hasher = blake3::Hasher::new_keyed(&self.frame);
         hasher.update(&[to.len() as u8]).update(to).update(content);
-        let mut code = [0; CODE_BYTES];
-        code.copy_from_slice(&hasher.finalize().as_bytes()[..CODE_BYTES]);
+        let mut code = [0; FRAME_MAC_BYTES];
+        code.copy_from_slice(&hasher.finalize().as_bytes()[..FRAME_MAC_BYTES]);
         code
     }
 }
@@ -100,14 +100,14 @@
     }
 
     /// Signs the content of a frame to one receiver.
-    pub fn sign_frame(&self, to: &InstanceId, content: &[u8]) -> [u8; CODE_BYTES] {
+    pub fn sign_frame(&self, to: &InstanceId, content: &[u8]) -> [u8; FRAME_MAC_BYTES] {
         self.0[0].frame_code(to, content)
     }
 
     /// Whether `code` is the code of a frame's content to one receiver under one of the keys;
     /// compares in constant time.
     pub fn verify_frame(&self, to: &InstanceId, content: &[u8], code: &[u8]) -> bool {
-        let Ok(code) = <[u8; CODE_BYTES]>::try_from(code) else {
+        let Ok(code) = <[u8; FRAME_MAC_BYTES]>::try_from(code) else {
             return false;
         };
         self.0.iter().any(|key| comparable(key.frame_code(to, content)) == comparable(code))
@@ -120,8 +120,8 @@
 }
 
 /// A code as a hash, whose comparison takes constant time.
-fn comparable(code: [u8; CODE_BYTES]) -> Hash {
+fn comparable(code: [u8; FRAME_MAC_BYTES]) -> Hash {
     let mut bytes = [0; blake3::OUT_LEN];
-    bytes[..CODE_BYTES].copy_from_slice(&code);
+    bytes[..FRAME_MAC_BYTES].copy_from_slice(&code);
     Hash::from(bytes)
 }
--- a/src/protocol/events.rs
+++ b/src/protocol/events.rs
@@ -85,10 +85,10 @@
     ///
     /// let mut splitter = EventSplitter::default();
     /// splitter.push(b"id: 1\n\nid: 2\n\nid: ");
-    /// assert_eq!(&splitter.take_whole().unwrap()[..], b"id: 1\n\nid: 2\n\n");
-    /// assert!(splitter.take_whole().is_none());
+    /// assert_eq!(&splitter.take_complete().unwrap()[..], b"id: 1\n\nid: 2\n\n");
+    /// assert!(splitter.take_complete().is_none());
     /// ```
-    pub fn take_whole(&mut self) -> Option<Bytes> {
+    pub fn take_complete(&mut self) -> Option<Bytes> {
         let end = self.find(end_of_events)?;
         Some(self.buffer.split_to(end).freeze())
     }
@@ -103,12 +103,12 @@
     }
 
     /// Whether bytes of an event wait that is not whole.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Whether an event was begun that exceeds [`MAX_EVENT_BYTES`].
-    pub fn is_overfull(&self) -> bool {
+    pub fn exceeds_limit(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
     }
 }
--- a/src/protocol/frame.rs
+++ b/src/protocol/frame.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::protocol::{DeploymentKeys, Message, deployment_key::CODE_BYTES};
+use crate::protocol::{DeploymentKeys, Message, deployment_key::FRAME_MAC_BYTES};
 
 /// Longest frame that is accepted, in bytes.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
@@ -48,17 +48,17 @@
 #[derive(Debug, Error)]
 pub enum FrameError {
     /// The frame is longer than [`MAX_FRAME_BYTES`] or shorter than its code.
-    #[error("a frame of {length} bytes; it has {CODE_BYTES} to {MAX_FRAME_BYTES}")]
+    #[error("a frame of {length} bytes; it has {FRAME_MAC_BYTES} to {MAX_FRAME_BYTES}")]
     Length {
         /// Its length in bytes.
         length: usize,
     },
     /// The code does not authenticate the content for this receiver.
     #[error("the frame is not authenticated by the deployment key, or is for another instance")]
-    Code,
+    Unauthenticated,
     /// The content is no envelope.
     #[error("the frame holds no message")]
-    Content(#[from] postcard::Error),
+    Codec(#[from] postcard::Error),
 }
 
 /// Encodes and signs an envelope.
@@ -69,7 +69,7 @@
 pub fn encode(keys: &DeploymentKeys, envelope: &Envelope) -> Result<Vec<u8>, FrameError> {
     let Envelope { from, to, message } = envelope;
     let content = postcard::to_stdvec(&ContentRef { from, message })?;
-    let length = content.len() + CODE_BYTES;
+    let length = content.len() + FRAME_MAC_BYTES;
     if length > MAX_FRAME_BYTES {
         return Err(FrameError::Length { length });
     }
@@ -105,12 +105,12 @@
     frame: &[u8],
 ) -> Result<Envelope, FrameError> {
     let length = frame.len();
-    if !(CODE_BYTES..=MAX_FRAME_BYTES).contains(&length) {
+    if !(FRAME_MAC_BYTES..=MAX_FRAME_BYTES).contains(&length) {
         return Err(FrameError::Length { length });
     }
-    let (code, content) = frame.split_at(CODE_BYTES);
+    let (code, content) = frame.split_at(FRAME_MAC_BYTES);
     if !keys.verify_frame(own, content, code) {
-        return Err(FrameError::Code);
+        return Err(FrameError::Unauthenticated);
     }
     let Content { from, message } = postcard::from_bytes(content)?;
     Ok(Envelope { from, to: own.clone(), message })
--- a/src/protocol/headers.rs
+++ b/src/protocol/headers.rs
@@ -4,7 +4,7 @@
 pub const REQUEST_ID: &str = "x-request-id";
 
 /// Authentication code of a message between processes, in hexadecimal.
-pub const CODE: &str = "x-medlarlug-mac";
+pub const MAC: &str = "x-medlarlug-mac";
 
 /// Time that is left until the deadline of a request, in milliseconds.
 pub const DEADLINE: &str = "x-deadline-ms";
--- a/src/protocol/inference.rs
+++ b/src/protocol/inference.rs
@@ -34,7 +34,7 @@
 
 /// What decisions need to know of an inference request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct InferenceHead {
+pub struct InferenceParams {
     /// The model.
     pub model: ModelId,
     /// The adapter that is asked for beside it.
@@ -42,9 +42,9 @@
     /// Whether the answer is streamed as server-sent events.
     pub stream: bool,
     /// Estimated length of the prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Longest answer.
-    pub answer: Tokens,
+    pub max_answer_tokens: Tokens,
     /// Fingerprints of the prompt's prefixes.
     pub prefixes: Vec<Fingerprint>,
 }
@@ -81,22 +81,22 @@
     text: String,
 }
 
-impl InferenceHead {
+impl InferenceParams {
     /// Reads the fields out of a JSON body.
     ///
     /// ```
-    /// use medlarlug::protocol::inference::InferenceHead;
+    /// use medlarlug::protocol::inference::InferenceParams;
     ///
     /// let body = br#"{"model": "net-scribe", "prompt": "mesh sizes", "max_tokens": 9}"#;
-    /// let head = InferenceHead::parse(body).unwrap();
+    /// let head = InferenceParams::parse(body).unwrap();
     /// assert_eq!(head.model.as_str(), "net-scribe");
-    /// assert_eq!(head.answer.0, 9);
+    /// assert_eq!(head.max_answer_tokens.0, 9);
     /// ```
     ///
     /// # Errors
     ///
     /// Fails when the body is no JSON object, names no model or has no prompt.
-    pub fn parse(body: &[u8]) -> Result<InferenceHead, InferenceError> {
+    pub fn parse(body: &[u8]) -> Result<InferenceParams, InferenceError> {
         let raw: RawHead = serde_json::from_slice(body)?;
         let (model, adapter) = match raw.model.split_once(':') {
             Some((model, adapter)) => (model.parse()?, Some(adapter.parse()?)),
@@ -104,12 +104,12 @@
         };
         let text = prompt_text(&raw).ok_or(InferenceError::NoPrompt)?;
         let answer = raw.max_completion_tokens.or(raw.max_tokens);
-        Ok(InferenceHead {
+        Ok(InferenceParams {
             model,
             adapter,
             stream: raw.stream,
-            prompt: Tokens(text.len() as u64 / BYTES_PER_TOKEN + 1),
-            answer: Tokens(answer.unwrap_or(DEFAULT_ANSWER_TOKENS)),
+            prompt_tokens: Tokens(text.len() as u64 / BYTES_PER_TOKEN + 1),
+            max_answer_tokens: Tokens(answer.unwrap_or(DEFAULT_ANSWER_TOKENS)),
             prefixes: prefixes(&text),
         })
     }
--- a/src/protocol/message.rs
+++ b/src/protocol/message.rs
@@ -61,16 +61,19 @@
     /// Between instances that watch each other.
     Membership(membership::Message),
     /// Asks for the newest configuration.
-    Ask(follower::UpdateRequest),
-    /// The answer to [`Message::Ask`].
-    Answer(Box<follower::UpdateResponse>),
+    #[serde(rename = "Ask")]
+    UpdateRequest(follower::UpdateRequest),
+    /// The answer to [`Message::UpdateRequest`].
+    #[serde(rename = "Answer")]
+    UpdateResponse(Box<follower::UpdateResponse>),
     /// Between entry instances of a region: the demand of teams.
     Demand {
         /// The sender's demand.
         report: limits::DemandReport,
     },
     /// Asks an entry instance for the demand of every team.
-    AskDemand,
+    #[serde(rename = "AskDemand")]
+    DemandRequest,
     /// Between entry instances: a fact about a request that may crash upstreams.
     Fact(suspects::Fact),
     /// Between entry instances of a zone: an upstream is kept for one suspect.
@@ -88,13 +91,16 @@
     /// A new configuration, sent without being asked for.
     Push(Box<follower::Update>),
     /// The sender hears nothing of the receiver, whose connection may have gone silent.
-    Unheard,
+    #[serde(rename = "Unheard")]
+    NothingReceived,
     /// To an entry instance: services of its zone have to be asked about bookings.
-    Questions {
+    #[serde(rename = "Questions")]
+    OutcomeQueries {
         /// Region of the home group that records the bookings.
         home: RegionId,
         /// The bookings.
-        questions: Vec<home::OutcomeQuery>,
+        #[serde(rename = "questions")]
+        queries: Vec<home::OutcomeQuery>,
     },
 }
 
@@ -112,11 +118,14 @@
     /// Reads the newest revision.
     Revision,
     /// Reads the revision at which a home group was founded.
-    Founding,
+    #[serde(rename = "Founding")]
+    FoundingRevision,
     /// Reads which teams are on their way to a new home region.
-    Moves,
+    #[serde(rename = "Moves")]
+    HomeMoves,
     /// Reads where a revision is in force; the newest one if none is named.
-    Force(Option<Revision>),
+    #[serde(rename = "Force")]
+    Rollout(Option<Revision>),
     /// A command for the state machine of the publication group.
     Publish(publication::Command),
     /// Reads the newest route table and the evacuated zones.
@@ -131,17 +140,21 @@
     /// The reply of a home group's state machine.
     Acted(home::Reply),
     /// What is known of a request.
-    Known(home::RecordLookup),
+    #[serde(rename = "Known")]
+    Record(home::RecordLookup),
     /// The accepted release notes, the newest last.
     History(Vec<configuration_group::Accepted>),
     /// The newest revision.
     Revision(Revision),
     /// The revision at which the home group was founded, if it was.
-    Founding(Option<Revision>),
+    #[serde(rename = "Founding")]
+    FoundingRevision(Option<Revision>),
     /// The teams that are on their way to a new home region.
-    Moves(Vec<configuration_group::HomeMove>),
+    #[serde(rename = "Moves")]
+    HomeMoves(Vec<configuration_group::HomeMove>),
     /// Where a revision is in force.
-    Force(configuration_group::Rollout),
+    #[serde(rename = "Force")]
+    Rollout(configuration_group::Rollout),
     /// A command of the publication group is in force.
     Accepted,
     /// The newest route table and the evacuated zones.
@@ -151,5 +164,6 @@
     /// The request was taken in, and whether it is in force is not known.
     Uncertain,
     /// The request doesn't fit the group.
-    Unfit,
+    #[serde(rename = "Unfit")]
+    UnsupportedRequest,
 }
--- a/src/protocol/problem.rs
+++ b/src/protocol/problem.rs
@@ -59,21 +59,21 @@
     pub fn from_refusal(refusal: &Refusal) -> Problem {
         let reason = refusal.reason;
         let problem = Problem::new(reason.status(), reason.slug(), reason.title(), refusal.outcome);
-        problem.after(refusal.retry_after)
+        problem.with_retry_after(refusal.retry_after)
     }
 
     /// The same problem of the request `id`.
-    pub fn of(self, id: &RequestId) -> Problem {
+    pub fn for_request(self, id: &RequestId) -> Problem {
         Problem { request: Some(id.clone()), ..self }
     }
 
     /// The same problem of a booking whose key may have been used before.
-    pub fn earlier_unknown(self) -> Problem {
+    pub fn with_unknown_earlier_outcome(self) -> Problem {
         Problem { earlier: Some(Outcome::Unknown), ..self }
     }
 
     /// The same problem with the time after which another try is worth it.
-    pub fn after(self, wait: Duration) -> Problem {
+    pub fn with_retry_after(self, wait: Duration) -> Problem {
         let seconds = wait.as_millis().div_ceil(1000).max(1);
         Problem { retry_after: u64::try_from(seconds).ok(), ..self }
     }
--- a/src/settings/key.rs
+++ b/src/settings/key.rs
@@ -9,7 +9,7 @@
     settings::error::{Fault, SettingsError},
 };
 
-pub use crate::protocol::{DeploymentKeys, deployment_key::MAX_KEYS, headers::CODE as MAC_HEADER};
+pub use crate::protocol::{DeploymentKeys, deployment_key::MAX_KEYS, headers::MAC as MAC_HEADER};
 
 /// Fewest characters of a key file, without white space around.
 pub const MIN_KEY_CHARS: usize = 16;
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -25,9 +25,9 @@
     /// Requests that one connection may carry before it is closed.
     pub requests: u32,
     /// Longest time in which a request's head and body arrive; then status 408.
-    pub sender: Duration,
+    pub receive_timeout: Duration,
     /// Longest `Idempotency-Key`, in bytes; a longer one gets status 400.
-    pub key: usize,
+    pub idempotency_key_bytes: usize,
 }
 
 impl Default for Limits {
@@ -37,8 +37,8 @@
             body: ByteSize(4 * MIB),
             connections: 4_096,
             requests: 10_000,
-            sender: Duration::from_secs(10),
-            key: 128,
+            receive_timeout: Duration::from_secs(10),
+            idempotency_key_bytes: 128,
         }
     }
 }
@@ -63,18 +63,20 @@
         let pick = |field, value: Option<Lined<u64>>, default: u64, min, max| {
             value.map_or(Ok(default), |value| bounded(field, &value, min, max))
         };
-        let sender = pick("sender_seconds", raw.sender_seconds, base.sender.as_secs(), 1, 600)?;
+        let receive_seconds =
+            pick("sender_seconds", raw.sender_seconds, base.receive_timeout.as_secs(), 1, 600)?;
         let connections =
             pick("connections", raw.connections, base.connections.into(), 1, 1_000_000)?;
         let requests = pick("requests", raw.requests, base.requests.into(), 1, 1_000_000_000)?;
-        let key = pick("key_bytes", raw.key_bytes, base.key as u64, 1, 4 * KIB)?;
+        let idempotency_key_bytes =
+            pick("key_bytes", raw.key_bytes, base.idempotency_key_bytes as u64, 1, 4 * KIB)?;
         Ok(Limits {
             header: ByteSize(pick("header_bytes", raw.header_bytes, base.header.0, KIB * 8, MIB)?),
             body: ByteSize(pick("body_bytes", raw.body_bytes, base.body.0, KIB, 256 * MIB)?),
             connections: connections as u32,
             requests: requests as u32,
-            sender: Duration::from_secs(sender),
-            key: key as usize,
+            receive_timeout: Duration::from_secs(receive_seconds),
+            idempotency_key_bytes: idempotency_key_bytes as usize,
         })
     }
 }
--- a/src/settings/process.rs
+++ b/src/settings/process.rs
@@ -55,7 +55,7 @@
     /// Bounds on what a caller can send.
     pub limits: Limits,
     /// Time for requests to end during a graceful shutdown.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Level of the logs at the start.
     pub log: LogLevel,
     /// Folder for its own files, if it has one.
@@ -74,7 +74,7 @@
     /// Who may use the operators' port, sorted by id.
     pub operators: Vec<Operator>,
     /// Time for messages to end during a graceful shutdown.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Level of the logs at the start.
     pub log: LogLevel,
     /// Folder of the durable state; `None` for a volatile voter.
@@ -114,7 +114,7 @@
             keys: common.keys,
             operators: common.operators,
             limits,
-            drain: common.drain,
+            drain_timeout: common.drain_timeout,
             log: common.log,
             data: common.data,
         })
@@ -165,7 +165,7 @@
             cluster: common.cluster,
             keys: common.keys,
             operators: common.operators,
-            drain: common.drain,
+            drain_timeout: common.drain_timeout,
             log: common.log,
             data: common.data,
             may_form,
@@ -215,7 +215,7 @@
     cluster: ClusterSettings,
     keys: DeploymentKeys,
     operators: Vec<Operator>,
-    drain: Duration,
+    drain_timeout: Duration,
     log: LogLevel,
     data: Option<PathBuf>,
 }
@@ -230,7 +230,7 @@
             cluster,
             keys,
             operators: check_operators(&raw.operators).map_err(in_file)?,
-            drain: check_drain(raw.drain_seconds.as_ref()).map_err(in_file)?,
+            drain_timeout: check_drain_timeout(raw.drain_seconds.as_ref()).map_err(in_file)?,
             log: check_log(raw.log.as_ref()).map_err(in_file)?,
             data: raw.data.map(|it| beside(file, &it.value)),
         })
@@ -284,7 +284,7 @@
     Ok(operators)
 }
 
-fn check_drain(raw: Option<&Lined<u64>>) -> Result<Duration, LineFault> {
+fn check_drain_timeout(raw: Option<&Lined<u64>>) -> Result<Duration, LineFault> {
     let Some(seconds) = raw else {
         return Ok(DRAIN);
     };
--- a/src/standin/announcer.rs
+++ b/src/standin/announcer.rs
@@ -18,7 +18,7 @@
 use crate::{
     protocol::headers,
     standin::{http, upstream::Upstream},
-    transport::http_client::{CallError, CallLimits, HttpClient, Reuse},
+    transport::http_client::{CallLimits, HttpCallError, HttpClient, Reuse},
 };
 
 /// Time between two announcements.
@@ -34,7 +34,7 @@
 #[derive(Debug, Error)]
 enum AnnounceError {
     #[error("the entry instance can't be reached")]
-    Call(#[from] CallError),
+    Call(#[from] HttpCallError),
     #[error("the entry instance refused it with status {0}")]
     Refused(StatusCode),
 }
@@ -130,14 +130,14 @@
         .uri(PATH)
         .header(HOST, address.to_string())
         .header(CONTENT_TYPE, "application/json")
-        .header(headers::CODE, mac)
+        .header(headers::MAC, mac)
         .body(Full::new(body))
         .expect("the parts of the request are valid");
     let limits = CallLimits { connect: PATIENCE, head: PATIENCE };
     let called = client.call(address, request, Reuse::Allowed, limits).await;
-    let (answer, connection) = called.inspect_err(|_| client.forget(address))?;
+    let (answer, connection) = called.inspect_err(|_| client.close_idle(address))?;
     let status = answer.status();
     http::drain(answer).await;
-    client.give_back(connection);
+    client.release(connection);
     if status.is_success() { Ok(()) } else { Err(AnnounceError::Refused(status)) }
 }
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -7,7 +7,7 @@
 
 /// What was attempted when the operating system failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Attempt {
+pub enum Operation {
     /// Create a file or folder.
     Create,
     /// Open a file.
@@ -28,18 +28,18 @@
     Start,
 }
 
-impl fmt::Display for Attempt {
+impl fmt::Display for Operation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Attempt::Create => "create",
-            Attempt::Open => "open",
-            Attempt::List => "list",
-            Attempt::Read => "read",
-            Attempt::Write => "write",
-            Attempt::Sync => "sync",
-            Attempt::Rename => "rename",
-            Attempt::Remove => "remove",
-            Attempt::Start => "start the writer of",
+            Operation::Create => "create",
+            Operation::Open => "open",
+            Operation::List => "list",
+            Operation::Read => "read",
+            Operation::Write => "write",
+            Operation::Sync => "sync",
+            Operation::Rename => "rename",
+            Operation::Remove => "remove",
+            Operation::Start => "start the writer of",
         })
     }
 }
@@ -49,10 +49,10 @@
 #[derive(Debug, Error)]
 pub enum StateError {
     /// The operating system failed.
-    #[error("cannot {attempt} {path}")]
+    #[error("cannot {operation} {path}")]
     Io {
         /// What was attempted.
-        attempt: Attempt,
+        operation: Operation,
         /// The file or folder.
         path: PathBuf,
         /// The failure.
@@ -60,7 +60,7 @@
     },
     /// The folder belongs to another instance.
     #[error("the data folder {path} belongs to {owner}, not to {instance}")]
-    Foreign {
+    WrongOwner {
         /// The folder.
         path: PathBuf,
         /// Its owner.
@@ -84,13 +84,13 @@
     },
     /// The folder has an owner but no journal.
     #[error("the data folder {path} has lost its journal; bring it back or empty the folder")]
-    Missing {
+    MissingJournal {
         /// The folder.
         path: PathBuf,
     },
     /// The folder has a journal but no owner.
     #[error("the data folder {path} has lost its owner file; bring it back or empty the folder")]
-    Unowned {
+    MissingOwner {
         /// The folder.
         path: PathBuf,
     },
@@ -108,8 +108,11 @@
 }
 
 impl StateError {
-    pub(super) fn io(attempt: Attempt, path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> Self {
+    pub(super) fn io(
+        operation: Operation,
+        path: impl Into<PathBuf>,
+    ) -> impl FnOnce(io::Error) -> Self {
         let path = path.into();
-        move |source| StateError::Io { attempt, path, source }
+        move |source| StateError::Io { operation, path, source }
     }
 }
--- a/src/state/folder.rs
+++ b/src/state/folder.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    error::{Attempt, StateError},
+    error::{Operation, StateError},
     frame, journal,
 };
 
@@ -42,14 +42,14 @@
     ///
     /// The folder belongs to another instance, is in use, is corrupt, or cannot be read or written.
     pub fn open(path: &Path, instance: &InstanceId) -> Result<DataFolder, StateError> {
-        fs::create_dir_all(path).map_err(StateError::io(Attempt::Create, path))?;
+        fs::create_dir_all(path).map_err(StateError::io(Operation::Create, path))?;
         let lock = lock(path)?;
         let owner = match read_owner(path)? {
             Some(owner) => owner,
             None => create(path, instance)?,
         };
         if owner.instance != *instance {
-            return Err(StateError::Foreign {
+            return Err(StateError::WrongOwner {
                 path: path.into(),
                 owner: owner.instance,
                 instance: instance.clone(),
@@ -84,11 +84,11 @@
 
 fn lock(path: &Path) -> Result<File, StateError> {
     let file = path.join(LOCK_FILE);
-    let lock = File::create(&file).map_err(StateError::io(Attempt::Create, &file))?;
+    let lock = File::create(&file).map_err(StateError::io(Operation::Create, &file))?;
     match lock.try_lock() {
         Ok(()) => Ok(lock),
         Err(TryLockError::WouldBlock) => Err(StateError::InUse { path: path.into() }),
-        Err(TryLockError::Error(source)) => Err(StateError::io(Attempt::Open, file)(source)),
+        Err(TryLockError::Error(source)) => Err(StateError::io(Operation::Open, file)(source)),
     }
 }
 
@@ -97,7 +97,7 @@
     let bytes = match fs::read(&file) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-        Err(error) => return Err(StateError::io(Attempt::Read, file)(error)),
+        Err(error) => return Err(StateError::io(Operation::Read, file)(error)),
     };
     let owner = frame::decode(&bytes).and_then(|(_, payload)| postcard::from_bytes(payload).ok());
     match owner {
@@ -122,15 +122,16 @@
 pub(super) fn replace(folder: &Path, name: &str, content: &[u8]) -> Result<File, StateError> {
     let temporary = folder.join(format!("{name}.new"));
     let target = folder.join(name);
-    let mut file = File::create(&temporary).map_err(StateError::io(Attempt::Create, &temporary))?;
-    file.write_all(content).map_err(StateError::io(Attempt::Write, &temporary))?;
-    file.sync_all().map_err(StateError::io(Attempt::Sync, &temporary))?;
-    fs::rename(&temporary, &target).map_err(StateError::io(Attempt::Rename, &target))?;
+    let mut file =
+        File::create(&temporary).map_err(StateError::io(Operation::Create, &temporary))?;
+    file.write_all(content).map_err(StateError::io(Operation::Write, &temporary))?;
+    file.sync_all().map_err(StateError::io(Operation::Sync, &temporary))?;
+    fs::rename(&temporary, &target).map_err(StateError::io(Operation::Rename, &target))?;
     sync_folder(folder)?;
     Ok(file)
 }
 
 pub(super) fn sync_folder(path: &Path) -> Result<(), StateError> {
-    let folder = File::open(path).map_err(StateError::io(Attempt::Open, path))?;
-    folder.sync_all().map_err(StateError::io(Attempt::Sync, path))
+    let folder = File::open(path).map_err(StateError::io(Operation::Open, path))?;
+    folder.sync_all().map_err(StateError::io(Operation::Sync, path))
 }
--- a/src/state/journal.rs
+++ b/src/state/journal.rs
@@ -18,7 +18,7 @@
 use medlarlug_core::replication::{Persist, StoredState};
 
 use super::{
-    error::{Attempt, StateError},
+    error::{Operation, StateError},
     folder::{self, DataFolder},
     frame,
     group::GroupName,
@@ -81,18 +81,18 @@
     pub fn open(folder: &DataFolder) -> Result<Journal, StateError> {
         let path = folder.path();
         let Some(number) = clean_up(path)? else {
-            return Err(StateError::Missing { path: path.into() });
+            return Err(StateError::MissingJournal { path: path.into() });
         };
         let name = path.join(file_name(number));
-        let bytes = fs::read(&name).map_err(StateError::io(Attempt::Read, &name))?;
+        let bytes = fs::read(&name).map_err(StateError::io(Operation::Read, &name))?;
         let content = read(&name, &bytes)?;
         let file = OpenOptions::new()
             .write(true)
             .open(&name)
-            .map_err(StateError::io(Attempt::Open, &name))?;
+            .map_err(StateError::io(Operation::Open, &name))?;
         if content.length < bytes.len() as u64 {
-            file.set_len(content.length).map_err(StateError::io(Attempt::Write, &name))?;
-            file.sync_all().map_err(StateError::io(Attempt::Sync, &name))?;
+            file.set_len(content.length).map_err(StateError::io(Operation::Write, &name))?;
+            file.sync_all().map_err(StateError::io(Operation::Sync, &name))?;
         }
         Ok(Journal {
             folder: path.into(),
@@ -143,8 +143,8 @@
         let name = self.folder.join(file_name(self.number));
         self.allocate(&name, self.length + frame.len() as u64)?;
         let write = self.file.write_all_at(&frame, self.length);
-        write.map_err(StateError::io(Attempt::Write, &name))?;
-        self.file.sync_data().map_err(StateError::io(Attempt::Sync, &name))?;
+        write.map_err(StateError::io(Operation::Write, &name))?;
+        self.file.sync_data().map_err(StateError::io(Operation::Sync, &name))?;
         self.next += 1;
         self.length += frame.len() as u64;
         apply(&mut self.groups, batches);
@@ -182,8 +182,8 @@
         }
         let zeros = vec![0; (end - self.allocated + ALLOCATION) as usize];
         let write = self.file.write_all_at(&zeros, self.allocated);
-        write.map_err(StateError::io(Attempt::Write, name))?;
-        self.file.sync_all().map_err(StateError::io(Attempt::Sync, name))?;
+        write.map_err(StateError::io(Operation::Write, name))?;
+        self.file.sync_all().map_err(StateError::io(Operation::Sync, name))?;
         self.allocated += zeros.len() as u64;
         Ok(())
     }
@@ -197,13 +197,13 @@
         self.file = OpenOptions::new()
             .write(true)
             .open(&name)
-            .map_err(StateError::io(Attempt::Open, &name))?;
+            .map_err(StateError::io(Operation::Open, &name))?;
         self.number = number;
         self.next = 1;
         self.checkpoint = length;
         self.length = length;
         self.allocated = length;
-        fs::remove_file(&old).map_err(StateError::io(Attempt::Remove, &old))
+        fs::remove_file(&old).map_err(StateError::io(Operation::Remove, &old))
     }
 }
 
@@ -226,10 +226,10 @@
 pub(super) fn create_empty(folder: &Path) -> Result<(), StateError> {
     if let Some(number) = clean_up(folder)? {
         let name = folder.join(file_name(number));
-        let bytes = fs::read(&name).map_err(StateError::io(Attempt::Read, &name))?;
+        let bytes = fs::read(&name).map_err(StateError::io(Operation::Read, &name))?;
         let is_unused = number == 1 && bytes == frame::encode(0, &encode(&Groups::new())?)?;
         if !is_unused {
-            return Err(StateError::Unowned { path: folder.into() });
+            return Err(StateError::MissingOwner { path: folder.into() });
         }
     }
     create(folder, 1, &Groups::new())?;
@@ -238,10 +238,10 @@
 
 /// Removes replaced and unfinished files; returns the number of the file in force.
 fn clean_up(folder: &Path) -> Result<Option<u64>, StateError> {
-    let list = fs::read_dir(folder).map_err(StateError::io(Attempt::List, folder))?;
+    let list = fs::read_dir(folder).map_err(StateError::io(Operation::List, folder))?;
     let mut numbers = Vec::new();
     for item in list {
-        let item = item.map_err(StateError::io(Attempt::List, folder))?;
+        let item = item.map_err(StateError::io(Operation::List, folder))?;
         let name = item.file_name();
         let Some(suffix) = name.to_str().and_then(|name| name.strip_prefix(PREFIX)) else {
             continue;
@@ -260,7 +260,7 @@
 }
 
 fn remove(path: &Path) -> Result<(), StateError> {
-    fs::remove_file(path).map_err(StateError::io(Attempt::Remove, path))
+    fs::remove_file(path).map_err(StateError::io(Operation::Remove, path))
 }
 
 #[derive(Debug)]
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -13,10 +13,10 @@
 mod writer;
 
 pub use self::{
-    error::{Attempt, StateError},
+    error::{Operation, StateError},
     folder::DataFolder,
     group::GroupName,
     journal::{Batches, Groups, Journal},
     saved::SavedConfiguration,
-    writer::{Report, Synced, Writer},
+    writer::{SyncResult, Synced, Writer},
 };
--- a/src/state/saved.rs
+++ b/src/state/saved.rs
@@ -5,7 +5,7 @@
 use medlarlug_core::release::Configuration;
 
 use super::{
-    error::{Attempt, StateError},
+    error::{Operation, StateError},
     folder::{DataFolder, replace},
     frame,
 };
@@ -34,7 +34,7 @@
         let bytes = match fs::read(&file) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
-            Err(error) => return Err(StateError::io(Attempt::Read, file)(error)),
+            Err(error) => return Err(StateError::io(Operation::Read, file)(error)),
         };
         let content = frame::decode(&bytes).map(|(_, payload)| postcard::from_bytes(payload));
         match content {
--- a/src/state/writer.rs
+++ b/src/state/writer.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use super::{
-    error::{Attempt, StateError},
+    error::{Operation, StateError},
     group::GroupName,
     journal::Journal,
 };
@@ -27,12 +27,12 @@
 
 /// What the writer reports. After an error it writes nothing more, unless it is a persistent one:
 /// then it goes on with a new file as soon as the disk takes it.
-pub type Report = Result<Synced, StateError>;
+pub type SyncResult = Result<Synced, StateError>;
 
 #[derive(Debug)]
 enum Target {
     Disk(mpsc::Sender<(GroupName, Persist)>),
-    Memory(UnboundedSender<Report>),
+    Memory(UnboundedSender<SyncResult>),
 }
 
 /// Takes batches of all groups of a process and reports when they are synced.
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// The operating system starts no thread.
-    pub fn start(journal: Journal) -> Result<(Writer, UnboundedReceiver<Report>), StateError> {
+    pub fn start(journal: Journal) -> Result<(Writer, UnboundedReceiver<SyncResult>), StateError> {
         Self::spawn(journal, write_all)
     }
 
@@ -60,25 +60,25 @@
     /// The operating system starts no thread.
     pub fn start_persistent(
         journal: Journal,
-    ) -> Result<(Writer, UnboundedReceiver<Report>), StateError> {
+    ) -> Result<(Writer, UnboundedReceiver<SyncResult>), StateError> {
         Self::spawn(journal, write_persistently)
     }
 
     fn spawn(
         mut journal: Journal,
         write: Loop,
-    ) -> Result<(Writer, UnboundedReceiver<Report>), StateError> {
+    ) -> Result<(Writer, UnboundedReceiver<SyncResult>), StateError> {
         let (sender, batches) = mpsc::channel();
         let (reports, receiver) = unbounded_channel();
         thread::Builder::new()
             .name("journal".into())
             .spawn(move || write(&mut journal, &batches, &reports))
-            .map_err(StateError::io(Attempt::Start, PathBuf::from("journal")))?;
+            .map_err(StateError::io(Operation::Start, PathBuf::from("journal")))?;
         Ok((Writer { target: Target::Disk(sender) }, receiver))
     }
 
     /// A writer for a process without a disk: it keeps nothing and reports at once.
-    pub fn volatile() -> (Writer, UnboundedReceiver<Report>) {
+    pub fn volatile() -> (Writer, UnboundedReceiver<SyncResult>) {
         let (reports, receiver) = unbounded_channel();
         (Writer { target: Target::Memory(reports) }, receiver)
     }
@@ -97,7 +97,7 @@
 }
 
 /// The loop of the writer's thread.
-type Loop = fn(&mut Journal, &mpsc::Receiver<(GroupName, Persist)>, &UnboundedSender<Report>);
+type Loop = fn(&mut Journal, &mpsc::Receiver<(GroupName, Persist)>, &UnboundedSender<SyncResult>);
 
 /// Pause before the disk is tried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -105,7 +105,7 @@
 fn write_persistently(
     journal: &mut Journal,
     batches: &mpsc::Receiver<(GroupName, Persist)>,
-    reports: &UnboundedSender<Report>,
+    reports: &UnboundedSender<SyncResult>,
 ) {
     while let Ok(first) = batches.recv() {
         let mut together = vec![first];
@@ -134,7 +134,7 @@
 fn write_all(
     journal: &mut Journal,
     batches: &mpsc::Receiver<(GroupName, Persist)>,
-    reports: &UnboundedSender<Report>,
+    reports: &UnboundedSender<SyncResult>,
 ) {
     while let Ok(first) = batches.recv() {
         let mut together = vec![first];
--- a/src/transport/body.rs
+++ b/src/transport/body.rs
@@ -19,10 +19,10 @@
 /// The connection is then cut instead of ended, so that a truncated answer never looks whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the answer was cut before its end")]
-pub struct CutBody;
+pub struct TruncatedBody;
 
 /// Body of every answer that a server sends.
-pub type AnswerBody = UnsyncBoxBody<Bytes, CutBody>;
+pub type AnswerBody = UnsyncBoxBody<Bytes, TruncatedBody>;
 
 /// An answer of a server.
 pub type Answer = Response<AnswerBody>;
@@ -50,7 +50,7 @@
     },
     /// The connection failed before its end.
     #[error("the body was cut before its end")]
-    Cut,
+    Truncated,
 }
 
 /// Reads a whole body of at most `limit` bytes.
@@ -66,24 +66,24 @@
     match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(BodyError::TooLong { limit }),
-        Err(_) => Err(BodyError::Cut),
+        Err(_) => Err(BodyError::Truncated),
     }
 }
 
 /// A body of known content.
-pub fn whole(content: impl Into<Bytes>) -> AnswerBody {
+pub fn full(content: impl Into<Bytes>) -> AnswerBody {
     Full::new(content.into()).map_err(|never: Infallible| match never {}).boxed_unsync()
 }
 
 /// A body that ends well only after [`Part::End`]; the sender's channel closing before is a cut.
-pub fn streamed() -> (mpsc::Sender<Part>, AnswerBody) {
+pub fn channel() -> (mpsc::Sender<Part>, AnswerBody) {
     let (sender, receiver) = mpsc::channel(STREAM_QUEUE_CHUNKS);
     let parts = stream::unfold(Some(receiver), |receiver| async {
         let mut receiver = receiver?;
         match receiver.recv().await {
             Some(Part::Chunk(bytes)) => Some((Ok(Frame::data(bytes)), Some(receiver))),
             Some(Part::End) => None,
-            None => Some((Err(CutBody), None)),
+            None => Some((Err(TruncatedBody), None)),
         }
     });
     (sender, StreamBody::new(parts).boxed_unsync())
@@ -92,7 +92,7 @@
 /// An answer with a JSON document.
 pub fn json(status: StatusCode, document: &impl Serialize) -> Answer {
     let content = serde_json::to_vec(document).unwrap_or_default();
-    let mut answer = Response::new(whole(content));
+    let mut answer = Response::new(full(content));
     *answer.status_mut() = status;
     let media = header::HeaderValue::from_static("application/json");
     answer.headers_mut().insert(header::CONTENT_TYPE, media);
@@ -100,7 +100,7 @@
 }
 
 /// An answer with a problem document, its outcome and the time to come back.
-pub fn refusal(problem: &Problem) -> Answer {
+pub fn problem_answer(problem: &Problem) -> Answer {
     let status = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut answer = json(status, problem);
     let fields = answer.headers_mut();
@@ -125,7 +125,7 @@
 
 /// An answer of plain text.
 pub fn text(content: String) -> Answer {
-    let mut answer = Response::new(whole(content));
+    let mut answer = Response::new(full(content));
     let media = header::HeaderValue::from_static("text/plain; charset=utf-8");
     answer.headers_mut().insert(header::CONTENT_TYPE, media);
     answer
--- a/src/transport/http_client.rs
+++ b/src/transport/http_client.rs
@@ -55,7 +55,7 @@
 
 /// Why a call failed.
 #[derive(Debug, Error)]
-pub enum CallError {
+pub enum HttpCallError {
     /// No connection: nothing was sent.
     #[error("failed to connect to {address}")]
     Connect {
@@ -82,7 +82,7 @@
     },
     /// No answer came in time; the request may have begun.
     #[error("{address} sent no answer for {}s", limit.as_secs_f32())]
-    Silent {
+    TimedOut {
         /// The other side.
         address: SocketAddr,
         /// The time that it had.
@@ -90,10 +90,10 @@
     },
 }
 
-impl CallError {
+impl HttpCallError {
     /// Whether the other side can't have begun the call.
     pub fn is_unsent(&self) -> bool {
-        matches!(self, CallError::Connect { .. } | CallError::Withdrawn { .. })
+        matches!(self, HttpCallError::Connect { .. } | HttpCallError::Withdrawn { .. })
     }
 }
 
@@ -203,7 +203,7 @@
 impl HttpClient {
     /// Sends a request and waits for the head of the answer.
     ///
-    /// The connection goes back to the pool by [`HttpClient::give_back`] once the answer's body
+    /// The connection goes back to the pool by [`HttpClient::release`] once the answer's body
     /// was read to its end.
     ///
     /// # Errors
@@ -215,8 +215,8 @@
         request: Request<RequestBody>,
         reuse: Reuse,
         limits: CallLimits,
-    ) -> Result<(Response<Incoming>, Connection), CallError> {
-        self.call_while(address, request, reuse, limits, || true).await
+    ) -> Result<(Response<Incoming>, Connection), HttpCallError> {
+        self.call_if_wanted(address, request, reuse, limits, || true).await
     }
 
     /// The same, but sends the request only if it `is_wanted` still when a new connection has opened,
@@ -225,14 +225,14 @@
     /// # Errors
     ///
     /// As [`HttpClient::call`]; and when the request is not wanted any more.
-    pub async fn call_while(
+    pub async fn call_if_wanted(
         &self,
         address: SocketAddr,
         request: Request<RequestBody>,
         reuse: Reuse,
         limits: CallLimits,
         is_wanted: impl Fn() -> bool,
-    ) -> Result<(Response<Incoming>, Connection), CallError> {
+    ) -> Result<(Response<Incoming>, Connection), HttpCallError> {
         let mut request = request;
         while reuse == Reuse::Allowed
             && let Some(mut sender) = self.take(address)
@@ -248,7 +248,7 @@
         for _ in 0..NEW_CONNECTIONS {
             let mut sender = connect(address, limits.connect).await?;
             if !is_wanted() {
-                return Err(CallError::Withdrawn { address });
+                return Err(HttpCallError::Withdrawn { address });
             }
             match timeout(limits.head, sender.send(request)).await {
                 // The new connection was cut before the request went out.
@@ -258,17 +258,17 @@
                 result => return outcome(address, limits, sender, result),
             }
         }
-        Err(CallError::Connect { address, source: None })
+        Err(HttpCallError::Connect { address, source: None })
     }
 
     /// Keeps a connection for further calls.
-    pub fn give_back(&self, connection: Connection) {
-        self.give_back_among(connection, IDLE_CONNECTIONS);
+    pub fn release(&self, connection: Connection) {
+        self.release_bounded(connection, IDLE_CONNECTIONS);
     }
 
     /// The same, with `most` idle connections to its address: what the other side accepts is shared
     /// with other clients.
-    pub fn give_back_among(&self, connection: Connection, most: usize) {
+    pub fn release_bounded(&self, connection: Connection, most: usize) {
         let Connection { address, sender } = connection;
         if sender.requests.is_closed() {
             return;
@@ -282,7 +282,7 @@
     }
 
     /// Closes the idle connections to an address, after one of them went silent.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         let mut idle = self.idle.borrow_mut();
         if let Ok(found) = idle.binary_search_by(|it| it.0.cmp(&address)) {
             idle.remove(found);
@@ -290,7 +290,7 @@
     }
 
     /// Idle connections to an address that the other side has not closed.
-    pub fn idle(&self, address: SocketAddr) -> usize {
+    pub fn idle_connections(&self, address: SocketAddr) -> usize {
         let idle = self.idle.borrow();
         let found = idle.binary_search_by(|it| it.0.cmp(&address));
         found.map_or(0, |found| idle[found].1.iter().filter(|it| !it.requests.is_closed()).count())
@@ -317,20 +317,20 @@
     limits: CallLimits,
     sender: Sender,
     result: Result<Sent, Elapsed>,
-) -> Result<(Response<Incoming>, Connection), CallError> {
+) -> Result<(Response<Incoming>, Connection), HttpCallError> {
     match result {
         Ok(Ok(answer)) => Ok((answer, Connection { address, sender })),
         // The request came back, so not a byte of it went out.
         Ok(Err(error)) if error.message().is_some() => {
-            Err(CallError::Connect { address, source: None })
+            Err(HttpCallError::Connect { address, source: None })
         }
-        Ok(Err(error)) => Err(CallError::Lost { address, source: error.into_error() }),
-        Err(_) => Err(CallError::Silent { address, limit: limits.head }),
+        Ok(Err(error)) => Err(HttpCallError::Lost { address, source: error.into_error() }),
+        Err(_) => Err(HttpCallError::TimedOut { address, limit: limits.head }),
     }
 }
 
 /// Whether nothing listens at `address` any more.
-pub async fn is_refused(address: SocketAddr, limit: Duration) -> bool {
+pub async fn refuses_connections(address: SocketAddr, limit: Duration) -> bool {
     let connected = timeout(limit, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused)
 }
@@ -341,8 +341,8 @@
     sender: Sender,
 }
 
-async fn connect(address: SocketAddr, limit: Duration) -> Result<Sender, CallError> {
-    let failed = |source| CallError::Connect { address, source };
+async fn connect(address: SocketAddr, limit: Duration) -> Result<Sender, HttpCallError> {
+    let failed = |source| HttpCallError::Connect { address, source };
     let stream = match timeout(limit, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(source)) => return Err(failed(Some(source))),
--- a/src/transport/links.rs
+++ b/src/transport/links.rs
@@ -142,7 +142,7 @@
     ///
     /// The connection is made with the first message: most processes of a large deployment never
     /// send to most others.
-    pub fn add(&mut self, peer: InstanceId, address: SocketAddr) {
+    pub fn add_peer(&mut self, peer: InstanceId, address: SocketAddr) {
         let added = Peer { address, link: None };
         match self.peers.binary_search_by(|it| it.0.cmp(&peer)) {
             Ok(found) if self.peers[found].1.address == address => {}
@@ -166,7 +166,7 @@
     }
 
     /// Time since the connection to a peer was made or replaced; `None` when there is none.
-    pub fn age(&self, peer: &InstanceId) -> Option<Duration> {
+    pub fn connection_age(&self, peer: &InstanceId) -> Option<Duration> {
         let found = self.peers.binary_search_by(|it| it.0.cmp(peer)).ok()?;
         Some(self.peers[found].1.link.as_ref()?.since.elapsed())
     }
--- a/tests/testsuite/budget.rs
+++ b/tests/testsuite/budget.rs
@@ -164,7 +164,8 @@
     let age = Duration::from_millis(300);
     let confirmation = Some(Confirmation { revision: Revision(100_000), age });
     let answer = UpdateResponse { token, update: None, confirmation };
-    frame_bytes(Message::Ask(ask)) + frame_bytes(Message::Answer(Box::new(answer)))
+    frame_bytes(Message::UpdateRequest(ask))
+        + frame_bytes(Message::UpdateResponse(Box::new(answer)))
 }
 
 #[test]
--- a/tests/testsuite/calls.rs
+++ b/tests/testsuite/calls.rs
@@ -10,8 +10,8 @@
 
     calls.complete(late, GroupReply::Uncertain);
     let early = waiting.try_recv();
-    calls.complete(call, GroupReply::Unfit);
+    calls.complete(call, GroupReply::UnsupportedRequest);
 
     assert!(early.is_err(), "{early:?}");
-    assert_eq!(waiting.try_recv(), Ok(GroupReply::Unfit));
+    assert_eq!(waiting.try_recv(), Ok(GroupReply::UnsupportedRequest));
 }
--- a/tests/testsuite/http_client.rs
+++ b/tests/testsuite/http_client.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use medlarlug::transport::http_client::{CallError, CallLimits, HttpClient, Reuse};
+use medlarlug::transport::http_client::{CallLimits, HttpCallError, HttpClient, Reuse};
 use tokio::{io::AsyncReadExt, net::TcpListener, runtime::Builder, task::LocalSet};
 
 const LIMITS: CallLimits =
@@ -27,12 +27,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let client = HttpClient::default();
-        let call = client.call_while(address, request(), Reuse::Never, LIMITS, || false);
+        let call = client.call_if_wanted(address, request(), Reuse::Never, LIMITS, || false);
 
         let (called, accepted) = tokio::join!(call, listener.accept());
 
         let error = called.err().unwrap();
-        assert_matches!(error, CallError::Withdrawn { .. });
+        assert_matches!(error, HttpCallError::Withdrawn { .. });
         assert!(error.is_unsent());
         let mut bytes = Vec::new();
         accepted.unwrap().0.read_to_end(&mut bytes).await.unwrap();
--- a/tests/testsuite/protocol.rs
+++ b/tests/testsuite/protocol.rs
@@ -3,10 +3,10 @@
 use assert_matches::assert_matches;
 use medlarlug::protocol::{
     DeploymentKey, DeploymentKeys, GroupId, GroupRequest, Message,
-    deployment_key::CODE_BYTES,
+    deployment_key::FRAME_MAC_BYTES,
     events::{Event, EventSplitter, MAX_EVENT_BYTES},
     frame::{self, Envelope, FrameError},
-    inference::InferenceHead,
+    inference::InferenceParams,
 };
 use medlarlug_core::ids::InstanceId;
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -75,7 +75,7 @@
 
         bytes[place] ^= flip;
 
-        prop_assert!(matches!(frame::decode(&keys(), &own(), &bytes), Err(FrameError::Code)));
+        prop_assert!(matches!(frame::decode(&keys(), &own(), &bytes), Err(FrameError::Unauthenticated)));
     }
 
     #[test]
@@ -97,7 +97,7 @@
 
         let decoded = frame::decode(&keys(), &own(), &frame);
 
-        prop_assert!(matches!(decoded, Ok(_) | Err(FrameError::Content(_))));
+        prop_assert!(matches!(decoded, Ok(_) | Err(FrameError::Codec(_))));
     }
 
     #[test]
@@ -129,7 +129,7 @@
 
         head[place] = byte;
 
-        let _ = (InferenceHead::parse(&bytes), InferenceHead::parse(&head));
+        let _ = (InferenceParams::parse(&bytes), InferenceParams::parse(&head));
     }
 }
 
@@ -140,7 +140,7 @@
 
     let decoded = frame::decode(&keys(), &own(), &bytes);
 
-    assert_matches!(decoded, Err(FrameError::Code));
+    assert_matches!(decoded, Err(FrameError::Unauthenticated));
 }
 
 #[test]
@@ -150,7 +150,7 @@
     for other in ["entry-1", "keeper-2", "keeper-11", "k"] {
         let decoded = frame::decode(&keys(), &id(other), &bytes);
 
-        assert_matches!(decoded, Err(FrameError::Code));
+        assert_matches!(decoded, Err(FrameError::Unauthenticated));
     }
 }
 
@@ -159,19 +159,19 @@
     let envelope = envelope(1);
     let frame = frame::encode(&keys(), &envelope).expect("a frame");
     let to = envelope.to.as_str().as_bytes();
-    let signed = [&[to.len() as u8], to, &frame[CODE_BYTES..]].concat();
+    let signed = [&[to.len() as u8], to, &frame[FRAME_MAC_BYTES..]].concat();
 
     let code = keys().signer().mac(&signed);
-    let forged = [&code.as_bytes()[..CODE_BYTES], &frame[CODE_BYTES..]].concat();
+    let forged = [&code.as_bytes()[..FRAME_MAC_BYTES], &frame[FRAME_MAC_BYTES..]].concat();
 
-    assert_matches!(frame::decode(&keys(), &own(), &forged), Err(FrameError::Code));
+    assert_matches!(frame::decode(&keys(), &own(), &forged), Err(FrameError::Unauthenticated));
 }
 
 #[test]
 fn deeply_nested_request_head_is_refused() {
     let body = format!("{{\"model\":\"medlar\",\"prompt\":{}", "[".repeat(1_000_000));
 
-    assert_matches!(InferenceHead::parse(body.as_bytes()), Err(_));
+    assert_matches!(InferenceParams::parse(body.as_bytes()), Err(_));
 }
 
 #[test]
@@ -181,5 +181,5 @@
     splitter.push(&vec![b'x'; MAX_EVENT_BYTES + 1]);
 
     assert!(splitter.next_event().is_none());
-    assert!(splitter.is_overfull());
+    assert!(splitter.exceeds_limit());
 }
--- a/tests/testsuite/settings.rs
+++ b/tests/testsuite/settings.rs
@@ -102,7 +102,7 @@
     assert_eq!(settings.peer().callers, Some("127.0.0.1:7001".parse().unwrap()));
     assert_eq!(settings.cluster.region_of(&id("riga-a")), Some(&id("riga")));
     assert_eq!(settings.limits.body.0, 65_536);
-    assert_eq!(settings.drain.as_secs(), 5);
+    assert_eq!(settings.drain_timeout.as_secs(), 5);
     assert_eq!(settings.log, LogLevel::Debug);
     let key = "00112233445566778899aabbccddeeff".parse().unwrap();
     assert_eq!(settings.operator_of(key), Some(&id("anna")));
--- a/tests/testsuite/standin.rs
+++ b/tests/testsuite/standin.rs
@@ -12,7 +12,7 @@
         self,
         answer::{chat_prompt, expected},
     },
-    transport::http_client::{CallError, CallLimits, HttpClient, Reuse},
+    transport::http_client::{CallLimits, HttpCallError, HttpClient, Reuse},
 };
 use medlarlug_core::{
     ids::{Incarnation, Term},
@@ -70,7 +70,7 @@
         &self,
         to: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<Reply, CallError> {
+    ) -> Result<Reply, HttpCallError> {
         let (answer, _connection) = self.client.call(to, request, Reuse::Never, LIMITS).await?;
         let status = answer.status();
         let request = answer.headers().get("x-request-id");
@@ -83,13 +83,13 @@
         self.call(to, request(Method::GET, path, &Value::Null)).await.unwrap().json()
     }
 
-    async fn chat(&self, id: &str, content: &str, tokens: usize) -> Result<Reply, CallError> {
+    async fn chat(&self, id: &str, content: &str, tokens: usize) -> Result<Reply, HttpCallError> {
         let mut request = request(Method::POST, "/v1/chat/completions", &chat(content, tokens));
         request.headers_mut().insert("x-request-id", id.parse().unwrap());
         self.call(self.engine, request).await
     }
 
-    async fn book(&self, key: &str) -> Result<Reply, CallError> {
+    async fn book(&self, key: &str) -> Result<Reply, HttpCallError> {
         let mut request = request(Method::POST, "/jobs", &json!({"points": 3}));
         request.headers_mut().insert("idempotency-key", key.parse().unwrap());
         self.call(self.service, request).await
@@ -255,7 +255,7 @@
 
         let lost = bench.book("key-1").await;
 
-        assert_matches!(lost, Err(CallError::Lost { .. }));
+        assert_matches!(lost, Err(HttpCallError::Lost { .. }));
         let outcome = bench.get(bench.service, "/outcomes/key-1").await;
         assert_eq!(outcome["state"], "ran");
         assert_eq!(outcome["answer"]["key"], "key-1");
@@ -299,13 +299,13 @@
         let (answer, connection) =
             bench.client.call(bench.engine, models(), Reuse::Allowed, limits).await.unwrap();
         answer.into_body().collect().await.unwrap();
-        bench.client.give_back(connection);
+        bench.client.release(connection);
         bench.inject(bench.engine_control, json!({"kind": "silence_open_connections"})).await;
 
         let silent = bench.client.call(bench.engine, models(), Reuse::Allowed, limits).await;
         let fresh = bench.call(bench.engine, models()).await;
 
-        assert_matches!(silent.map(|_| ()), Err(CallError::Silent { .. }));
+        assert_matches!(silent.map(|_| ()), Err(HttpCallError::TimedOut { .. }));
         assert_eq!(fresh.unwrap().status, StatusCode::OK);
     });
 }
@@ -315,7 +315,7 @@
     with_standin(bench(true), async |bench| {
         let crashed = bench.chat("riga.e.1.1", "CRASH-ME now", 3).await;
 
-        assert_matches!(crashed.map(|_| ()), Err(CallError::Lost { .. }));
+        assert_matches!(crashed.map(|_| ()), Err(HttpCallError::Lost { .. }));
         let state = bench.get(bench.engine_control, "/state").await;
         assert_eq!(state["down"], true);
         assert_eq!(bench.book("key-1").await.unwrap().status, StatusCode::OK);
--- a/tests/testsuite/state.rs
+++ b/tests/testsuite/state.rs
@@ -85,7 +85,7 @@
 
     let result = DataFolder::open(path.path(), &id("keeper-2"));
 
-    assert_matches!(result, Err(StateError::Foreign { owner, .. }) if owner == id("keeper-1"));
+    assert_matches!(result, Err(StateError::WrongOwner { owner, .. }) if owner == id("keeper-1"));
 }
 
 #[test]
@@ -106,7 +106,7 @@
 
     let result = Journal::open(&open(&path));
 
-    assert_matches!(result, Err(StateError::Missing { .. }));
+    assert_matches!(result, Err(StateError::MissingJournal { .. }));
 }
 
 #[test]
@@ -117,7 +117,7 @@
 
     let result = DataFolder::open(path.path(), &id("keeper-1"));
 
-    assert_matches!(result, Err(StateError::Unowned { .. }));
+    assert_matches!(result, Err(StateError::MissingOwner { .. }));
     journal_file(&path);
 }
 
