--- a/crates/medlarlug-core/benches/limits.rs
+++ b/crates/medlarlug-core/benches/limits.rs
@@ -1,4 +1,4 @@
-//! Cost of the decisions under load and size of the demand reports, with 2,700 teams.
+//! Cost of admission and placement decisions, and size of the demand reports, with 2,700 teams.
 //!
 //! Run with `cargo bench -p medlarlug-core --bench limits`.
 
@@ -19,11 +19,11 @@
 use rand_chacha::ChaCha8Rng;
 
 const TEAMS: usize = 2_700;
-/// Entry instances of one region among 340 nodes in 8 regions.
+/// Entry instances of one region, for 340 nodes in 8 regions.
 const INSTANCES: usize = 43;
 const REQUESTS_PER_SECOND: f64 = 3_200.0;
 const REGIONS: f64 = 8.0;
-const BEATS: u64 = 60;
+const HEARTBEATS: u64 = 60;
 const DECISIONS: u32 = 200_000;
 
 fn main() {
@@ -43,37 +43,39 @@
 
 fn instance(number: usize, teams: &[TeamId]) -> RateLimiter {
     let id: InstanceId = parse(&format!("entry-{number}"));
-    let mut limits = RateLimiter::new(id, Incarnation(1), LimitPolicy::default());
+    let mut limiter = RateLimiter::new(id, Incarnation(1), LimitPolicy::default());
     let limit =
         |team: &TeamId| TeamLimit { team: team.clone(), rate: parse("10/s"), burst: parse("20") };
     let configured = Event::Configured(teams.iter().map(limit).collect());
-    limits.handle(Time::ZERO, configured, &mut Vec::new());
-    limits
+    limiter.handle(Time::ZERO, configured, &mut Vec::new());
+    limiter
 }
 
-/// A minute of the region's load, by a team's rank; returns every report, beat by beat.
+/// Simulates one minute of a region's load, which decreases with a team's rank, and returns all reports in
+/// the order of the heartbeats.
 fn exchange(region: &mut [RateLimiter], teams: &[TeamId]) -> Vec<DemandReport> {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let load = (REQUESTS_PER_SECOND / REGIONS / region.len() as f64).round() as u32;
     let mut reports = Vec::new();
-    for beat in 1..=BEATS {
-        let now = Time::from_millis(beat * 1_000);
+    for heartbeat in 1..=HEARTBEATS {
+        let now = Time::from_millis(heartbeat * 1_000);
         let mut out = Vec::new();
-        for limits in region.iter_mut() {
+        for limiter in region.iter_mut() {
             for _ in 0..load {
                 // A few teams send most of the requests.
                 let rank = (TEAMS as f64).powf(random.random_range(0.0..1.0)) as usize;
-                let _ = limits.admit(now, &teams[rank.min(TEAMS - 1)]);
+                let _ = limiter.admit(now, &teams[rank.min(TEAMS - 1)]);
             }
-            limits.handle(now, Event::Heartbeat, &mut out);
+            limiter.handle(now, Event::Heartbeat, &mut out);
         }
         for effect in out {
             let Effect::Broadcast(report) = effect else {
                 continue;
             };
-            for limits in region.iter_mut() {
-                let heard = Event::ReportReceived { report: report.clone(), age: Duration::ZERO };
-                limits.handle(now, heard, &mut Vec::new());
+            for limiter in region.iter_mut() {
+                let received =
+                    Event::ReportReceived { report: report.clone(), age: Duration::ZERO };
+                limiter.handle(now, received, &mut Vec::new());
             }
             reports.push(report);
         }
@@ -92,7 +94,10 @@
     let p99 = sizes[sizes.len() * 99 / 100];
     println!("demand report: mean {mean:.0} B, p99 {p99} B, largest {} B", sizes[sizes.len() - 1]);
     let sent = mean * (INSTANCES - 1) as f64;
-    println!("demand reports of one instance to {} peers: {sent:.0} B a beat", INSTANCES - 1);
+    println!(
+        "demand reports of one instance to {} peers: {sent:.0} B per heartbeat",
+        INSTANCES - 1
+    );
 }
 
 fn time(name: &str, rounds: u32, mut round: impl FnMut(u32)) {
@@ -102,27 +107,27 @@
     println!("{name}: {:.2} us", mean / 1_000.0);
 }
 
-fn bench_admit(limits: &mut RateLimiter, teams: &[TeamId]) {
-    let start = Time::from_millis(BEATS * 1_000);
-    time("admit by a team's limit", DECISIONS, |round| {
+fn bench_admit(limiter: &mut RateLimiter, teams: &[TeamId]) {
+    let start = Time::from_millis(HEARTBEATS * 1_000);
+    time("admission by a team's limit", DECISIONS, |round| {
         let now = start + Duration::from_micros(u64::from(round));
         let team = &teams[round as usize * 7 % TEAMS];
-        let _ = black_box(limits.admit(now, team));
+        let _ = black_box(limiter.admit(now, team));
     });
 }
 
-fn bench_heartbeat(limits: &mut RateLimiter, reports: &[DemandReport]) {
-    let start = Time::from_millis(BEATS * 1_000);
+fn bench_heartbeat(limiter: &mut RateLimiter, reports: &[DemandReport]) {
+    let start = Time::from_millis(HEARTBEATS * 1_000);
     time("heartbeat", 500, |round| {
         let now = start + Duration::from_millis(u64::from(round));
-        limits.handle(now, Event::Heartbeat, &mut Vec::new());
+        limiter.handle(now, Event::Heartbeat, &mut Vec::new());
     });
     let last = &reports[reports.len() - INSTANCES + 1..];
-    time("report heard", 2_000, |round| {
+    time("report received", 2_000, |round| {
         let mut report = last[round as usize % last.len()].clone();
         report.sequence += 1 + u64::from(round) / last.len() as u64;
-        let heard = Event::ReportReceived { report, age: Duration::ZERO };
-        limits.handle(start, heard, &mut Vec::new());
+        let received = Event::ReportReceived { report, age: Duration::ZERO };
+        limiter.handle(start, received, &mut Vec::new());
     });
 }
 
@@ -146,10 +151,10 @@
     for round in 0..200 {
         admission.handle(Time::ZERO, AdmissionEvent::Arrived(arrival(round)), &mut out);
     }
-    println!("queue: {} wait", admission.waiting());
+    println!("queue: {} requests wait", admission.waiting());
     let mut ended = 0;
     let mut started: Vec<RequestId> = out.drain(..).filter_map(started_request).collect();
-    time("arrival and end with a full queue", 20_000, |round| {
+    time("arrival and completion with a full queue", 20_000, |round| {
         let now = Time::from_millis(u64::from(round) * 25);
         let arrived = AdmissionEvent::Arrived(arrival(200 + round));
         admission.handle(now, arrived, &mut out);
--- a/crates/medlarlug-core/benches/state_machines.rs
+++ b/crates/medlarlug-core/benches/state_machines.rs
@@ -1,4 +1,4 @@
-//! Sizes and speeds of the replicated state machines at the size of 2,700 teams.
+//! Encoded sizes and speed of the replicated state machines with 2,700 teams.
 //!
 //! Run with `cargo bench -p medlarlug-core --bench state_machines`.
 
@@ -42,13 +42,13 @@
         group.apply(ConfigurationCommand::Apply(ReleaseNote::try_from(raw).unwrap()));
     }
     let each = start.elapsed() / CHANGES as u32;
-    let ask = |revision, full| UpdateRequest { token: 1, revision: Revision(revision), full };
+    let request = |revision, full| UpdateRequest { token: 1, revision: Revision(revision), full };
     let size =
-        |ask: UpdateRequest| postcard::to_allocvec(&group.update_for(&ask).unwrap()).unwrap().len();
-    println!("configuration of {TEAMS} teams: {} B", size(ask(0, true)));
-    println!("one change: {} B", size(ask(CHANGES, false)));
-    println!("{CHANGES} changes: {} B", size(ask(1, false)));
-    println!("snapshot of the group: {} B", group.encode_snapshot().len());
+        |req: UpdateRequest| postcard::to_allocvec(&group.update_for(&req).unwrap()).unwrap().len();
+    println!("configuration of {TEAMS} teams: {} B", size(request(0, true)));
+    println!("update with one change: {} B", size(request(CHANGES, false)));
+    println!("update with {CHANGES} changes: {} B", size(request(1, false)));
+    println!("snapshot of the configuration group: {} B", group.encode_snapshot().len());
     println!("time to accept a note: {each:?}");
 }
 
@@ -84,15 +84,15 @@
         apply(Action::Finish { team, key, request, answer: answer.clone() });
     }
     let each = start.elapsed() / KEYS as u32;
-    println!("time of a begin and a finish, {KEYS} keys: {each:?}");
+    println!("time to begin and finish a booking, {KEYS} keys: {each:?}");
     let start = Instant::now();
     let incarnation = Incarnation(2);
     apply(Action::InstanceStarted { instance: id("entry-1"), incarnation });
-    println!("time of an instance's start among {KEYS} keys: {:?}", start.elapsed());
+    println!("time to apply the restart of an instance, {KEYS} keys: {:?}", start.elapsed());
     let start = Instant::now();
     let snapshot = group.encode_snapshot();
-    println!("snapshot of {KEYS} keys: {} B in {:?}", snapshot.len(), start.elapsed());
+    println!("snapshot with {KEYS} keys: {} B, encoded in {:?}", snapshot.len(), start.elapsed());
     let start = Instant::now();
     HomeGroup::decode_snapshot(&snapshot).unwrap();
-    println!("reading it: {:?}", start.elapsed());
+    println!("snapshot decoded in {:?}", start.elapsed());
 }
--- a/crates/medlarlug-core/src/release/item.rs
+++ b/crates/medlarlug-core/src/release/item.rs
@@ -94,7 +94,7 @@
     /// Adapters that callers may request.
     #[serde(default)]
     pub adapters: Vec<AdapterId>,
-    /// Where requests for it may be served, beside what the team's own rule permits.
+    /// Regions in which requests for it may be served. The team's own rule has to permit the region too.
     #[serde(default)]
     pub residency: Residency,
 }
@@ -111,7 +111,7 @@
     /// Whether the service answers `GET /outcomes/{key}` with the outcome of a call that was sent to it.
     #[serde(rename = "outcomes", default)]
     pub reports_outcomes: bool,
-    /// Where requests for it may be served, beside what the team's own rule permits.
+    /// Regions in which requests for it may be served. The team's own rule has to permit the region too.
     #[serde(default)]
     pub residency: Residency,
 }
--- a/crates/medlarlug-core/src/release/validation.rs
+++ b/crates/medlarlug-core/src/release/validation.rs
@@ -15,7 +15,8 @@
 ///
 /// # Errors
 ///
-/// Returns the first violation: references are checked before zones, and zones before bearer keys.
+/// Returns the first violation. References are checked first, in the order of the items' keys, then zones,
+/// then bearer keys.
 pub fn check(configuration: &Configuration) -> Result<(), NoteError> {
     for item in configuration.items() {
         check_references(configuration, item)?;
--- a/crates/medlarlug-core/tests/testsuite/booking_history.rs
+++ b/crates/medlarlug-core/tests/testsuite/booking_history.rs
@@ -1,6 +1,8 @@
-//! Histories of bookings: several entry instances, two home groups, lost, late, crossed and
-//! doubled messages, crashes, moves of the home, groups that lose their state or are rebuilt from a
-//! survivor that lagged behind, and services that are asked about unknown outcomes.
+//! Random histories of bookings, checked for calls that run more than once and for lost outcomes.
+//!
+//! Several entry instances and two home groups exchange messages that may be lost, delayed, reordered or
+//! duplicated. Instances crash, the team moves between home regions, groups lose their state or are rebuilt
+//! from a replica that lagged behind, and services are queried for unknown outcomes.
 
 use std::time::Duration;
 
@@ -23,7 +25,7 @@
 const KEYS: usize = 5;
 const STEPS: usize = 600;
 
-/// Where the team lives from one revision on.
+/// Home region of the team from one revision on.
 #[derive(Debug, Clone)]
 struct Home {
     region: usize,
@@ -31,7 +33,7 @@
     moved: bool,
 }
 
-/// A message on its way; any of them may be delivered next.
+/// Message in flight; messages are delivered in random order.
 #[derive(Debug, Clone)]
 enum Message {
     Propose { from: RequestId, step: u32, region: usize, action: Action },
@@ -46,22 +48,22 @@
 #[derive(Debug)]
 struct Entry {
     incarnation: Incarnation,
-    /// Its configuration: the revision, and the index of the home that it tells.
+    /// Configuration that the instance uses: its revision, and the index of the team's home in it.
     revision: Revision,
-    view: usize,
+    home_index: usize,
     attempts: Vec<(RequestId, usize, Attempt)>,
 }
 
-/// An upstream's answer that a caller got, or that an attempt ended with.
+/// Answer of an upstream that a caller received, or with which an attempt ended.
 #[derive(Debug)]
 struct Acknowledged {
     key: usize,
     answer: RecordedAnswer,
-    /// Whether the home group had recorded it before; not so when the deadline came first.
+    /// Whether the home group had recorded the answer before; false if the deadline passed first.
     is_recorded: bool,
 }
 
-struct World {
+struct Simulation {
     rng: ChaCha8Rng,
     groups: Vec<HomeGroup>,
     entries: Vec<Entry>,
@@ -70,24 +72,24 @@
     revision: Revision,
     sequence: u64,
     messages: Vec<Message>,
-    /// Requests that ran, with their key.
+    /// Requests that ran, with the numbers of their keys.
     runs: Vec<(RequestId, usize)>,
-    /// Requests whose entry instance got the upstream's answer.
+    /// Requests whose entry instance received the upstream's answer.
     answered: Vec<RequestId>,
     refused: Vec<RequestId>,
     acknowledged: Vec<Acknowledged>,
-    loss: Loss,
-    /// An earlier state of each group: that of a voter that lags behind.
+    mode: StateLossMode,
+    /// Earlier state of each group, as a replica that lags behind has it.
     survivors: Vec<HomeGroup>,
 }
 
-/// How a group may lose state.
+/// How groups lose state in a history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Loss {
+enum StateLossMode {
     Never,
-    /// All of it.
-    Whole,
-    /// What a survivor, from which it is rebuilt, lacks.
+    /// A group loses its whole state.
+    Complete,
+    /// A group is rebuilt from a lagging replica and loses the commands that the replica lacks.
     Rebuilt,
 }
 
@@ -108,15 +110,15 @@
     RecordedAnswer { status: 201, content_type: "text/plain".into(), body }
 }
 
-impl World {
-    fn new(seed: u64, loss: Loss) -> World {
+impl Simulation {
+    fn new(seed: u64, mode: StateLossMode) -> Simulation {
         let entry = |_| Entry {
             incarnation: Incarnation(1),
             revision: Revision(3),
-            view: 0,
+            home_index: 0,
             attempts: Vec::new(),
         };
-        let mut world = World {
+        let mut simulation = Simulation {
             rng: ChaCha8Rng::seed_from_u64(seed),
             groups: vec![HomeGroup::default(), HomeGroup::default()],
             entries: (0..ENTRIES).map(entry).collect(),
@@ -129,15 +131,15 @@
             answered: Vec::new(),
             refused: Vec::new(),
             acknowledged: Vec::new(),
-            loss,
+            mode,
             survivors: Vec::new(),
         };
         for index in 0..REGIONS.len() {
             let revision = Revision(index as u64 + 1);
-            world.apply(index, Action::Found { revision, first: true });
+            simulation.apply(index, Action::Found { revision, first: true });
         }
-        world.survivors = world.groups.clone();
-        world
+        simulation.survivors = simulation.groups.clone();
+        simulation
     }
 
     fn apply(&mut self, region: usize, action: Action) -> Reply {
@@ -151,22 +153,22 @@
             0..12 => self.call(entry),
             12..70 => self.deliver(),
             70..80 => self.tick(entry),
-            80..86 => self.disturb(entry),
-            86..90 => self.configure(entry),
+            80..86 => self.inject_failure(entry),
+            86..90 => self.update_configuration(entry),
             90..92 => self.restart(entry),
-            92..94 => self.suspect(entry),
+            92..94 => self.presume_dead(entry),
             94..95 => self.move_home(),
-            95..98 => self.push_move(),
-            _ => self.lose_or_ask(),
+            95..98 => self.advance_move(),
+            _ => self.lose_state_or_query(),
         }
     }
 
     fn call(&mut self, entry: usize) {
         let number = self.rng.random_range(0..KEYS);
         self.sequence += 1;
-        let Entry { incarnation, revision, view, .. } = self.entries[entry];
+        let Entry { incarnation, revision, home_index, .. } = self.entries[entry];
         let instance = id(&format!("entry-{entry}"));
-        let home = self.homes[view].clone();
+        let home = self.homes[home_index].clone();
         let request: RequestId = id(&format!("riga.{instance}.{incarnation}.{}", self.sequence));
         let begin = Begin {
             team: team(),
@@ -182,10 +184,10 @@
         let mut out = Vec::new();
         let attempt = Attempt::new(region(home.region), begin, &mut out);
         self.entries[entry].attempts.push((request.clone(), number, attempt));
-        self.carry_out(&request, number, out, true);
+        self.execute(&request, number, out, true);
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         request: &RequestId,
         key: usize,
@@ -200,7 +202,7 @@
                     self.messages.push(Message::Propose { from, step, region, action });
                 }
                 Effect::Send if self.rng.random_range(0..10) == 0 => {
-                    self.feed(request, Event::NotSent);
+                    self.handle_event(request, Event::NotSent);
                 }
                 Effect::Send => {
                     self.messages.push(Message::Call { request: request.clone(), key });
@@ -214,8 +216,8 @@
         }
     }
 
-    /// Feeds an event to an attempt, if its process still runs.
-    fn feed(&mut self, request: &RequestId, event: Event) {
+    /// Passes an event to an attempt if its process is still running.
+    fn handle_event(&mut self, request: &RequestId, event: Event) {
         for entry in 0..ENTRIES {
             let attempts = &mut self.entries[entry].attempts;
             if let Some((_, number, attempt)) = attempts.iter_mut().find(|it| it.0 == *request) {
@@ -228,7 +230,7 @@
                     let answer = answer_to(request);
                     self.acknowledged.push(Acknowledged { key: number, answer, is_recorded });
                 }
-                self.carry_out(request, number, out, is_recorded);
+                self.execute(request, number, out, is_recorded);
                 return;
             }
         }
@@ -238,14 +240,14 @@
         if self.messages.is_empty() {
             return;
         }
-        let place = self.rng.random_range(0..self.messages.len());
-        let message = self.messages.swap_remove(place);
-        let fate = self.rng.random_range(0..20);
+        let index = self.rng.random_range(0..self.messages.len());
+        let message = self.messages.swap_remove(index);
+        let draw = self.rng.random_range(0..20);
         let is_call = matches!(message, Message::Call { .. } | Message::CallAnswer { .. });
-        if fate == 0 {
+        if draw == 0 {
             return;
         }
-        if fate == 1 && !is_call {
+        if draw == 1 && !is_call {
             self.messages.push(message.clone());
         }
         self.receive(message);
@@ -257,13 +259,15 @@
                 let reply = self.apply(region, action);
                 self.messages.push(Message::Reply { to: from, step, reply });
             }
-            Message::Reply { to, step, reply } => self.feed(&to, Event::Replied { step, reply }),
+            Message::Reply { to, step, reply } => {
+                self.handle_event(&to, Event::Replied { step, reply })
+            }
             Message::Call { request, key } => {
                 self.runs.push((request.clone(), key));
                 let answer = answer_to(&request);
                 self.messages.push(Message::CallAnswer { to: request, answer });
             }
-            Message::CallAnswer { to, answer } => self.feed(&to, Event::Answered(answer)),
+            Message::CallAnswer { to, answer } => self.handle_event(&to, Event::Answered(answer)),
             Message::Seal { to } => self.seal(to),
             Message::Adopt { region, handover } => {
                 let epoch = handover.epoch;
@@ -296,11 +300,12 @@
         let region = 1 - self.homes.last().unwrap().region;
         self.homes.push(Home { region, epoch: self.revision, moved: true });
         self.is_moving = true;
-        self.push_move();
+        self.advance_move();
     }
 
-    /// The new home asks the former one for the team's bookings, until it has adopted them.
-    fn push_move(&mut self) {
+    /// The new home requests the team's bookings from the former one until it has adopted them, and then
+    /// requests their release.
+    fn advance_move(&mut self) {
         let Home { region: to, epoch, moved } = self.homes.last().unwrap().clone();
         let from = moved.then(|| region(1 - to));
         let home = TeamHome { team: team(), region: region(to), epoch, from };
@@ -311,11 +316,11 @@
         }
     }
 
-    /// A service is asked about an unknown booking, and tells its answer if it ran.
-    fn ask_service(&mut self) {
+    /// Queries services for unknown outcomes; a service returns the answer if the call ran.
+    fn query_services(&mut self) {
         let region = self.rng.random_range(0..REGIONS.len());
-        let questions: Vec<OutcomeQuery> = self.groups[region].outcome_queries().collect();
-        for OutcomeQuery { team, key, request, .. } in questions {
+        let queries: Vec<OutcomeQuery> = self.groups[region].outcome_queries().collect();
+        for OutcomeQuery { team, key, request, .. } in queries {
             if self.runs.iter().any(|it| it.0 == request) {
                 let answer = answer_to(&request);
                 self.messages.push(Message::Propose {
@@ -328,36 +333,37 @@
         }
     }
 
-    /// A voter of a group has applied all that the group has, and falls behind from now on.
-    fn lag(&mut self) {
+    /// Saves the current state of a group as that of a replica that lags behind from now on.
+    fn save_survivor(&mut self) {
         let region = self.rng.random_range(0..REGIONS.len());
         self.survivors[region] = self.groups[region].clone();
     }
 
-    fn lose_or_ask(&mut self) {
-        // The draws of earlier kinds stay as they were when their seeds once failed.
-        let draw = match self.loss {
-            Loss::Never => return,
-            Loss::Whole | Loss::Rebuilt => self.rng.random_range(0..8),
+    fn lose_state_or_query(&mut self) {
+        // The draws of each mode must not change, so that the seeds that failed before still give the same
+        // histories.
+        let draw = match self.mode {
+            StateLossMode::Never => return,
+            StateLossMode::Complete | StateLossMode::Rebuilt => self.rng.random_range(0..8),
         };
-        match (self.loss, draw) {
-            (Loss::Rebuilt, 0) => self.rebuild(),
-            (Loss::Rebuilt, 1..4) => self.ask_service(),
-            (Loss::Rebuilt, _) => self.lag(),
-            (_, 0) => self.found_anew(),
+        match (self.mode, draw) {
+            (StateLossMode::Rebuilt, 0) => self.rebuild(),
+            (StateLossMode::Rebuilt, 1..4) => self.query_services(),
+            (StateLossMode::Rebuilt, _) => self.save_survivor(),
+            (_, 0) => self.lose_state(),
             _ => {}
         }
     }
 
-    /// A group is rebuilt from its survivor, whose answers stay; the rest of what it knew is
-    /// unknown.
+    /// Rebuilds a group from its saved replica and checks that its answers are kept and its other bookings
+    /// are unknown.
     fn rebuild(&mut self) {
         let region = self.rng.random_range(0..REGIONS.len());
         let survivor = self.survivors[region].clone();
         self.groups[region] = survivor.clone();
         self.apply(region, Action::Rebuilt);
         self.revision = self.revision.next();
-        // A configuration group that was rebuilt as well may call the founding the first.
+        // A configuration group that was rebuilt as well may report that this founding is the first.
         let first = self.rng.random_bool(0.5);
         self.apply(region, Action::Found { revision: self.revision, first });
         for number in 0..KEYS {
@@ -372,8 +378,8 @@
         self.survivors[region] = self.groups[region].clone();
     }
 
-    /// A group loses all its state and is founded anew.
-    fn found_anew(&mut self) {
+    /// A group loses its whole state and is founded again.
+    fn lose_state(&mut self) {
         let region = self.rng.random_range(0..REGIONS.len());
         self.revision = self.revision.next();
         self.groups[region] = HomeGroup::default();
@@ -381,10 +387,10 @@
     }
 
     fn restart(&mut self, entry: usize) {
-        let entry_state = &mut self.entries[entry];
-        entry_state.incarnation = entry_state.incarnation.next();
-        entry_state.attempts.clear();
-        let incarnation = entry_state.incarnation;
+        let state = &mut self.entries[entry];
+        state.incarnation = state.incarnation.next();
+        state.attempts.clear();
+        let incarnation = state.incarnation;
         for region in 0..REGIONS.len() {
             let instance = id(&format!("entry-{entry}"));
             let action = Action::InstanceStarted { instance, incarnation };
@@ -393,14 +399,14 @@
         }
     }
 
-    /// An entry instance learns the newest configuration.
-    fn configure(&mut self, entry: usize) {
+    /// An entry instance applies the newest configuration.
+    fn update_configuration(&mut self, entry: usize) {
         self.entries[entry].revision = self.revision;
-        self.entries[entry].view = self.homes.len() - 1;
+        self.entries[entry].home_index = self.homes.len() - 1;
     }
 
-    /// A group takes a running instance for lost.
-    fn suspect(&mut self, entry: usize) {
+    /// A group presumes a running instance dead.
+    fn presume_dead(&mut self, entry: usize) {
         let region = self.rng.random_range(0..REGIONS.len());
         let incarnation = self.entries[entry].incarnation;
         let instance = id(&format!("entry-{entry}"));
@@ -411,29 +417,29 @@
         let requests: Vec<RequestId> =
             self.entries[entry].attempts.iter().map(|it| it.0.clone()).collect();
         for request in requests {
-            self.feed(&request, Event::Tick);
+            self.handle_event(&request, Event::Tick);
         }
     }
 
-    fn disturb(&mut self, entry: usize) {
+    fn inject_failure(&mut self, entry: usize) {
         let count = self.entries[entry].attempts.len();
         if count == 0 {
             return;
         }
-        let place = self.rng.random_range(0..count);
-        let request = self.entries[entry].attempts[place].0.clone();
+        let index = self.rng.random_range(0..count);
+        let request = self.entries[entry].attempts[index].0.clone();
         let event =
             if self.rng.random_range(0..2) == 0 { Event::Deadline } else { Event::AnswerLost };
-        self.feed(&request, event);
+        self.handle_event(&request, event);
     }
 
-    /// Lets every message arrive and a move of the home end.
-    fn settle(&mut self) {
+    /// Delivers all messages in flight and completes a move of the home.
+    fn deliver_all(&mut self) {
         for _ in 0..20 {
             for entry in 0..ENTRIES {
                 self.tick(entry);
             }
-            self.push_move();
+            self.advance_move();
             for message in std::mem::take(&mut self.messages) {
                 self.receive(message);
             }
@@ -454,7 +460,7 @@
             std::mem::take(&mut self.acknowledged)
         {
             let run = self.runs.iter().find(|it| it.1 == number).map(|it| answer_to(&it.0));
-            assert_eq!(Some(&answer), run.as_ref(), "seed {seed}: crossed answer");
+            assert_eq!(Some(&answer), run.as_ref(), "seed {seed}: answer of another request");
             let request = id("riga.entry-9.1.1");
             let owner = Owner { instance: id("entry-9"), incarnation: Incarnation(1) };
             let content = Fingerprint::of(&[number as u8]);
@@ -478,7 +484,9 @@
 
             let is_known = match &reply {
                 Reply::Begin(BeginReply::Done { answer: recorded, .. }) => *recorded == answer,
-                Reply::Begin(BeginReply::Unknown(_)) => self.loss != Loss::Never || !is_recorded,
+                Reply::Begin(BeginReply::Unknown(_)) => {
+                    self.mode != StateLossMode::Never || !is_recorded
+                }
                 Reply::Begin(BeginReply::InProgress(_)) => !is_recorded,
                 _ => false,
             };
@@ -487,24 +495,24 @@
     }
 }
 
-fn run_histories(seeds: std::ops::Range<u64>, loss: Loss) -> (usize, usize) {
+fn run_histories(seeds: std::ops::Range<u64>, mode: StateLossMode) -> (usize, usize) {
     let (mut runs, mut acknowledged) = (0, 0);
     for seed in seeds {
-        let mut world = World::new(seed, loss);
+        let mut simulation = Simulation::new(seed, mode);
         for _ in 0..STEPS {
-            world.step();
+            simulation.step();
         }
-        world.settle();
-        runs += world.runs.len();
-        acknowledged += world.acknowledged.len();
-        world.check(seed);
+        simulation.deliver_all();
+        runs += simulation.runs.len();
+        acknowledged += simulation.acknowledged.len();
+        simulation.check(seed);
     }
     (runs, acknowledged)
 }
 
 #[test]
 fn booking_runs_at_most_once_over_crashes_and_moves() {
-    let (runs, acknowledged) = run_histories(0..3_000, Loss::Never);
+    let (runs, acknowledged) = run_histories(0..3_000, StateLossMode::Never);
 
     assert!(runs > 3_000, "the histories ran only {runs} bookings");
     assert!(acknowledged > 3_000, "the histories acknowledged only {acknowledged} bookings");
@@ -512,7 +520,7 @@
 
 #[test]
 fn booking_runs_at_most_once_when_groups_lose_their_state() {
-    let (runs, acknowledged) = run_histories(10_000..13_000, Loss::Whole);
+    let (runs, acknowledged) = run_histories(10_000..13_000, StateLossMode::Complete);
 
     assert!(runs > 3_000, "the histories ran only {runs} bookings");
     assert!(acknowledged > 1_000, "the histories acknowledged only {acknowledged} bookings");
@@ -520,18 +528,18 @@
 
 #[test]
 fn booking_runs_at_most_once_when_groups_are_rebuilt_from_a_survivor() {
-    let (runs, acknowledged) = run_histories(20_000..23_000, Loss::Rebuilt);
+    let (runs, acknowledged) = run_histories(20_000..23_000, StateLossMode::Rebuilt);
 
     assert!(runs > 3_000, "the histories ran only {runs} bookings");
     assert!(acknowledged > 1_000, "the histories acknowledged only {acknowledged} bookings");
 }
 
 #[test]
-fn histories_that_once_failed() {
+fn histories_that_failed_before_pass() {
     for seed in [10_294, 202_417, 205_035, 214_013] {
-        run_histories(seed..seed + 1, Loss::Whole);
+        run_histories(seed..seed + 1, StateLossMode::Complete);
     }
     for seed in [20_002, 21_176, 32_346] {
-        run_histories(seed..seed + 1, Loss::Rebuilt);
+        run_histories(seed..seed + 1, StateLossMode::Rebuilt);
     }
 }
--- a/crates/medlarlug-core/tests/testsuite/home_limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/home_limits.rs
@@ -1,4 +1,4 @@
-//! Bounds of a home group: keys, bodies, retention, and what a group answers that lost its state.
+//! Limits of a home group on keys and bodies, retention, and replies of a group that lost its state.
 
 use std::time::Duration;
 
@@ -80,10 +80,10 @@
 
     apply(&mut group, Duration::ZERO, Action::Rebuilt);
     let early = reply_to(&mut group, begin("done", 3));
-    // A repeated command of an owner whose key may have been begun again since then.
+    // Duplicate of an owner's command; another request may have used the key since then.
     let (team, key) = (id("anna"), "open".parse().unwrap());
     let late = Action::Abandon { team, key, request: id("riga.entry-1.1.1") };
-    // A configuration group that was rebuilt as well may call this founding the first.
+    // A configuration group that was rebuilt as well may report that this founding is the first.
     apply(&mut group, Duration::ZERO, Action::Found { revision: FOUNDED, first: true });
 
     let late = apply(&mut group, Duration::ZERO, late);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn group_that_lost_its_state_takes_no_booking_from_an_older_configuration() {
+fn group_that_lost_its_state_refuses_bookings_from_an_older_configuration() {
     let mut group = founded(false);
     let older = Begin { revision: Revision(49), ..begin("50~boat-1", 3) };
 
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn team_that_is_newer_than_the_loss_books_at_once() {
+fn team_newer_than_the_loss_can_book_at_once() {
     let mut group = founded(false);
 
     let reply = reply_to(&mut group, begin("boat-1", 51));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn group_without_founding_takes_nothing() {
+fn group_that_is_not_founded_refuses_commands() {
     let mut group = HomeGroup::default();
 
     let begun = reply_to(&mut group, begin("boat-1", 3));
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn key_beyond_the_bound_is_refused_and_none_is_dropped() {
+fn key_over_the_limit_is_refused_and_no_key_is_evicted() {
     let mut group = founded(true);
     for number in 0..16_384 {
         assert_eq!(reply_to(&mut group, begin(&format!("k{number}"), 3)), BeginReply::Started);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn oldest_bodies_are_omitted_beyond_the_bound_but_no_outcome() {
+fn oldest_bodies_over_the_limit_are_omitted_but_outcomes_are_kept() {
     let mut group = founded(true);
     let body = [7; 16 * 1024];
     let count = 64 * 64 + 10;
@@ -193,7 +193,7 @@
     assert_eq!(kept, Body::Whole(body.to_vec()));
 }
 
-/// A handover of revision 40 with one booking of each state.
+/// Handover of revision 40, older than the founding, with one booking in each state.
 fn old_handover() -> Handover {
     let booking = |key: &str, state| {
         let Begin { key, content, request, .. } = begin(key, 3);
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn group_that_lost_its_state_takes_outcomes_only_from_an_older_handover() {
+fn group_that_lost_its_state_adopts_only_outcomes_from_an_older_handover() {
     let mut group = founded(false);
     apply(&mut group, Duration::ZERO, Action::Adopt(old_handover()));
     let Begin { team, key, request, .. } = begin("unknown", 40);
@@ -240,30 +240,32 @@
 }
 
 #[test]
-fn services_are_asked_about_unknown_bookings_for_a_while_and_not_about_others() {
+fn services_are_queried_only_for_unknown_outcomes_and_for_a_limited_time() {
     let mut group = founded(true);
     let queryable = |key: &str| Begin { queryable_service: Some(id("jobdesk")), ..begin(key, 3) };
-    for it in [queryable("lost"), queryable("settled"), queryable("done"), begin("unaskable", 3)] {
+    for it in
+        [queryable("lost"), queryable("resolved"), queryable("done"), begin("not-queryable", 3)]
+    {
         reply_to(&mut group, it);
     }
     finish(&mut group, &begin("done", 3), b"booked");
     let Begin { owner: Owner { instance, incarnation }, .. } = begin("lost", 3);
-    let asked = |group: &HomeGroup| -> Vec<String> {
+    let queried = |group: &HomeGroup| -> Vec<String> {
         group.outcome_queries().map(|it| it.key.to_string()).collect()
     };
 
-    let open = asked(&group);
+    let open = queried(&group);
     apply(&mut group, Duration::ZERO, Action::InstanceDead { instance, incarnation });
-    let lost = asked(&group);
-    let Begin { team, key, request, .. } = begin("settled", 3);
+    let lost = queried(&group);
+    let Begin { team, key, request, .. } = begin("resolved", 3);
     let answer =
         RecordedAnswer { status: 200, content_type: "text/plain".into(), body: Body::of(b"") };
     apply(&mut group, Duration::ZERO, Action::ResolveOutcome { team, key, request, answer });
-    let settled = asked(&group);
+    let resolved = queried(&group);
     apply(&mut group, OUTCOME_QUERY_PERIOD + Duration::from_secs(1), Action::Tick);
 
     assert!(open.is_empty());
-    assert_eq!(lost, ["lost", "settled"]);
-    assert_eq!(settled, ["lost"]);
-    assert!(asked(&group).is_empty());
+    assert_eq!(lost, ["lost", "resolved"]);
+    assert_eq!(resolved, ["lost"]);
+    assert!(queried(&group).is_empty());
 }
--- a/crates/medlarlug-core/tests/testsuite/home_model.rs
+++ b/crates/medlarlug-core/tests/testsuite/home_model.rs
@@ -1,4 +1,4 @@
-//! The bookings of a home group against a naive model that scans a plain list.
+//! Bookings of a home group, compared with a naive model that scans a list.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 use rand_chacha::ChaCha8Rng;
 use test_support::id;
 
-/// One booking of the naive model.
+/// Booking of the naive model.
 #[derive(Debug, Clone)]
-struct Row {
+struct NaiveBooking {
     team: TeamId,
     key: BookingKey,
     content: Fingerprint,
@@ -25,16 +25,16 @@
     ended: Option<Duration>,
 }
 
-/// A group that holds every team, as a list that is scanned from end to end.
+/// Model of a group that holds all teams: a list of bookings that is scanned from end to end.
 #[derive(Debug, Default)]
-struct Naive {
+struct NaiveModel {
     clock: Duration,
-    rows: Vec<Row>,
+    rows: Vec<NaiveBooking>,
     teams: Vec<TeamId>,
     started: Vec<(InstanceId, Incarnation)>,
 }
 
-impl Naive {
+impl NaiveModel {
     fn apply(&mut self, command: Command) -> Reply {
         self.clock += command.elapsed;
         let clock = self.clock;
@@ -46,7 +46,7 @@
                 Reply::Ok
             }
             Action::InstanceDead { instance, incarnation } => {
-                self.lose_where(|owner| {
+                self.mark_unknown_where(|owner| {
                     owner.instance == instance && owner.incarnation == incarnation
                 });
                 Reply::Ok
@@ -67,7 +67,7 @@
         }
     }
 
-    fn row(&mut self, team: &TeamId, key: &BookingKey) -> Option<&mut Row> {
+    fn row(&mut self, team: &TeamId, key: &BookingKey) -> Option<&mut NaiveBooking> {
         self.rows.iter_mut().find(|it| it.team == *team && it.key == *key)
     }
 
@@ -79,7 +79,7 @@
         }
         self.start(&instance, incarnation);
         self.teams.push(begin.team.clone());
-        let open = Row {
+        let open = NaiveBooking {
             team: begin.team.clone(),
             key: begin.key.clone(),
             content: begin.content,
@@ -114,19 +114,21 @@
             return;
         }
         self.started.push((instance.clone(), incarnation));
-        self.lose_where(|owner| owner.instance == *instance && owner.incarnation < incarnation);
+        self.mark_unknown_where(|owner| {
+            owner.instance == *instance && owner.incarnation < incarnation
+        });
     }
 
-    fn lose_where(&mut self, is_lost: impl Fn(&Owner) -> bool) {
+    fn mark_unknown_where(&mut self, is_dead: impl Fn(&Owner) -> bool) {
         for row in &mut self.rows {
-            if matches!(&row.state, BookingState::Open(owner) if is_lost(owner)) {
+            if matches!(&row.state, BookingState::Open(owner) if is_dead(owner)) {
                 row.state = BookingState::Unknown;
                 row.ended = Some(self.clock);
             }
         }
     }
 
-    /// Ends a booking that is in one of the states `from`: `o` for open, `u` for unknown.
+    /// Ends a booking that is in one of the states in `from`: `o` for open, `u` for unknown.
     fn end(
         &mut self,
         team: &TeamId,
@@ -153,9 +155,9 @@
             return Reply::Ok;
         }
         let is_repeated = std::mem::discriminant(&row.state) == std::mem::discriminant(&state);
-        let is_late_loss =
+        let is_late_unknown =
             state == BookingState::Unknown && matches!(row.state, BookingState::Done(_));
-        if is_repeated || is_late_loss { Reply::Ok } else { Reply::NoSuchBooking }
+        if is_repeated || is_late_unknown { Reply::Ok } else { Reply::NoSuchBooking }
     }
 }
 
@@ -202,7 +204,7 @@
         let mut group = HomeGroup::default();
         let found = Action::Found { revision: Revision(1), first: true };
         group.apply(Command { elapsed: Duration::ZERO, action: found });
-        let mut naive = Naive::default();
+        let mut naive = NaiveModel::default();
         for step in 0..200 {
             let command = random_command(&mut rng);
 
--- a/crates/medlarlug-core/tests/testsuite/home_tables.rs
+++ b/crates/medlarlug-core/tests/testsuite/home_tables.rs
@@ -1,4 +1,4 @@
-//! Records of requests and quarantines of a home group against naive models.
+//! Request records and quarantines of a home group, compared with naive models.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 use rand_chacha::ChaCha8Rng;
 use test_support::id;
 
-const SUSPICION: Duration = Duration::from_secs(10 * 60);
-const QUARANTINE: Duration = Duration::from_secs(60 * 60);
+const SUSPICION_LIFETIME: Duration = Duration::from_secs(10 * 60);
+const QUARANTINE_LIFETIME: Duration = Duration::from_secs(60 * 60);
 
 fn founded() -> HomeGroup {
     let mut group = HomeGroup::default();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn open_records_of_a_lost_incarnation_are_not_recorded() {
+fn open_records_of_a_dead_incarnation_become_not_recorded() {
     let mut group = founded();
     let (open, ended) = ("riga.entry-1.1.1", "riga.entry-1.1.2");
     let records = vec![record(open, None), record(ended, Some(Outcome::Answered))];
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn late_batch_with_the_end_replaces_not_recorded() {
+fn late_outcome_replaces_not_recorded() {
     let mut group = founded();
     let request = "riga.entry-1.1.1";
     apply(&mut group, Action::Records(vec![record(request, None)]));
@@ -77,7 +77,7 @@
         apply(&mut group, Action::Records(records));
     }
 
-    // 66 batches of 1,024 are 2,048 more than the 65,536 that are kept.
+    // 66 batches of 1,024 records exceed the limit of 65,536 records by 2,048.
     assert_eq!(group.look_up(&id("riga.entry-1.1.2047")), RecordLookup::Expired);
     assert_matches!(group.look_up(&id("riga.entry-1.1.2048")), RecordLookup::Found(_));
     assert_eq!(group.look_up(&id("riga.entry-1.1.70000")), RecordLookup::Pending);
@@ -97,8 +97,10 @@
             apply(&mut group, Action::Records(vec![record.clone()]));
             match naive.iter_mut().find(|it| it.id == record.id) {
                 None => naive.push(record),
-                Some(held) if rank(&record) > rank(held) || held.outcome.is_none() => {
-                    *held = record;
+                Some(stored)
+                    if outcome_rank(&record) > outcome_rank(stored) || stored.outcome.is_none() =>
+                {
+                    *stored = record;
                 }
                 Some(_) => {}
             }
@@ -111,8 +113,8 @@
     }
 }
 
-/// How much a record tells of the end.
-fn rank(record: &RequestRecord) -> u8 {
+/// Rank of a record by how much it says about the outcome.
+fn outcome_rank(record: &RequestRecord) -> u8 {
     match record.outcome {
         None => 0,
         Some(Outcome::NotRecorded) => 1,
@@ -121,87 +123,98 @@
     }
 }
 
-/// Every loss that was reported, by request.
+/// Naive model of the quarantines: a list of all reported crashes.
 #[derive(Default)]
-struct NaiveLosses {
+struct NaiveQuarantines {
     clock: Duration,
-    losses: Vec<(Fingerprint, UpstreamId, Incarnation, Duration)>,
+    crashes: Vec<(Fingerprint, UpstreamId, Incarnation, Duration)>,
     quarantined: Vec<(Fingerprint, Duration)>,
 }
 
-impl NaiveLosses {
-    fn is_quarantined(&self, print: Fingerprint) -> bool {
-        self.quarantined.iter().any(|it| it.0 == print && it.1 + QUARANTINE > self.clock)
+impl NaiveQuarantines {
+    fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
+        self.quarantined
+            .iter()
+            .any(|it| it.0 == fingerprint && it.1 + QUARANTINE_LIFETIME > self.clock)
     }
 
-    fn lose(&mut self, print: Fingerprint, upstream: &UpstreamId, incarnation: Incarnation) {
-        if self.is_quarantined(print) {
+    fn record_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        upstream: &UpstreamId,
+        incarnation: Incarnation,
+    ) {
+        if self.is_quarantined(fingerprint) {
             return;
         }
-        let last = self.losses.iter().filter(|it| it.0 == print).map(|it| it.3).max();
-        if last.is_none_or(|it| it + SUSPICION <= self.clock) {
-            self.losses.retain(|it| it.0 != print);
+        let last = self.crashes.iter().filter(|it| it.0 == fingerprint).map(|it| it.3).max();
+        if last.is_none_or(|it| it + SUSPICION_LIFETIME <= self.clock) {
+            self.crashes.retain(|it| it.0 != fingerprint);
         }
         let is_reported = |it: &&(Fingerprint, UpstreamId, Incarnation, Duration)| {
-            it.0 == print && it.1 == *upstream && it.2 == incarnation
+            it.0 == fingerprint && it.1 == *upstream && it.2 == incarnation
         };
-        if !self.losses.iter().any(|it| is_reported(&it)) {
-            self.losses.push((print, upstream.clone(), incarnation, self.clock));
+        if !self.crashes.iter().any(|it| is_reported(&it)) {
+            self.crashes.push((fingerprint, upstream.clone(), incarnation, self.clock));
         }
-        if self.losses.iter().filter(|it| it.0 == print).count() == 2 {
-            self.losses.retain(|it| it.0 != print);
-            self.quarantined.push((print, self.clock));
+        if self.crashes.iter().filter(|it| it.0 == fingerprint).count() == 2 {
+            self.crashes.retain(|it| it.0 != fingerprint);
+            self.quarantined.push((fingerprint, self.clock));
         }
     }
 }
 
 #[test]
-fn two_losses_quarantine_as_a_list_scan_tells() {
+fn two_crashes_quarantine_a_request_as_in_a_list_scan() {
     let mut quarantines = 0;
     for seed in 0..500 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut group, mut naive) = (founded(), NaiveLosses::default());
+        let (mut group, mut naive) = (founded(), NaiveQuarantines::default());
         for _ in 0..200 {
             let elapsed = Duration::from_secs(rng.random_range(0..400));
             naive.clock += elapsed;
-            let print = Fingerprint(rng.random_range(0..4));
+            let fingerprint = Fingerprint(rng.random_range(0..4));
             let action = if rng.random_range(0..5) == 0 {
-                naive.losses.retain(|it| it.0 != print);
-                Action::Clear(print)
+                naive.crashes.retain(|it| it.0 != fingerprint);
+                Action::Clear(fingerprint)
             } else {
                 let upstream: UpstreamId = id(&format!("engine-{}", rng.random_range(0..2)));
                 let incarnation = Incarnation(rng.random_range(0..2));
-                naive.lose(print, &upstream, incarnation);
-                Action::Loss { upstream, incarnation, suspects: vec![print] }
+                naive.record_crash(fingerprint, &upstream, incarnation);
+                Action::Loss { upstream, incarnation, suspects: vec![fingerprint] }
             };
 
             group.apply(Command { elapsed, action });
 
-            for print in (0..4).map(Fingerprint) {
+            for fingerprint in (0..4).map(Fingerprint) {
                 let is_quarantined =
-                    group.suspect(print).is_some_and(|it| it.quarantined.is_some());
-                assert_eq!(is_quarantined, naive.is_quarantined(print), "seed {seed}: {print}");
+                    group.suspect(fingerprint).is_some_and(|it| it.quarantined.is_some());
+                assert_eq!(
+                    is_quarantined,
+                    naive.is_quarantined(fingerprint),
+                    "seed {seed}: {fingerprint}"
+                );
                 quarantines += usize::from(is_quarantined);
             }
         }
     }
-    assert!(quarantines > 1_000, "quarantines were seen {quarantines} times only");
+    assert!(quarantines > 1_000, "only {quarantines} quarantines occurred");
 }
 
 #[test]
-fn one_loss_that_several_instances_report_counts_once() {
+fn crash_reported_by_several_instances_counts_once() {
     let mut group = founded();
-    let print = Fingerprint::of(b"crash");
-    let loss = |incarnation| Action::Loss {
+    let fingerprint = Fingerprint::of(b"crash");
+    let crash = |incarnation| Action::Loss {
         upstream: id("engine-1"),
         incarnation: Incarnation(incarnation),
-        suspects: vec![print],
+        suspects: vec![fingerprint],
     };
-    apply(&mut group, loss(1));
+    apply(&mut group, crash(1));
 
-    let again = apply(&mut group, loss(1));
-    let second = apply(&mut group, loss(2));
+    let repeated = apply(&mut group, crash(1));
+    let second = apply(&mut group, crash(2));
 
-    assert_matches!(again, Reply::Suspects(it) => assert_eq!(it[0].quarantined, None));
-    assert_matches!(second, Reply::Suspects(it) => assert_eq!(it[0].quarantined, Some(QUARANTINE)));
+    assert_matches!(repeated, Reply::Suspects(it) => assert_eq!(it[0].quarantined, None));
+    assert_matches!(second, Reply::Suspects(it) => assert_eq!(it[0].quarantined, Some(QUARANTINE_LIFETIME)));
 }
--- a/crates/medlarlug-core/tests/testsuite/record_batch.rs
+++ b/crates/medlarlug-core/tests/testsuite/record_batch.rs
@@ -1,4 +1,4 @@
-//! The encoding of a batch of records.
+//! Encoding of batches of request records.
 
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn batch_is_the_same_after_its_encoding() {
+fn encoded_batch_decodes_to_the_same_records() {
     for seed in 0..500 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(0..60);
@@ -56,17 +56,17 @@
 }
 
 #[test]
-fn damaged_batch_is_refused_or_decodes_to_another_batch() {
+fn corrupted_batch_is_refused_or_decodes_without_panic() {
     let mut refused = 0;
     for seed in 0..2_000 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let action = Action::Records((0..8).map(|_| record(&mut rng)).collect());
         let mut bytes = postcard::to_stdvec(&action).unwrap();
-        let place = rng.random_range(0..bytes.len());
-        bytes[place] ^= rng.random_range(1..=255u8);
+        let index = rng.random_range(0..bytes.len());
+        bytes[index] ^= rng.random_range(1..=255u8);
 
         refused += usize::from(postcard::from_bytes::<Action>(&bytes).is_err());
     }
 
-    assert!(refused > 0, "no damage was found");
+    assert!(refused > 0, "no corrupted batch was refused");
 }
--- a/crates/medlarlug-core/tests/testsuite/release.rs
+++ b/crates/medlarlug-core/tests/testsuite/release.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn note_on_an_old_base_is_refused() {
+fn note_with_an_outdated_base_is_refused() {
     let first = ReleaseNote::try_from(note(0, vec![region("riga", &["riga-a"])])).unwrap();
     let current = first.apply(&Configuration::default()).unwrap();
 
