--- a/src/coordination/keeper/duties/confirmations.rs
+++ b/src/coordination/keeper/duties/confirmations.rs
@@ -1,9 +1,10 @@
-//! Where revisions are in force, as the leader of the configuration group knows it; and the
-//! removal of items that have drained since.
+//! Rollout of revisions to the instances, tracked by the leader of the configuration group, and the
+//! removal of drained items once it is complete.
 //!
-//! An instance confirms its revision by each question that it asks this keeper, and by its
-//! heartbeats. Every instance of the cluster file counts as a member for good: one that is not
-//! heard may still get confirmations from its peers, so only the passing of its lease covers it.
+//! An instance confirms its revision by each update request that it sends to this keeper, and by its
+//! heartbeats. Every instance of the cluster file counts permanently: one that this keeper receives
+//! nothing from may still get confirmations of its configuration from its peers, so a revision counts
+//! as rolled out to it only once its lease has expired.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -20,7 +21,7 @@
         calls,
         keeper::{
             Keeper,
-            duties::{CALL_LIMIT, ROUND},
+            duties::{CALL_TIMEOUT, TASK_INTERVAL},
             machine::StateMachine,
         },
         node::Node,
@@ -28,28 +29,28 @@
     protocol::GroupId,
 };
 
-/// Where revisions are in force; empty while this keeper does not lead.
+/// The revisions that instances have confirmed; empty while this keeper doesn't lead.
 #[derive(Default)]
 pub struct Confirmations {
     tracker: RefCell<Option<RolloutTracker>>,
 }
 
 impl Confirmations {
-    /// An instance told its revision.
-    pub fn told(&self, node: &Node, instance: &InstanceId, revision: Revision) {
+    /// Records the revision that `instance` reported; ignored while this keeper doesn't lead.
+    pub fn record(&self, node: &Node, instance: &InstanceId, revision: Revision) {
         let Some(peer) = node.cluster.peer(instance) else { return };
         if let Some(tracker) = &mut *self.tracker.borrow_mut() {
             tracker.record_confirmation(instance.clone(), peer.zone.clone(), revision);
         }
     }
 
-    /// Where `revision` is in force; `None` while this keeper does not lead.
-    pub fn force(&self, node: &Node, revision: Revision) -> Option<Rollout> {
+    /// The rollout of `revision`; `None` while this keeper doesn't lead.
+    pub fn rollout(&self, node: &Node, revision: Revision) -> Option<Rollout> {
         Some(self.tracker.borrow().as_ref()?.rollout(node.now(), revision))
     }
 
-    /// Brings the tracker up to date with the group's newest revision.
-    fn committed(&self, node: &Node, revision: Revision) {
+    /// Records the group's newest revision, and what the heartbeats of live instances report.
+    fn update(&self, node: &Node, revision: Revision) {
         let mut tracker = self.tracker.borrow_mut();
         let tracker = tracker.get_or_insert_with(|| new_tracker(node));
         tracker.record_commit(node.now(), revision);
@@ -75,21 +76,21 @@
     tracker
 }
 
-/// Follows the revisions while this keeper leads the configuration group.
+/// Tracks rollouts and removes drained items while this keeper leads the configuration group.
 pub async fn run(keeper: Rc<Keeper>, mut stop: watch::Receiver<bool>) {
     let mut changes = keeper.changes();
-    let mut rounds = interval(ROUND);
+    let mut ticks = interval(TASK_INTERVAL);
     let mut draining = DrainTracker::default();
     loop {
         tokio::select! {
-            _ = rounds.tick() => {}
+            _ = ticks.tick() => {}
             _ = changes.changed() => {}
             _ = stop.wait_for(|stop| *stop) => return,
         }
         match newest_revision(&keeper) {
             Some(revision) => {
-                keeper.confirmations.committed(&keeper.node, revision);
-                if let Some(configuration) = newest_draining(&keeper) {
+                keeper.confirmations.update(&keeper.node, revision);
+                if let Some(configuration) = draining_configuration(&keeper) {
                     remove_drained(&keeper, &configuration, &mut draining).await;
                 }
             }
@@ -110,10 +111,11 @@
     keeper.with_state_machine(&group, StateMachine::revision).flatten()
 }
 
-/// The newest configuration, if something drains.
+/// A copy of the newest configuration, if it has draining items.
 ///
-/// It is copied for that only: every commit of every group of this keeper leads here.
-fn newest_draining(keeper: &Keeper) -> Option<Configuration> {
+/// Without draining items nothing is copied, since this runs after every commit of every group of
+/// this keeper.
+fn draining_configuration(keeper: &Keeper) -> Option<Configuration> {
     let newest = keeper.with_state_machine(&GroupId::Configuration, |machine| match machine {
         StateMachine::Configuration(machine) => {
             Some(machine.configuration()).filter(|it| !it.draining().is_empty()).cloned()
@@ -125,14 +127,14 @@
 
 async fn remove_drained(keeper: &Keeper, newest: &Configuration, draining: &mut DrainTracker) {
     let node = &keeper.node;
-    let force = keeper.confirmations.force(node, newest.last_note_revision);
-    let is_everywhere = force.is_some_and(|it| it.is_complete());
-    let items = draining.removable_items(node.now(), newest, is_everywhere);
+    let rollout = keeper.confirmations.rollout(node, newest.last_note_revision);
+    let is_rollout_complete = rollout.is_some_and(|it| it.is_complete());
+    let items = draining.removable_items(node.now(), newest, is_rollout_complete);
     if items.is_empty() {
         return;
     }
     let command = Command::RemoveDrained { revision: newest.revision, items };
-    match calls::submit_configuration_command(node, command, CALL_LIMIT).await {
+    match calls::submit_configuration_command(node, command, CALL_TIMEOUT).await {
         Ok(Reply::Removed(revision)) => tracing::info!(%revision, "drained items removed"),
         Ok(reply) => tracing::debug!(?reply, "drained items not removed"),
         Err(error) => tracing::warn!(%error, "drained items not removed"),
--- a/src/coordination/keeper/duties/founding.rs
+++ b/src/coordination/keeper/duties/founding.rs
@@ -1,4 +1,4 @@
-//! Founding of a home group by its leader.
+//! Founding of home groups.
 
 use std::rc::Rc;
 
@@ -14,23 +14,23 @@
         calls::{self, CallError},
         keeper::{
             Keeper,
-            duties::{CALL_LIMIT, ROUND},
+            duties::{CALL_TIMEOUT, TASK_INTERVAL},
             machine::StateMachine,
         },
     },
     protocol::GroupId,
 };
 
-/// Founds the home group of `region` while this keeper leads it and it is not founded.
+/// Founds the home group of `region` as soon as this keeper leads it, if it is not founded yet.
 ///
-/// All tries of one formation of the group carry one token, whichever keeper leads: a try whose
-/// reply was lost, or whose leader was, is not taken for an earlier founding, after which keys would
-/// count as used.
+/// All attempts of one formation of the group use the same token, whichever keeper leads. So a retry
+/// after a lost reply or a failed leader is not mistaken for a second founding of the region, after
+/// which keys would count as used.
 pub async fn run(keeper: Rc<Keeper>, region: RegionId, mut stop: watch::Receiver<bool>) {
-    let mut rounds = interval(ROUND);
+    let mut ticks = interval(TASK_INTERVAL);
     loop {
         tokio::select! {
-            _ = rounds.tick() => {
+            _ = ticks.tick() => {
                 if !is_due(&keeper, &region) {
                     continue;
                 }
@@ -58,20 +58,20 @@
 
 async fn found(keeper: &Keeper, region: &RegionId, token: FoundingToken) -> Result<(), CallError> {
     let node = &keeper.node;
-    // A new leader may not have applied its log yet; a linearizable read tells.
-    if calls::read_founding_revision(node, region, CALL_LIMIT).await?.is_some() {
+    // A new leader may not have applied its log yet, so the revision needs a linearizable read.
+    if calls::read_founding_revision(node, region, CALL_TIMEOUT).await?.is_some() {
         return Ok(());
     }
     let command = configuration_group::Command::FoundHome { region: region.clone(), token };
     let (revision, first) =
-        match calls::submit_configuration_command(node, command, CALL_LIMIT).await? {
+        match calls::submit_configuration_command(node, command, CALL_TIMEOUT).await? {
             configuration_group::Reply::Founded { revision, first } => (revision, first),
             reply => {
                 tracing::warn!(%region, ?reply, "home group not founded");
                 return Ok(());
             }
         };
-    calls::submit_home_action(node, region, home::Action::Found { revision, first }, CALL_LIMIT)
+    calls::submit_home_action(node, region, home::Action::Found { revision, first }, CALL_TIMEOUT)
         .await?;
     Ok(())
 }
--- a/src/coordination/keeper/duties/mod.rs
+++ b/src/coordination/keeper/duties/mod.rs
@@ -1,13 +1,13 @@
-//! What the leader of a group does unasked.
+//! Background tasks of a keeper, most of which run only while it leads a group.
 //!
-//! * Every member of the configuration group hands new revisions to its own follower; the leader
-//!   also pushes them to every instance. The leader confirms the newest revision by reading it, and
-//!   the other members ask it.
+//! * Every member of the configuration group passes new revisions to its own follower; the leader
+//!   also pushes them to every instance. The leader confirms the newest revision by a linearizable
+//!   read; the other members request the confirmation from the leader.
 //! * The leader of a home group founds it ([`founding`]), fetches the bookings of teams whose home
-//!   moves here ([`moves`]), records which bookings have lost their owner ([`owners`]) and has
-//!   services asked about unknown outcomes ([`outcomes`]).
-//! * The leader of the configuration group keeps track of where revisions are in force, and
-//!   removes what has drained ([`confirmations`]).
+//!   region moves here ([`moves`]), records which bookings have a dead owner ([`owners`]) and has
+//!   services queried about bookings of unknown outcome ([`outcomes`]).
+//! * The leader of the configuration group tracks the rollout of revisions to the instances, and
+//!   removes items that have drained ([`confirmations`]).
 
 pub mod confirmations;
 mod founding;
@@ -28,23 +28,23 @@
     protocol::{GroupId, GroupReply, GroupRequest, Message},
 };
 
-/// Time between two rounds of a duty.
-const ROUND: Duration = Duration::from_millis(500);
+/// Interval at which a task checks for work.
+const TASK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two rounds of questions about unknown outcomes.
-const QUESTION_ROUND: Duration = Duration::from_secs(2);
+/// Interval between two batches of queries about bookings of unknown outcome.
+const OUTCOME_QUERY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time that a call of a duty may take.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+/// Time-out of a task's call to a replication group, retries included.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-pub use owners::declare_lost;
+pub use owners::record_dead_instance;
 
-/// Does the duties of the process until `stop` turns true.
+/// Starts the background tasks, which run until `stop` turns true.
 ///
-/// Each duty has a task of its own, so that a group without a leader holds up no other duty.
+/// Each job runs in its own task, so that a group without a leader doesn't delay the others.
 pub fn start(keeper: &Rc<Keeper>, stop: &watch::Receiver<bool>) {
-    task::spawn_local(follow(keeper.clone(), stop.clone()));
-    task::spawn_local(confirm_often(keeper.clone(), stop.clone()));
+    task::spawn_local(distribute_updates(keeper.clone(), stop.clone()));
+    task::spawn_local(confirm_periodically(keeper.clone(), stop.clone()));
     task::spawn_local(confirmations::run(keeper.clone(), stop.clone()));
     for group in keeper.group_ids() {
         if let GroupId::Home(region) = group {
@@ -56,10 +56,10 @@
     }
 }
 
-async fn follow(keeper: Rc<Keeper>, mut stop: watch::Receiver<bool>) {
+async fn distribute_updates(keeper: Rc<Keeper>, mut stop: watch::Receiver<bool>) {
     let mut changes = keeper.changes();
     loop {
-        follow_own_group(&keeper);
+        distribute_update(&keeper);
         tokio::select! {
             _ = changes.changed() => {}
             _ = stop.wait_for(|stop| *stop) => return,
@@ -67,27 +67,28 @@
     }
 }
 
-async fn confirm_often(keeper: Rc<Keeper>, mut stop: watch::Receiver<bool>) {
-    let mut rounds = interval(ROUND);
+async fn confirm_periodically(keeper: Rc<Keeper>, mut stop: watch::Receiver<bool>) {
+    let mut ticks = interval(TASK_INTERVAL);
     loop {
         tokio::select! {
-            _ = rounds.tick() => confirm(&keeper).await,
+            _ = ticks.tick() => confirm(&keeper).await,
             _ = stop.wait_for(|stop| *stop) => return,
         }
     }
 }
 
-/// Hands what is new in the configuration group to the follower, and to everybody if it leads.
-fn follow_own_group(keeper: &Keeper) {
+/// Passes a revision that is new in the configuration group to the own follower, and to all other
+/// instances if this keeper leads the group.
+fn distribute_update(keeper: &Keeper) {
     let group = GroupId::Configuration;
     let node = &keeper.node;
     let revision = node.follower.borrow().revision();
-    let ask = follower::UpdateRequest { token: 0, revision, full: false };
-    let newer = keeper.with_state_machine(&group, |machine| match machine {
-        StateMachine::Configuration(machine) => machine.update_for(&ask),
+    let request = follower::UpdateRequest { token: 0, revision, full: false };
+    let update = keeper.with_state_machine(&group, |machine| match machine {
+        StateMachine::Configuration(machine) => machine.update_for(&request),
         StateMachine::Home(_) | StateMachine::Publication(_) => None,
     });
-    let Some(update) = newer.flatten() else { return };
+    let Some(update) = update.flatten() else { return };
     node.apply_update(update.clone());
     if keeper.leads(&group) {
         for peer in node.cluster.instances.iter().filter(|it| it.id != node.own.id) {
@@ -96,8 +97,9 @@
     }
 }
 
-/// Whom a member of the configuration group asks: the leader, or the others while none is known.
-fn sources(keeper: &Keeper) -> Sources {
+/// Where a member of the configuration group sends its update requests: to the leader, or to the
+/// other voters while no leader is known.
+fn update_sources(keeper: &Keeper) -> Sources {
     let own = &keeper.node.own.id;
     let leader = keeper.leader(&GroupId::Configuration).filter(|it| it != own);
     let others = || keeper.node.cluster.configuration.iter().filter(|it| *it != own).cloned();
@@ -105,23 +107,23 @@
     Sources { voters, peers: Vec::new() }
 }
 
-/// Confirms the newest revision by a linearizable read, which a leader that was replaced fails.
+/// Confirms the newest revision by a linearizable read, which fails if this leader was replaced.
 ///
-/// The other members ask the leader, as followers.
+/// The followers of the other members request the confirmation from the leader.
 async fn confirm(keeper: &Keeper) {
     let group = GroupId::Configuration;
     let node = &keeper.node;
     if !keeper.group_ids().contains(&group) {
         return;
     }
-    node.set_update_sources(sources(keeper));
+    node.set_update_sources(update_sources(keeper));
     if !keeper.leads(&group) {
         return;
     }
-    let asked = node.now();
-    match calls::submit(node, &group, GroupRequest::Revision, CALL_LIMIT).await {
+    let read_started_at = node.now();
+    match calls::submit(node, &group, GroupRequest::Revision, CALL_TIMEOUT).await {
         Ok(GroupReply::Revision(revision)) => {
-            let age = node.now() - asked;
+            let age = node.now() - read_started_at;
             node.apply_confirmation(follower::Confirmation { revision, age });
         }
         Ok(reply) => tracing::warn!(?reply, "configuration not confirmed"),
--- a/src/coordination/keeper/duties/moves.rs
+++ b/src/coordination/keeper/duties/moves.rs
@@ -1,13 +1,13 @@
-//! Moves of a team's home region, carried out by the leader of the new home group.
+//! Moves of a team to another home region, carried out by the leader of the new home group.
 //!
-//! For each team on its way here: `Seal` at the former home, which then begins no booking of the
-//! team any more and hands its bookings over; `Adopt` here; `Release` at the former home; at last
-//! `HomeAdopted` in the configuration group, which ends the move. Each step is idempotent, and
-//! the configuration group lists the move until its last step. So a new leader, which begins
-//! again with the first step that is not known to be done, leaves nothing half done.
+//! The steps of a move are: `Seal` at the former home group, which from then on starts no booking of
+//! the team and replies with its bookings; `Adopt` at the new one; `Release` at the former one;
+//! finally `HomeAdopted` in the configuration group, which ends the move. Each step is idempotent,
+//! and the configuration group lists the move until the last step. A new leader therefore completes
+//! a move that was interrupted: it resumes at the first step that it doesn't know to be done.
 //!
-//! A group that lost its state may have forgotten what it had adopted. So its leader also carries
-//! out the moves of teams whose home is here and whose bookings it does not hold.
+//! A home group that was rebuilt may have lost bookings that it had adopted. So its leader also
+//! repeats the completed moves of teams whose home is here but whose bookings it doesn't have.
 
 use std::rc::Rc;
 
@@ -25,51 +25,51 @@
         calls::{self, CallError},
         keeper::{
             Keeper,
-            duties::{CALL_LIMIT, ROUND},
+            duties::{CALL_TIMEOUT, TASK_INTERVAL},
             machine::StateMachine,
         },
     },
     protocol::GroupId,
 };
 
-/// Why a move did not go on.
+/// Errors that interrupt a move; it is retried at the next interval.
 #[derive(Debug, Error)]
 enum MoveError {
-    /// A group gave no reply.
+    /// A call to a group failed.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// A group is not ready for the step.
-    #[error("region {region} replied {reply:?}")]
-    NotReady { region: RegionId, reply: Box<Reply> },
+    /// A home group refused the step.
+    #[error("home group of region {region} replied {reply:?}")]
+    Refused { region: RegionId, reply: Box<Reply> },
 }
 
 /// Carries out the moves to `region` while this keeper leads its home group.
 pub async fn run(keeper: Rc<Keeper>, region: RegionId, mut stop: watch::Receiver<bool>) {
     let group = GroupId::Home(region.clone());
-    let mut rounds = interval(ROUND);
-    // Home changes up to this revision are complete.
-    let mut complete = Revision(0);
+    let mut ticks = interval(TASK_INTERVAL);
+    // The moves of all revisions up to this one are complete.
+    let mut completed = Revision(0);
     loop {
         tokio::select! {
-            _ = rounds.tick() => {}
+            _ = ticks.tick() => {}
             _ = stop.wait_for(|stop| *stop) => return,
         }
         if !keeper.leads(&group) {
             continue;
         }
         let newest = newest_move(&keeper, &region);
-        if newest <= complete {
-            adopt_again(&keeper, &region).await;
+        if newest <= completed {
+            adopt_missing_teams(&keeper, &region).await;
             continue;
         }
-        match carry_out_all(&keeper, &region).await {
-            Ok(()) => complete = newest,
+        match carry_out_moves(&keeper, &region).await {
+            Ok(()) => completed = newest,
             Err(error) => tracing::warn!(%region, %error, "move of a home not complete yet"),
         }
     }
 }
 
-/// The last revision at which a team's home was moved to `region`.
+/// The latest revision that moved the home of a team to `region`.
 fn newest_move(keeper: &Keeper, region: &RegionId) -> Revision {
     let Some(configuration) = keeper.node.configuration() else { return Revision(0) };
     let homes = configuration.homes().iter();
@@ -77,8 +77,8 @@
     moved.map(|it| it.epoch).max().unwrap_or(Revision(0))
 }
 
-/// Adopts the teams whose move here is complete and that the group does not hold.
-async fn adopt_again(keeper: &Keeper, region: &RegionId) {
+/// Repeats the completed moves of teams whose bookings the home group doesn't have.
+async fn adopt_missing_teams(keeper: &Keeper, region: &RegionId) {
     let Some(configuration) = keeper.node.configuration() else { return };
     let homes = configuration.homes().iter().filter(|it| it.region == *region);
     let moves = homes.filter_map(|it| {
@@ -86,19 +86,19 @@
         Some(HomeMove { team, from, to, epoch: it.epoch })
     });
     for it in moves.filter(|it| !has_adopted(keeper, it)) {
-        match carry_out(keeper, &it).await {
+        match carry_out_move(keeper, &it).await {
             Ok(()) => tracing::info!(team = %it.team, from = %it.from, "team adopted again"),
             Err(error) => tracing::warn!(team = %it.team, %error, "team not adopted again yet"),
         }
     }
 }
 
-async fn carry_out_all(keeper: &Keeper, region: &RegionId) -> Result<(), MoveError> {
-    let moves = calls::read_home_moves(&keeper.node, CALL_LIMIT).await?;
+async fn carry_out_moves(keeper: &Keeper, region: &RegionId) -> Result<(), MoveError> {
+    let moves = calls::read_home_moves(&keeper.node, CALL_TIMEOUT).await?;
     let mut result = Ok(());
     for it in moves.into_iter().filter(|it| it.to == *region) {
-        // One former home that can't be reached holds up no other move.
-        match carry_out(keeper, &it).await {
+        // A former home group that can't be reached must not delay the other moves.
+        match carry_out_move(keeper, &it).await {
             Ok(()) => tracing::info!(team = %it.team, from = %it.from, "home moved here"),
             Err(error) => result = Err(error),
         }
@@ -106,26 +106,27 @@
     result
 }
 
-async fn carry_out(keeper: &Keeper, it: &HomeMove) -> Result<(), MoveError> {
+async fn carry_out_move(keeper: &Keeper, it: &HomeMove) -> Result<(), MoveError> {
     let node = &keeper.node;
     let (team, epoch) = (it.team.clone(), it.epoch);
     if !has_adopted(keeper, it) {
         let seal = Action::Seal { team: team.clone(), to: it.to.clone(), epoch };
-        let handover = match calls::submit_home_action(node, &it.from, seal, CALL_LIMIT).await? {
+        let handover = match calls::submit_home_action(node, &it.from, seal, CALL_TIMEOUT).await? {
             Reply::Handover(handover) => handover,
-            reply => return Err(not_ready(&it.from, reply)),
+            reply => return Err(refused(&it.from, reply)),
         };
-        match calls::submit_home_action(node, &it.to, Action::Adopt(handover), CALL_LIMIT).await? {
+        match calls::submit_home_action(node, &it.to, Action::Adopt(handover), CALL_TIMEOUT).await?
+        {
             Reply::Ok => {}
-            reply => return Err(not_ready(&it.to, reply)),
+            reply => return Err(refused(&it.to, reply)),
         }
     }
     let release = Action::Release { team: team.clone(), epoch };
-    match calls::submit_home_action(node, &it.from, release, CALL_LIMIT).await? {
+    match calls::submit_home_action(node, &it.from, release, CALL_TIMEOUT).await? {
         Reply::Ok | Reply::NoSuchBooking => {}
-        reply => return Err(not_ready(&it.from, reply)),
+        reply => return Err(refused(&it.from, reply)),
     }
-    calls::submit_configuration_command(node, Command::HomeAdopted { team, epoch }, CALL_LIMIT)
+    calls::submit_configuration_command(node, Command::HomeAdopted { team, epoch }, CALL_TIMEOUT)
         .await?;
     Ok(())
 }
@@ -145,6 +146,6 @@
     has_adopted.unwrap_or(false)
 }
 
-fn not_ready(region: &RegionId, reply: Reply) -> MoveError {
-    MoveError::NotReady { region: region.clone(), reply: Box::new(reply) }
+fn refused(region: &RegionId, reply: Reply) -> MoveError {
+    MoveError::Refused { region: region.clone(), reply: Box::new(reply) }
 }
--- a/src/coordination/keeper/duties/outcomes.rs
+++ b/src/coordination/keeper/duties/outcomes.rs
@@ -1,8 +1,9 @@
-//! Bookings of unknown outcome, about which services can be asked.
+//! Queries to services about bookings of unknown outcome.
 //!
-//! The leader of the home group can't ask: keepers don't know the upstreams. It hands questions to
-//! one entry instance of each zone whose region the team and the service permit, another one in
-//! each round, so that one that is gone holds nothing up for long.
+//! The leader of the home group can't query the services itself, since keepers don't know the
+//! upstreams. It sends the queries to one entry instance of each zone whose region the residency
+//! rules of the team and the service permit, and to another instance each time, so that an instance
+//! that has crashed delays no query for long.
 
 use std::rc::Rc;
 
@@ -10,25 +11,25 @@
 use tokio::{sync::watch, time::interval};
 
 use crate::{
-    coordination::keeper::{Keeper, duties::QUESTION_ROUND, machine::StateMachine},
+    coordination::keeper::{Keeper, duties::OUTCOME_QUERY_INTERVAL, machine::StateMachine},
     protocol::{GroupId, Message},
     settings::Peer,
 };
 
-/// Questions in one round at most.
-const ROUND_QUESTIONS: usize = 16;
+/// Maximum number of queries in a batch.
+const MAX_BATCH_QUERIES: usize = 16;
 
-/// Has services asked while this keeper leads the home group of `region`.
+/// Has services queried while this keeper leads the home group of `region`.
 pub async fn run(keeper: Rc<Keeper>, region: RegionId, mut stop: watch::Receiver<bool>) {
-    let mut rounds = interval(QUESTION_ROUND);
+    let mut ticks = interval(OUTCOME_QUERY_INTERVAL);
     let group = GroupId::Home(region.clone());
-    let mut count = 0;
+    let mut batch = 0;
     loop {
         tokio::select! {
-            _ = rounds.tick() => {
+            _ = ticks.tick() => {
                 if keeper.leads(&group) {
-                    count += 1;
-                    hand_out(&keeper, &region, count);
+                    batch += 1;
+                    send_queries(&keeper, &region, batch);
                 }
             }
             _ = stop.wait_for(|stop| *stop) => return,
@@ -36,20 +37,20 @@
     }
 }
 
-/// Hands the questions of one round out; those that found no place in it come in a later one.
-fn hand_out(keeper: &Keeper, region: &RegionId, round: usize) {
+/// Sends the queries of batch number `batch`; those beyond its size are left to later batches.
+fn send_queries(keeper: &Keeper, region: &RegionId, batch: usize) {
     let group = GroupId::Home(region.clone());
-    let questions = keeper.with_state_machine(&group, |machine| match machine {
+    let queries = keeper.with_state_machine(&group, |machine| match machine {
         StateMachine::Home(machine) => machine.outcome_queries().collect(),
         StateMachine::Configuration(_) | StateMachine::Publication(_) => Vec::new(),
     });
-    let mut questions: Vec<OutcomeQuery> = questions.unwrap_or_default();
-    if questions.is_empty() {
+    let mut queries: Vec<OutcomeQuery> = queries.unwrap_or_default();
+    if queries.is_empty() {
         return;
     }
-    let first = round * ROUND_QUESTIONS % questions.len();
-    questions.rotate_left(first);
-    questions.truncate(ROUND_QUESTIONS);
+    let first = batch * MAX_BATCH_QUERIES % queries.len();
+    queries.rotate_left(first);
+    queries.truncate(MAX_BATCH_QUERIES);
     let Some(configuration) = keeper.node.configuration() else { return };
     let cluster = &keeper.node.cluster;
     for zone in &cluster.zones {
@@ -58,11 +59,11 @@
             continue;
         }
         let is_permitted = |it: &&OutcomeQuery| it.is_permitted_in(&configuration, &zone.region);
-        let questions: Vec<OutcomeQuery> = questions.iter().filter(is_permitted).cloned().collect();
-        if !questions.is_empty() {
-            let entry = entries[round % entries.len()];
+        let permitted: Vec<OutcomeQuery> = queries.iter().filter(is_permitted).cloned().collect();
+        if !permitted.is_empty() {
+            let entry = entries[batch % entries.len()];
             let home = region.clone();
-            keeper.node.send(&entry.id, Message::Questions { home, questions });
+            keeper.node.send(&entry.id, Message::Questions { home, questions: permitted });
         }
     }
 }
--- a/src/coordination/keeper/group.rs
+++ b/src/coordination/keeper/group.rs
@@ -1,4 +1,4 @@
-//! One replication group in a keeper: its replica, its state machine and the calls that wait.
+//! One replication group in a keeper: its replica, its state machine and its pending calls.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -14,22 +14,23 @@
     protocol::{GroupId, GroupReply, GroupRequest},
 };
 
-/// Applied entries after which a snapshot is taken.
+/// Number of applied log entries after which a snapshot is taken and the log compacted.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 4_096;
 
-/// Replies that are kept until the replica names their tickets.
-const KEPT_REPLIES: usize = 4_096;
+/// Maximum number of replies buffered between the application of a command and the replica's report
+/// of which ticket it belongs to.
+const MAX_BUFFERED_REPLIES: usize = 4_096;
 
-/// A call that waits for its reply.
+/// Identifies a call, so that its reply can be returned.
 #[derive(Debug)]
 pub struct Caller {
-    /// The instance that called.
+    /// The calling instance.
     pub instance: InstanceId,
-    /// Number of the call there.
+    /// Number of the call at the calling instance.
     pub call: u64,
 }
 
-/// What the keeper has to do for a group.
+/// An action that the keeper has to carry out for a group.
 #[derive(Debug)]
 pub enum Output {
     /// Send a message to another member.
@@ -39,32 +40,33 @@
         /// The message.
         message: replication::Message,
     },
-    /// Store a batch and then call [`Group::persisted`].
+    /// Store a batch and call [`Group::persisted`] once it is synced.
     Persist(Persist),
-    /// Answer a call.
+    /// Send the reply to a call.
     Reply {
         /// The call.
         caller: Caller,
-        /// Its answer.
+        /// The reply.
         reply: GroupReply,
     },
-    /// The state machine changed.
+    /// The state machine has changed; nothing has to be sent or stored.
     Applied,
-    /// This replica now plays another part.
+    /// The role of this replica has changed.
     RoleChanged {
-        /// The part.
+        /// The new role.
         role: Role,
-        /// The term.
+        /// Term in which it holds.
         term: Term,
     },
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingCall {
     ticket: Ticket,
     caller: Caller,
-    // `None` for a command, whose reply comes from its application.
+    // The read-only request; `None` for a command, whose reply is the result of its application.
     read: Option<GroupRequest>,
+    // Log index of the command, once it is known.
     index: Option<LogIndex>,
 }
 
@@ -74,50 +76,52 @@
     replica: Replica,
     machine: StateMachine,
     last_ticket: Ticket,
-    waiting: Vec<Waiting>,
-    replies: VecDeque<(LogIndex, GroupReply)>,
-    // When the last command of this leadership was proposed.
-    proposed: Option<Time>,
-    compacted: LogIndex,
+    // By ticket, in ascending order.
+    pending_calls: Vec<PendingCall>,
+    // Replies of applied commands whose tickets are not known yet, by index in ascending order.
+    buffered_replies: VecDeque<(LogIndex, GroupReply)>,
+    // When the last action on a home group was proposed in this leadership.
+    last_proposed_at: Option<Time>,
+    snapshot_index: LogIndex,
 }
 
 impl Group {
-    /// A group whose replica was restored; `machine` holds the state of its snapshot.
+    /// Creates a group from a restored replica; `machine` holds the state of its snapshot.
     pub fn new(id: GroupId, replica: Replica, machine: StateMachine) -> Group {
-        let compacted = replica.snapshot_index();
+        let snapshot_index = replica.snapshot_index();
         Group {
             id,
             replica,
             machine,
             last_ticket: 0,
-            waiting: Vec::new(),
-            replies: VecDeque::new(),
-            proposed: None,
-            compacted,
+            pending_calls: Vec::new(),
+            buffered_replies: VecDeque::new(),
+            last_proposed_at: None,
+            snapshot_index,
         }
     }
 
-    /// The group's id.
+    /// The id that names this group in messages and in the data folder.
     pub fn id(&self) -> &GroupId {
         &self.id
     }
 
-    /// The replica.
+    /// The local replica: role, term, membership and log positions.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The state machine.
+    /// The state machine, with all entries that are applied here.
     pub fn state_machine(&self) -> &StateMachine {
         &self.machine
     }
 
-    /// Whether this replica leads the group.
+    /// Whether the local replica is the leader.
     pub fn is_leader(&self) -> bool {
         self.replica.role() == Role::Leader
     }
 
-    /// Lets time pass.
+    /// Advances the replica's timers to `now`.
     ///
     /// # Errors
     ///
@@ -126,7 +130,7 @@
         self.run(now, Event::Tick, out)
     }
 
-    /// Takes a message of another member in.
+    /// Handles a message of another member.
     ///
     /// # Errors
     ///
@@ -141,7 +145,7 @@
         self.run(now, Event::Message { from, message }, out)
     }
 
-    /// Learns that a batch was synced.
+    /// Records that the batch with number `sequence` has been synced.
     ///
     /// # Errors
     ///
@@ -155,7 +159,7 @@
         self.run(now, Event::Persisted { sequence }, out)
     }
 
-    /// Hands the leadership to another member, before this process stops.
+    /// Transfers the leadership to another voter, before this process stops.
     ///
     /// # Errors
     ///
@@ -164,7 +168,7 @@
         self.run(now, Event::TransferLeadership, out)
     }
 
-    /// Takes a call in; its reply comes as [`Output::Reply`], now or later.
+    /// Handles a call; its reply follows as an [`Output::Reply`], immediately or later.
     ///
     /// # Errors
     ///
@@ -185,19 +189,19 @@
         let ticket = self.last_ticket;
         let Some(command) = self.command(now, &request) else {
             let read = Some(request);
-            self.waiting.push(Waiting { ticket, caller, read, index: None });
+            self.pending_calls.push(PendingCall { ticket, caller, read, index: None });
             return self.run(now, Event::Read { ticket }, out);
         };
-        self.waiting.push(Waiting { ticket, caller, read: None, index: None });
+        self.pending_calls.push(PendingCall { ticket, caller, read: None, index: None });
         self.run(now, Event::Propose { ticket, command }, out)
     }
 
-    /// The command that a request proposes; `None` when it reads only.
+    /// The encoded command of a request; `None` if the request is read-only.
     fn command(&mut self, now: Time, request: &GroupRequest) -> Option<Vec<u8>> {
         let command = match request {
             GroupRequest::Configure(command) => postcard::to_stdvec(command),
             GroupRequest::Act(action) => {
-                let elapsed = self.elapsed(now);
+                let elapsed = self.time_since_last_proposal(now);
                 postcard::to_stdvec(&home::Command { elapsed, action: action.clone() })
             }
             GroupRequest::Publish(command) => postcard::to_stdvec(command),
@@ -212,9 +216,9 @@
         command.ok()
     }
 
-    /// Time since the previous command of this leadership.
-    fn elapsed(&mut self, now: Time) -> Duration {
-        let previous = self.proposed.replace(now);
+    /// Time since the previous action that this leadership proposed; zero for the first one.
+    fn time_since_last_proposal(&mut self, now: Time) -> Duration {
+        let previous = self.last_proposed_at.replace(now);
         previous.map_or(Duration::ZERO, |previous| now - previous)
     }
 
@@ -249,11 +253,11 @@
             Effect::ReadReady { ticket, .. } => self.read(ticket, out),
             Effect::InstallSnapshot { data, .. } => {
                 self.machine.restore(&self.id, &data)?;
-                self.compacted = self.replica.snapshot_index();
+                self.snapshot_index = self.replica.snapshot_index();
                 out.push(Output::Applied);
             }
             Effect::RoleChanged { role, term } => {
-                self.proposed = None;
+                self.last_proposed_at = None;
                 out.push(Output::RoleChanged { role, term });
             }
         }
@@ -262,60 +266,60 @@
 
     fn applied(&mut self, index: LogIndex, reply: GroupReply, out: &mut Vec<Output>) {
         out.push(Output::Applied);
-        if let Some(at) = self.waiting.iter().position(|it| it.index == Some(index)) {
-            let caller = self.waiting.remove(at).caller;
+        if let Some(at) = self.pending_calls.iter().position(|it| it.index == Some(index)) {
+            let caller = self.pending_calls.remove(at).caller;
             out.push(Output::Reply { caller, reply });
             return;
         }
         if !self.is_leader() {
             return;
         }
-        if self.replies.len() == KEPT_REPLIES {
-            self.replies.pop_front();
+        if self.buffered_replies.len() == MAX_BUFFERED_REPLIES {
+            self.buffered_replies.pop_front();
         }
-        self.replies.push_back((index, reply));
+        self.buffered_replies.push_back((index, reply));
     }
 
     fn committed(&mut self, ticket: Ticket, index: LogIndex, out: &mut Vec<Output>) {
-        let Some(at) = self.place(ticket) else { return };
-        match self.replies.binary_search_by_key(&index, |it| it.0) {
+        let Some(at) = self.find_call(ticket) else { return };
+        match self.buffered_replies.binary_search_by_key(&index, |it| it.0) {
             Ok(found) => {
-                let reply = self.replies[found].1.clone();
-                let caller = self.waiting.remove(at).caller;
+                let reply = self.buffered_replies[found].1.clone();
+                let caller = self.pending_calls.remove(at).caller;
                 out.push(Output::Reply { caller, reply });
             }
-            Err(_) => self.waiting[at].index = Some(index),
+            Err(_) => self.pending_calls[at].index = Some(index),
         }
     }
 
     fn reject(&mut self, ticket: Ticket, reason: &replication::Rejection, out: &mut Vec<Output>) {
-        let Some(at) = self.place(ticket) else { return };
-        let waiting = self.waiting.remove(at);
-        let is_unused = reason.is_final() || waiting.read.is_some();
-        let reply = match is_unused {
+        let Some(at) = self.find_call(ticket) else { return };
+        let call = self.pending_calls.remove(at);
+        let has_no_effect = reason.is_final() || call.read.is_some();
+        let reply = match has_no_effect {
             true => GroupReply::NotLeader(self.replica.leader().cloned()),
             false => GroupReply::Uncertain,
         };
-        out.push(Output::Reply { caller: waiting.caller, reply });
+        out.push(Output::Reply { caller: call.caller, reply });
     }
 
     fn read(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
-        let Some(at) = self.place(ticket) else { return };
-        let waiting = self.waiting.remove(at);
-        let reply = waiting.read.map_or(GroupReply::Unfit, |it| self.machine.read(&it));
-        out.push(Output::Reply { caller: waiting.caller, reply });
+        let Some(at) = self.find_call(ticket) else { return };
+        let call = self.pending_calls.remove(at);
+        let reply = call.read.map_or(GroupReply::Unfit, |it| self.machine.read(&it));
+        out.push(Output::Reply { caller: call.caller, reply });
     }
 
-    fn place(&self, ticket: Ticket) -> Option<usize> {
-        self.waiting.binary_search_by_key(&ticket, |it| it.ticket).ok()
+    fn find_call(&self, ticket: Ticket) -> Option<usize> {
+        self.pending_calls.binary_search_by_key(&ticket, |it| it.ticket).ok()
     }
 
     fn compact(&mut self, now: Time, out: &mut Vec<Output>) -> Result<(), StateMachineError> {
         let index = self.replica.applied();
-        if index.0 < self.compacted.0 + SNAPSHOT_INTERVAL_ENTRIES {
+        if index.0 < self.snapshot_index.0 + SNAPSHOT_INTERVAL_ENTRIES {
             return Ok(());
         }
-        self.compacted = index;
+        self.snapshot_index = index;
         let snapshot = self.machine.encode();
         self.run(now, Event::Compact { index, snapshot }, out)
     }
--- a/src/coordination/keeper/machine.rs
+++ b/src/coordination/keeper/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one replication group.
+//! The state machine of a replication group, for all kinds of groups.
 
 use medlarlug_core::{
     configuration_group,
@@ -12,7 +12,7 @@
 
 use crate::protocol::{GroupId, GroupReply, GroupRequest};
 
-/// A failure of a state machine.
+/// Errors of a state machine; the keeper stops at any of them.
 #[derive(Debug, Error)]
 pub enum StateMachineError {
     /// A committed command can't be decoded.
@@ -35,19 +35,19 @@
     },
 }
 
-/// The state machine of one group, by the kind of the group.
+/// The state machine of a replication group.
 #[derive(Debug)]
 pub enum StateMachine {
-    /// Of the configuration group.
+    /// State of the configuration group.
     Configuration(Box<ConfigurationGroup>),
-    /// Of a home group.
+    /// State of a home group.
     Home(Box<HomeGroup>),
-    /// Of the publication group.
+    /// State of the publication group.
     Publication(Box<Publication>),
 }
 
 impl StateMachine {
-    /// The empty state machine of a group.
+    /// Creates an empty state machine of the kind that `group` uses.
     pub fn new(group: &GroupId) -> StateMachine {
         match group {
             GroupId::Configuration => StateMachine::Configuration(Box::default()),
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Applies a committed command.
+    /// Applies a committed command and returns its reply.
     ///
     /// # Errors
     ///
-    /// Fails when the command can't be decoded, which means that this program is older than the
-    /// one that proposed it.
+    /// Fails when the command can't be decoded, which means that a newer version of the program
+    /// proposed it.
     pub fn apply(
         &mut self,
         group: &GroupId,
@@ -86,14 +86,14 @@
         }
     }
 
-    /// Answers a request that reads only.
+    /// Answers a read-only request; [`GroupReply::Unfit`] if this kind of group doesn't support it.
     pub fn read(&self, request: &GroupRequest) -> GroupReply {
         match (self, request) {
             (StateMachine::Home(machine), GroupRequest::LookUp(id)) => {
                 GroupReply::Known(machine.look_up(id))
             }
             (StateMachine::Configuration(machine), GroupRequest::History) => {
-                GroupReply::History(machine.history(HISTORY_ENTRIES))
+                GroupReply::History(machine.history(MAX_HISTORY_ENTRIES))
             }
             (StateMachine::Configuration(machine), GroupRequest::Revision) => {
                 GroupReply::Revision(machine.configuration().revision)
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The newest revision; `None` in a home group.
+    /// The newest revision; `None` except in the configuration group.
     pub fn revision(&self) -> Option<Revision> {
         match self {
             StateMachine::Configuration(machine) => Some(machine.configuration().revision),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The state of the publication group; `None` in other groups.
+    /// The state of the publication group; `None` in other kinds of groups.
     pub fn publication(&self) -> Option<&Publication> {
         match self {
             StateMachine::Publication(machine) => Some(machine),
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The state as a snapshot.
+    /// Encodes the state as a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         match self {
             StateMachine::Configuration(machine) => machine.encode_snapshot(),
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Replaces the state by that of a snapshot.
+    /// Replaces the state by that of `snapshot`.
     ///
     /// # Errors
     ///
@@ -158,5 +158,5 @@
     }
 }
 
-/// Release notes that `release history` shows at most.
-const HISTORY_ENTRIES: usize = 100;
+/// Maximum number of release notes in the reply to `release history`.
+const MAX_HISTORY_ENTRIES: usize = 100;
--- a/src/coordination/keeper/mod.rs
+++ b/src/coordination/keeper/mod.rs
@@ -1,14 +1,14 @@
-//! The keeper process: replicas of the configuration group and of home groups.
+//! The keeper process, which runs replicas of the configuration group and of home groups.
 //!
-//! One loop on one thread feeds the groups with messages, time and finished writes, and carries
-//! out what they ask for. Operators reach the process over HTTP.
+//! A single-threaded event loop passes messages, ticks and completed writes to the groups and
+//! carries out their outputs. Operators reach the process over HTTP.
 //!
-//! * [`group`]: one replication group: replica, state machine, waiting calls.
-//! * [`machine`]: the state machine of a group, by kind.
-//! * [`rebuild`]: a group out of the state of one survivor, at an operator's order.
-//! * [`storage`]: where the groups are stored.
-//! * [`status`]: what operators see of the groups.
-//! * [`duties`]: what the leader of a group does unasked.
+//! * [`group`]: one replication group: replica, state machine, pending calls.
+//! * [`machine`]: the state machine of a group, by kind of group.
+//! * [`rebuild`]: rebuilds a group from the data of one surviving voter, on an operator's command.
+//! * [`storage`]: opens the storage of the groups and restores them from it.
+//! * [`status`]: the status of the groups for operators.
+//! * [`duties`]: background tasks, most of which run only on the leader of a group.
 
 pub mod duties;
 pub mod group;
@@ -40,8 +40,8 @@
             duties::confirmations::Confirmations,
             group::{Caller, Group, Output},
             machine::{StateMachine, StateMachineError},
-            status::{dump_group, group_status},
-            storage::{StateWriter, Storage, group_name, groups_of},
+            status::{group_dump, group_status},
+            storage::{StateWriter, Storage, group_name, restore_groups},
         },
         node::{Node, Received},
         operators::{self, OperatorApi, ProcessDetails},
@@ -55,38 +55,39 @@
     },
 };
 
-/// Time between two ticks of the groups.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval between two ticks of the replication groups.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Ticks of the groups for one tick of membership and follower.
-const SLOW_TICKS: u32 = 12;
+/// Ticks of the groups per tick of membership and of the configuration's follower.
+const TICKS_PER_SLOW_TICK: u32 = 12;
 
-/// Why a keeper stops.
+/// Errors that keep a keeper from starting, or that stop it.
 #[derive(Debug, Error)]
 pub enum KeeperError {
-    /// A link can't be set up.
-    #[error("failed to set the links up")]
+    /// The links to other processes could not be set up.
+    #[error("failed to set up the links")]
     Link(#[from] LinkError),
-    /// A server can't be started.
+    /// The operators' HTTP server could not be started.
     #[error("failed to start a server")]
     Server(#[from] ServerError),
-    /// The data folder failed.
-    #[error("failed to keep the state")]
+    /// The data folder could not be opened, read or written.
+    #[error("failed to read or write the data folder")]
     State(#[from] StateError),
-    /// A state machine failed.
+    /// A state machine could not decode a command or a snapshot.
     #[error("a replication group failed")]
-    Machine(#[from] StateMachineError),
+    StateMachine(#[from] StateMachineError),
 }
 
 /// The keeper process.
 pub struct Keeper {
-    /// What every process has.
+    /// Links, calls, membership and configuration follower, as in every process.
     pub node: Rc<Node>,
     groups: RefCell<Vec<Group>>,
     writer: StateWriter,
-    // Raised when the configuration group's state machine changed.
-    applied: watch::Sender<u64>,
-    /// Where revisions are in force, while this keeper leads the configuration group.
+    // Incremented when the state machine or the role of a group has changed.
+    changes: watch::Sender<u64>,
+    /// Rollout of revisions to the instances; tracked while this keeper leads the configuration
+    /// group.
     pub confirmations: Confirmations,
 }
 
@@ -94,7 +95,8 @@
 ///
 /// # Errors
 ///
-/// Fails when it can't start, or when a state machine meets what it can't decode.
+/// Fails when the keeper can't start, when its data folder fails, or when a state machine can't
+/// decode a command or a snapshot.
 pub async fn run(settings: KeeperSettings, context: Context) -> Result<(), KeeperError> {
     let stop = context.drain.subscribe();
     let own = settings.peer().clone();
@@ -109,22 +111,22 @@
         links,
     ));
     let storage = Storage::open(&settings, &node)?;
-    let groups = RefCell::new(groups_of(&node, &storage, settings.may_form)?);
+    let groups = RefCell::new(restore_groups(&node, &storage, settings.may_form)?);
     let (writer, mut reports) = storage.start()?;
-    let applied = watch::Sender::new(0);
+    let changes = watch::Sender::new(0);
     let confirmations = Confirmations::default();
-    let keeper = Rc::new(Keeper { node: node.clone(), groups, writer, applied, confirmations });
+    let keeper = Rc::new(Keeper { node: node.clone(), groups, writer, changes, confirmations });
 
     let api = OperatorApi::new(node.clone(), settings.operators.clone(), context);
     let dump = keeper.clone();
-    let process = keeper.clone();
-    let api = api.with_dump(move || dump.dump()).with_details(move || process.details());
+    let details = keeper.clone();
+    let api = api.with_dump(move || dump.dump()).with_details(move || details.details());
     let listener = http_server::listen("operators", node.own.operators).await?;
     let server = operators::serve(api, listener, operator_server_limits(), stop.clone());
     task::spawn_local(server);
 
     duties::start(&keeper, &stop);
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     let mut count = 0u32;
     let mut stopping = stop;
     loop {
@@ -137,15 +139,15 @@
             Some(report) = reports.recv() => keeper.persisted(report?)?,
             _ = ticks.tick() => {
                 count = count.wrapping_add(1);
-                keeper.tick(count.is_multiple_of(SLOW_TICKS))?;
+                keeper.tick(count.is_multiple_of(TICKS_PER_SLOW_TICK))?;
             }
             _ = stopping.wait_for(|stop| *stop) => break,
         }
     }
-    keeper.hand_over(&mut incoming, &mut reports).await
+    keeper.transfer_leaderships(&mut incoming, &mut reports).await
 }
 
-/// Bounds of the operators' server.
+/// Limits of the operators' HTTP server, which entry instances use as well.
 pub fn operator_server_limits() -> ServerLimits {
     ServerLimits {
         header_bytes: 16 * 1024,
@@ -156,19 +158,19 @@
 }
 
 impl Keeper {
-    /// Whether this keeper leads a group.
+    /// Whether this keeper leads `group`; `false` if it is not a member.
     pub fn leads(&self, group: &GroupId) -> bool {
         self.groups.borrow().iter().any(|it| it.id() == group && it.is_leader())
     }
 
-    /// The formation that a group stems from, if this keeper is a member and knows it.
+    /// The formation of `group`; `None` if this keeper is not a member or has no membership yet.
     pub fn formation(&self, group: &GroupId) -> Option<FormationId> {
         let groups = self.groups.borrow();
         let found = groups.iter().find(|it| it.id() == group)?;
         Some(found.replica().membership()?.formation)
     }
 
-    /// Reads the state machine of a group, if this keeper is a member.
+    /// Passes the state machine of `group` to `read`; `None` if this keeper is not a member.
     pub fn with_state_machine<T>(
         &self,
         group: &GroupId,
@@ -178,24 +180,24 @@
         groups.iter().find(|it| it.id() == group).map(|it| read(it.state_machine()))
     }
 
-    /// The groups that this keeper is a member of.
+    /// Ids of the groups that this keeper is a member of.
     pub fn group_ids(&self) -> Vec<GroupId> {
         self.groups.borrow().iter().map(|it| it.id().clone()).collect()
     }
 
-    /// A receiver that wakes when a state machine changed.
+    /// A receiver that is notified when the state machine or the role of any group has changed.
     pub fn changes(&self) -> watch::Receiver<u64> {
-        self.applied.subscribe()
+        self.changes.subscribe()
     }
 
     fn receive(&self, from: InstanceId, message: Message) -> Result<(), StateMachineError> {
         if let Message::Ask(ask) = &message {
-            self.confirmations.told(&self.node, &from, ask.revision);
+            self.confirmations.record(&self.node, &from, ask.revision);
         }
         match self.node.receive(from, message) {
             Received::Handled => Ok(()),
             Received::Notices(notices) => {
-                self.note(&notices);
+                self.handle_notices(&notices);
                 Ok(())
             }
             Received::Other(from, message) => self.receive_for_group(from, *message),
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Tells a group what was synced.
+    /// Reports to a group that one of its batches has been synced.
     fn persisted(&self, synced: Synced) -> Result<(), StateMachineError> {
         let Synced { group, sequence } = synced;
         let id = self.group_ids().into_iter().find(|it| group_name(it) == group);
@@ -238,7 +240,7 @@
         request: GroupRequest,
     ) -> Result<(), StateMachineError> {
         if let GroupRequest::Force(revision) = request {
-            return self.tell_force(caller, revision);
+            return self.reply_rollout(caller, revision);
         }
         if !self.groups.borrow().iter().any(|it| it.id() == group) {
             let reply = Message::Reply { call: caller.call, reply: GroupReply::NotLeader(None) };
@@ -248,8 +250,9 @@
         self.with_group(group, |it, now, out| it.call(now, caller, request, out))
     }
 
-    /// Answers where a revision is in force; the leader of the configuration group knows it.
-    fn tell_force(
+    /// Replies with the rollout of a revision (by default the newest one), which only the leader of
+    /// the configuration group tracks.
+    fn reply_rollout(
         &self,
         caller: Caller,
         revision: Option<Revision>,
@@ -257,43 +260,43 @@
         let newest =
             self.with_state_machine(&GroupId::Configuration, StateMachine::revision).flatten();
         let revision = revision.or(newest).unwrap_or_default();
-        let reply = match self.confirmations.force(&self.node, revision) {
-            Some(force) => GroupReply::Force(force),
+        let reply = match self.confirmations.rollout(&self.node, revision) {
+            Some(rollout) => GroupReply::Force(rollout),
             None => GroupReply::NotLeader(self.leader(&GroupId::Configuration)),
         };
         self.node.send(&caller.instance, Message::Reply { call: caller.call, reply });
         Ok(())
     }
 
-    /// The leader of a group, if this keeper is a member and knows it.
+    /// The leader of `group`; `None` if this keeper is not a member or knows no leader.
     pub fn leader(&self, group: &GroupId) -> Option<InstanceId> {
         let groups = self.groups.borrow();
         let leader = |it: &Group| it.replica().leader().cloned();
         groups.iter().find(|it| it.id() == group).and_then(leader)
     }
 
-    fn tick(&self, is_slow: bool) -> Result<(), StateMachineError> {
+    fn tick(&self, is_slow_tick: bool) -> Result<(), StateMachineError> {
         for group in self.group_ids() {
             self.with_group(&group, |it, now, out| it.tick(now, out))?;
         }
-        if is_slow {
+        if is_slow_tick {
             let status = medlarlug_core::membership::Status {
                 load: 0,
                 revision: self.node.follower.borrow().revision(),
                 leaving: false,
                 settling: false,
             };
-            self.note(&self.node.report_status(status));
-            self.note(&self.node.tick());
+            self.handle_notices(&self.node.report_status(status));
+            self.handle_notices(&self.node.tick());
         }
         Ok(())
     }
 
-    fn note(&self, notices: &[Notice]) {
+    fn handle_notices(&self, notices: &[Notice]) {
         for notice in notices {
             tracing::info!(?notice, "membership changed");
             if let Notice::PeerDead(peer) = notice {
-                duties::declare_lost(self, peer);
+                duties::record_dead_instance(self, peer);
             }
         }
     }
@@ -338,13 +341,14 @@
             }
         }
         if has_changed {
-            self.applied.send_modify(|count| *count += 1);
+            self.changes.send_modify(|count| *count += 1);
         }
         Ok(())
     }
 
-    /// Hands leaderships over before the process stops.
-    async fn hand_over(
+    /// Transfers the leaderships of this keeper to other voters before the process stops, for at
+    /// most [`LEADERSHIP_TRANSFER_TIMEOUT`].
+    async fn transfer_leaderships(
         &self,
         incoming: &mut Incoming,
         reports: &mut UnboundedReceiver<Report>,
@@ -352,9 +356,10 @@
         for group in self.group_ids() {
             self.with_group(&group, |it, now, out| it.transfer(now, out))?;
         }
-        let end = tokio::time::Instant::now() + HAND_OVER_LIMIT;
-        let mut ticks = interval(TICK);
-        while tokio::time::Instant::now() < end && self.group_ids().iter().any(|it| self.leads(it))
+        let deadline = tokio::time::Instant::now() + LEADERSHIP_TRANSFER_TIMEOUT;
+        let mut ticks = interval(TICK_INTERVAL);
+        while tokio::time::Instant::now() < deadline
+            && self.group_ids().iter().any(|it| self.leads(it))
         {
             tokio::select! {
                 received = incoming.receive() => {
@@ -376,10 +381,10 @@
 
     fn dump(&self) -> serde_json::Value {
         let groups = self.groups.borrow();
-        let groups: Vec<serde_json::Value> = groups.iter().map(dump_group).collect();
+        let groups: Vec<serde_json::Value> = groups.iter().map(group_dump).collect();
         serde_json::json!({ "groups": groups })
     }
 }
 
-/// Longest time that handing leaderships over takes at a stop.
-const HAND_OVER_LIMIT: Duration = Duration::from_secs(2);
+/// Longest time that the process waits at a stop for its leaderships to be transferred.
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
--- a/src/coordination/keeper/rebuild.rs
+++ b/src/coordination/keeper/rebuild.rs
@@ -1,8 +1,9 @@
-//! A replication group that lost its majority, rebuilt from the data folder of one survivor.
+//! Rebuilds a replication group that lost its majority from the data folder of one surviving voter.
 //!
-//! The survivor becomes the only voter of a new formation. It keeps what it holds; the state
-//! machine is told by its first command that newer commands may be lost, and answers whatever it
-//! doesn't know as unknown. The other voters are let in again once they come with empty folders.
+//! The survivor becomes the only voter of a new formation and keeps its stored state. The first
+//! command of the new formation records in the state machine that later commands may be lost; from
+//! then on it reports the outcome of whatever it has no data on as unknown. The other voters are
+//! admitted again when they start with empty data folders.
 
 use medlarlug_core::{
     configuration_group,
@@ -20,50 +21,50 @@
     state::{DataFolder, Journal, StateError},
 };
 
-/// Why a group is not rebuilt. The data folder is as before, except after [`RebuildError::State`].
+/// Errors of a rebuild. They leave the data folder unchanged, except for [`RebuildError::State`].
 #[derive(Debug, Error)]
 pub enum RebuildError {
-    /// The keeper has no disk.
+    /// The settings name no data folder: the keeper stores its state in memory only.
     #[error("this keeper has no data folder to rebuild from")]
-    Volatile,
-    /// The cluster file names no such group with this keeper as a voter.
-    #[error("this keeper votes in no group {name}; its groups are {known}")]
+    NoDataFolder,
+    /// The cluster file has no group of this name that this keeper is a voter of.
+    #[error("this keeper is not a voter of a group `{name}`; its groups are {known}")]
     UnknownGroup {
-        /// The group that was asked for.
+        /// Name given by the operator.
         name: SmolStr,
-        /// The groups in which the keeper votes.
+        /// Names of the groups that the keeper is a voter of, separated by commas.
         known: SmolStr,
     },
-    /// The data folder holds no state of the group.
+    /// The data folder contains no state of the group.
     #[error("the data folder holds no state of group {group}; rebuild from another keeper")]
-    Empty {
+    NoStoredState {
         /// The group.
         group: GroupId,
     },
-    /// The first command of the new group can't be encoded.
-    #[error("failed to encode a command")]
+    /// The first command of the new formation can't be encoded.
+    #[error("failed to encode the first command of the rebuilt group")]
     Encode(#[from] postcard::Error),
     /// The data folder can't be read or written.
-    #[error("failed to change the state of the group")]
+    #[error("failed to read or write the data folder")]
     State(#[from] StateError),
 }
 
-/// Rebuilds the group called `name` from the data folder of a stopped keeper.
+/// Rebuilds the group called `name` from this keeper's data folder; the keeper must not be running.
 ///
 /// # Errors
 ///
-/// Fails when the folder is in use, can't be read or written, or holds nothing of the group.
+/// Fails when the folder is in use, can't be read or written, or contains no state of the group.
 pub fn rebuild(settings: &KeeperSettings, name: &str) -> Result<(), RebuildError> {
-    let path = settings.data.as_ref().ok_or(RebuildError::Volatile)?;
+    let path = settings.data.as_ref().ok_or(RebuildError::NoDataFolder)?;
     let group = find_group(settings, name)?;
     let folder = DataFolder::open(path, &settings.instance)?;
     let mut journal = Journal::open(&folder)?;
     let key = MemberKey { id: settings.instance.clone(), storage: folder.storage() };
     let member = Member { key, role: MemberRole::Voter, durable: true };
-    let former = journal.group(&group_name(&group));
-    let command = first_command(&group)?;
-    let rebuilt = former.rebuild(member, FormationId(rand::random()), Some(command));
-    let rebuilt = rebuilt.ok_or_else(|| RebuildError::Empty { group: group.clone() })?;
+    let stored = journal.group(&group_name(&group));
+    let command = rebuilt_command(&group)?;
+    let rebuilt = stored.rebuild(member, FormationId(rand::random()), Some(command));
+    let rebuilt = rebuilt.ok_or_else(|| RebuildError::NoStoredState { group: group.clone() })?;
     let batch = Persist {
         hard: Some(rebuilt.hard),
         snapshot: rebuilt.snapshot,
@@ -80,9 +81,9 @@
     let own = &settings.instance;
     let homes = cluster.homes.iter().filter(|it| it.voters.contains(own));
     let homes = homes.map(|it| GroupId::Home(it.region.clone()));
-    let votes = cluster.configuration.contains(own);
+    let is_voter = cluster.configuration.contains(own);
     let groups: Vec<GroupId> =
-        votes.then_some(GroupId::Configuration).into_iter().chain(homes).collect();
+        is_voter.then_some(GroupId::Configuration).into_iter().chain(homes).collect();
     let found = groups.iter().find(|it| it.to_smolstr() == name).cloned();
     found.ok_or_else(|| {
         let known: Vec<SmolStr> = groups.iter().map(|it| it.to_smolstr()).collect();
@@ -90,8 +91,8 @@
     })
 }
 
-/// Tells the state machine that newer commands may be lost.
-fn first_command(group: &GroupId) -> Result<Vec<u8>, postcard::Error> {
+/// The command that records in the state machine that later commands may be lost.
+fn rebuilt_command(group: &GroupId) -> Result<Vec<u8>, postcard::Error> {
     match group {
         GroupId::Configuration => postcard::to_stdvec(&configuration_group::Command::Rebuilt),
         GroupId::Home(_) => {
--- a/src/coordination/keeper/status.rs
+++ b/src/coordination/keeper/status.rs
@@ -1,4 +1,4 @@
-//! What a keeper shows of its groups to operators.
+//! The status of a keeper's groups for operators.
 
 use medlarlug_core::replication::Replica;
 use smol_str::{SmolStr, StrExt, ToSmolStr};
@@ -8,7 +8,7 @@
     protocol::operators::GroupStatus,
 };
 
-/// What operators see of a group.
+/// The group's entry in the answer to `GET /status`.
 pub fn group_status(group: &Group) -> GroupStatus {
     let replica = group.replica();
     GroupStatus {
@@ -26,10 +26,10 @@
     members.map(|it| it.voters().map(|it| it.key.to_smolstr()).collect()).unwrap_or_default()
 }
 
-/// A group in the dump of the process's state.
-pub fn dump_group(group: &Group) -> serde_json::Value {
+/// The group's entry in the answer to `GET /dump`.
+pub fn group_dump(group: &Group) -> serde_json::Value {
     let replica = group.replica();
-    let founded = match group.state_machine() {
+    let founding_revision = match group.state_machine() {
         StateMachine::Home(machine) => machine.founding_revision(),
         StateMachine::Configuration(_) | StateMachine::Publication(_) => None,
     };
@@ -43,6 +43,6 @@
         "applied": replica.applied(),
         "last": replica.last_index(),
         "compacted": replica.snapshot_index(),
-        "founded": founded,
+        "founded": founding_revision,
     })
 }
--- a/src/coordination/keeper/storage.rs
+++ b/src/coordination/keeper/storage.rs
@@ -1,4 +1,4 @@
-//! Where the groups of a keeper are stored, a data folder or memory, and how they start from it.
+//! Storage of a keeper's groups, in a data folder or in memory, and their restoration from it.
 
 use std::time::Duration;
 
@@ -21,26 +21,26 @@
     state::{DataFolder, GroupName, Journal, Report, StateError, Writer},
 };
 
-/// Time between two heartbeats of the configuration group, whose voters may be many and far apart
-/// and whose changes are few.
-const CONFIGURATION_HEARTBEAT: Duration = Duration::from_millis(250);
+/// Interval between two heartbeats of the configuration group. It can be long because the group
+/// changes rarely, and should be because it may have many voters in distant regions.
+const CONFIGURATION_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The name of a group in the data folder.
+/// The name under which the data folder stores a group.
 pub fn group_name(id: &GroupId) -> GroupName {
     let Ok(name) = id.to_string().parse();
     name
 }
 
-/// Where a keeper's state was found.
+/// The storage of a keeper, before its writer is started.
 pub enum Storage {
-    /// In a data folder, which stays locked.
+    /// A data folder, which stays locked, and its journal.
     Disk(DataFolder, Box<Journal>),
-    /// In memory only, under an id that is new at every start.
+    /// Memory only, under a random id that is new at every start.
     Memory(StorageId),
 }
 
 impl Storage {
-    /// Opens the data folder, if the settings name one.
+    /// Opens the data folder that the settings name; without one, the state is kept in memory.
     ///
     /// # Errors
     ///
@@ -54,7 +54,7 @@
         Ok(Storage::Disk(folder, Box::new(journal)))
     }
 
-    /// Names this storage.
+    /// The id of this storage, by which groups recognize a member that lost its state.
     pub fn id(&self) -> StorageId {
         match self {
             Storage::Disk(folder, _) => folder.storage(),
@@ -62,15 +62,16 @@
         }
     }
 
-    /// What is stored of a group.
-    pub fn restored(&self, group: &GroupId) -> StoredState {
+    /// The stored state of `group`; empty in memory.
+    pub fn stored_state(&self, group: &GroupId) -> StoredState {
         match self {
             Storage::Disk(_, journal) => journal.group(&group_name(group)),
             Storage::Memory(_) => StoredState::default(),
         }
     }
 
-    /// Starts the thread that writes.
+    /// Starts the writer, which has a thread of its own for a data folder, and returns it with the
+    /// receiver of its reports.
     ///
     /// # Errors
     ///
@@ -89,25 +90,26 @@
     }
 }
 
-/// The writer, with the lock of its folder.
+/// The writer of the groups' state; holds the lock of the data folder.
 pub struct StateWriter {
     writer: Writer,
     _folder: Option<DataFolder>,
 }
 
 impl StateWriter {
-    /// Stores a batch of a group, and reports it once it is synced.
+    /// Queues a batch of a group for writing; its sync is reported on the receiver that
+    /// [`Storage::start`] returned.
     pub fn persist(&self, group: &GroupId, batch: Persist) {
         self.writer.persist(group_name(group), batch);
     }
 }
 
-/// The groups that the cluster file names this keeper for, as they were stored.
+/// Restores the groups that this keeper is a voter of according to the cluster file.
 ///
 /// # Errors
 ///
 /// Fails when a stored snapshot can't be decoded.
-pub fn groups_of(
+pub fn restore_groups(
     node: &Node,
     storage: &Storage,
     may_form: bool,
@@ -118,19 +120,19 @@
     std::iter::once(configuration)
         .chain(homes)
         .filter(|it| it.1.contains(&node.own.id))
-        .map(|(id, voters)| new_group(node, storage, may_form, (id, voters.clone())))
+        .map(|(id, voters)| restore_group(node, storage, may_form, (id, voters.clone())))
         .collect()
 }
 
-fn new_group(
+fn restore_group(
     node: &Node,
     storage: &Storage,
     may_form: bool,
     (id, voters): (GroupId, Vec<InstanceId>),
 ) -> Result<Group, StateMachineError> {
-    let restored = storage.restored(&id);
+    let stored = storage.stored_state(&id);
     let mut machine = StateMachine::new(&id);
-    if let Some(snapshot) = &restored.snapshot {
+    if let Some(snapshot) = &stored.snapshot {
         machine.restore(&id, &snapshot.data)?;
     }
     let key = MemberKey { id: node.own.id.clone(), storage: storage.id() };
@@ -138,8 +140,8 @@
     config.durable = node.own.durable;
     config.may_form = may_form;
     if id == GroupId::Configuration {
-        config = config.with_heartbeat_interval(CONFIGURATION_HEARTBEAT);
+        config = config.with_heartbeat_interval(CONFIGURATION_HEARTBEAT_INTERVAL);
     }
-    let replica = Replica::new(config, restored, rand::random(), node.now());
+    let replica = Replica::new(config, stored, rand::random(), node.now());
     Ok(Group::new(id, replica, machine))
 }
