--- a/src/coordination/keeper/duties/outcomes.rs
+++ b/src/coordination/keeper/duties/outcomes.rs
@@ -63,7 +63,7 @@
         if !permitted.is_empty() {
             let entry = entries[batch % entries.len()];
             let home = region.clone();
-            keeper.node.send(&entry.id, Message::Questions { home, questions: permitted });
+            keeper.node.send(&entry.id, Message::OutcomeQueries { home, queries: permitted });
         }
     }
 }
--- a/src/coordination/keeper/group.rs
+++ b/src/coordination/keeper/group.rs
@@ -208,9 +208,9 @@
             GroupRequest::LookUp(_)
             | GroupRequest::History
             | GroupRequest::Revision
-            | GroupRequest::Founding
-            | GroupRequest::Moves
-            | GroupRequest::Force(_)
+            | GroupRequest::FoundingRevision
+            | GroupRequest::HomeMoves
+            | GroupRequest::Rollout(_)
             | GroupRequest::Published => return None,
         };
         command.ok()
@@ -306,7 +306,7 @@
     fn read(&mut self, ticket: Ticket, out: &mut Vec<Output>) {
         let Some(at) = self.find_call(ticket) else { return };
         let call = self.pending_calls.remove(at);
-        let reply = call.read.map_or(GroupReply::Unfit, |it| self.machine.read(&it));
+        let reply = call.read.map_or(GroupReply::UnsupportedRequest, |it| self.machine.read(&it));
         out.push(Output::Reply { caller: call.caller, reply });
     }
 
--- a/src/coordination/keeper/mod.rs
+++ b/src/coordination/keeper/mod.rs
@@ -48,7 +48,7 @@
     },
     protocol::{GroupId, GroupReply, GroupRequest, Message},
     settings::KeeperSettings,
-    state::{Report, StateError, Synced},
+    state::{StateError, SyncResult, Synced},
     transport::{
         http_server::{self, ServerError, ServerLimits},
         links::{Incoming, LinkError, Links},
@@ -191,8 +191,8 @@
     }
 
     fn receive(&self, from: InstanceId, message: Message) -> Result<(), StateMachineError> {
-        if let Message::Ask(ask) = &message {
-            self.confirmations.record(&self.node, &from, ask.revision);
+        if let Message::UpdateRequest(request) = &message {
+            self.confirmations.record(&self.node, &from, request.revision);
         }
         match self.node.receive(from, message) {
             Received::Handled => Ok(()),
@@ -239,7 +239,7 @@
         group: &GroupId,
         request: GroupRequest,
     ) -> Result<(), StateMachineError> {
-        if let GroupRequest::Force(revision) = request {
+        if let GroupRequest::Rollout(revision) = request {
             return self.reply_rollout(caller, revision);
         }
         if !self.groups.borrow().iter().any(|it| it.id() == group) {
@@ -261,7 +261,7 @@
             self.with_state_machine(&GroupId::Configuration, StateMachine::revision).flatten();
         let revision = revision.or(newest).unwrap_or_default();
         let reply = match self.confirmations.rollout(&self.node, revision) {
-            Some(rollout) => GroupReply::Force(rollout),
+            Some(rollout) => GroupReply::Rollout(rollout),
             None => GroupReply::NotLeader(self.leader(&GroupId::Configuration)),
         };
         self.node.send(&caller.instance, Message::Reply { call: caller.call, reply });
@@ -351,7 +351,7 @@
     async fn transfer_leaderships(
         &self,
         incoming: &mut Incoming,
-        reports: &mut UnboundedReceiver<Report>,
+        reports: &mut UnboundedReceiver<SyncResult>,
     ) -> Result<(), KeeperError> {
         for group in self.group_ids() {
             self.with_group(&group, |it, now, out| it.transfer(now, out))?;
