--- a/crates/medlarlug-core/src/home/bookings.rs
+++ b/crates/medlarlug-core/src/home/bookings.rs
@@ -24,7 +24,7 @@
 /// Whether the group holds the bookings of a team.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum TeamStatus {
-    /// It does, since the home change of this revision.
+    /// The group holds them, since the home change of this revision.
     Held(Revision),
     /// The bookings are transferred to another region by the home change of this revision.
     Sealed { to: RegionId, epoch: Revision },
