--- a/src/coordination/calls.rs
+++ b/src/coordination/calls.rs
@@ -1,9 +1,9 @@
-//! Commands to replication groups, and the replies to them.
+//! Calls to replication groups: requests and their replies.
 //!
-//! A command goes to the voter that led the group last; a voter that does not lead names the
-//! leader, and a silent one is passed over. A command may reach two voters this way, so every
-//! command of the state machines is idempotent. When the time runs out after a voter may have
-//! taken the command in, the result is [`CallError::Uncertain`] and not
+//! A request is sent to the last known leader of the group. A voter that doesn't lead replies with
+//! the leader, and an unresponsive voter is skipped. A command may reach two voters this way, so
+//! every command of the state machines is idempotent. If the time-out expires after a voter may have
+//! received the request, the error is [`CallError::Uncertain`] instead of
 //! [`CallError::Unreachable`].
 
 use std::time::Duration;
@@ -26,34 +26,35 @@
     },
 };
 
-/// Time that one voter has to answer before the next one is asked.
-const VOTER_LIMIT: Duration = Duration::from_millis(900);
+/// Time-out of an attempt at one voter, after which the next voter is tried.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Pause before the voters are asked again when none leads.
+/// Pause before the next attempt while no leader is known.
 const ELECTION_PAUSE: Duration = Duration::from_millis(60);
 
-/// Why a command has no reply.
+/// Errors of a call to a replication group.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// No voter took the command in.
+    /// No leader received the request, so it has no effect.
     #[error("no leader of group {group} could be reached")]
     Unreachable {
         /// The group.
         group: GroupId,
     },
-    /// A voter may have taken the command in, and no reply came.
+    /// A voter may have received the request, but no reply arrived. A command may be applied, now or
+    /// later.
     #[error("group {group} sent no reply; the command may be in force")]
     Uncertain {
         /// The group.
         group: GroupId,
     },
-    /// The settings name no such group.
+    /// The cluster file names no voters of this group.
     #[error("there is no group {group}")]
     UnknownGroup {
         /// The group.
         group: GroupId,
     },
-    /// The reply doesn't belong to the request.
+    /// The reply is of a kind that doesn't match the request.
     #[error("group {group} sent a reply of another kind")]
     UnexpectedReply {
         /// The group.
@@ -61,41 +62,41 @@
     },
 }
 
-/// Calls that wait for their reply.
+/// Calls that wait for their reply, and the last known leader of each group.
 pub struct PendingCalls {
     last: u64,
-    waiting: Vec<(u64, oneshot::Sender<GroupReply>)>,
+    pending: Vec<(u64, oneshot::Sender<GroupReply>)>,
     leaders: Vec<(GroupId, InstanceId)>,
 }
 
 impl PendingCalls {
-    /// No call; the first one has the number after `start`.
+    /// Creates an empty list; the first call gets the number after `start`.
     ///
-    /// `start` has to differ from one start of the process to the next, so that a late reply to an
-    /// earlier process is not taken for a reply to this one.
+    /// `start` must differ between starts of the process, so that a late reply to an earlier process
+    /// is not mistaken for a reply to this one.
     pub fn new(start: u64) -> PendingCalls {
-        PendingCalls { last: start, waiting: Vec::new(), leaders: Vec::new() }
+        PendingCalls { last: start, pending: Vec::new(), leaders: Vec::new() }
     }
 
-    /// Hands a reply to the call that waits for it; a late reply is dropped.
+    /// Passes a reply to its call; a reply that arrives after the time-out is dropped.
     pub fn complete(&mut self, call: u64, reply: GroupReply) {
-        if let Ok(found) = self.waiting.binary_search_by_key(&call, |it| it.0) {
-            let (_, sender) = self.waiting.remove(found);
+        if let Ok(found) = self.pending.binary_search_by_key(&call, |it| it.0) {
+            let (_, sender) = self.pending.remove(found);
             let _ = sender.send(reply);
         }
     }
 
-    /// Opens a call: its number, and where its reply will come.
+    /// Adds a call; returns its number and the receiver of its reply.
     pub fn register(&mut self) -> (u64, oneshot::Receiver<GroupReply>) {
         self.last += 1;
         let (sender, receiver) = oneshot::channel();
-        self.waiting.push((self.last, sender));
+        self.pending.push((self.last, sender));
         (self.last, receiver)
     }
 
     fn remove(&mut self, call: u64) {
-        if let Ok(found) = self.waiting.binary_search_by_key(&call, |it| it.0) {
-            self.waiting.remove(found);
+        if let Ok(found) = self.pending.binary_search_by_key(&call, |it| it.0) {
+            self.pending.remove(found);
         }
     }
 
@@ -108,57 +109,58 @@
         match (self.leaders.binary_search_by(|it| it.0.cmp(group)), leader) {
             (Ok(found), Some(leader)) => self.leaders[found].1 = leader,
             (Ok(found), None) => drop(self.leaders.remove(found)),
-            (Err(place), Some(leader)) => self.leaders.insert(place, (group.clone(), leader)),
+            (Err(index), Some(leader)) => self.leaders.insert(index, (group.clone(), leader)),
             (Err(_), None) => {}
         }
     }
 }
 
-/// Submits a request to a group and waits for its reply.
+/// Submits a request to a group and waits for its reply, with as many attempts as it takes.
 ///
 /// # Errors
 ///
-/// Fails when no reply came within `limit`; the error tells whether the request may be in force.
+/// Fails if no reply arrives within `time_limit`; the error tells whether the request may have had an
+/// effect.
 pub async fn submit(
     node: &Node,
     group: &GroupId,
     request: GroupRequest,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Result<GroupReply, CallError> {
-    let end = Instant::now() + limit;
+    let deadline = Instant::now() + time_limit;
     let voters = node.voters(group);
     if voters.is_empty() {
         return Err(CallError::UnknownGroup { group: group.clone() });
     }
     let mut is_uncertain = false;
-    let mut turns = Turns { voters, round: 0, silent: Vec::new() };
-    while Instant::now() < end {
+    let mut rotation = VoterRotation { voters, next_index: 0, unresponsive: Vec::new() };
+    while Instant::now() < deadline {
         let known = node.calls.borrow().leader(group);
-        let voter = known.unwrap_or_else(|| turns.next());
-        let left = end.saturating_duration_since(Instant::now()).min(VOTER_LIMIT);
-        match ask(node, &voter, group, request.clone(), left).await {
-            Attempt::Answered(GroupReply::NotLeader(hint)) => {
-                let leader = hint.filter(|it| *it != voter && !turns.silent.contains(it));
+        let voter = known.unwrap_or_else(|| rotation.next());
+        let remaining = deadline.saturating_duration_since(Instant::now()).min(ATTEMPT_TIMEOUT);
+        match attempt(node, &voter, group, request.clone(), remaining).await {
+            Attempt::Replied(GroupReply::NotLeader(hint)) => {
+                let leader = hint.filter(|it| *it != voter && !rotation.unresponsive.contains(it));
                 let is_known = leader.is_some();
                 node.calls.borrow_mut().set_leader(group, leader);
                 if !is_known {
                     sleep(ELECTION_PAUSE).await;
                 }
             }
-            Attempt::Answered(GroupReply::Uncertain) => {
+            Attempt::Replied(GroupReply::Uncertain) => {
                 is_uncertain = true;
                 node.calls.borrow_mut().set_leader(group, None);
             }
-            Attempt::Silent => {
+            Attempt::TimedOut => {
                 is_uncertain = true;
                 node.calls.borrow_mut().set_leader(group, None);
-                turns.silence(voter);
+                rotation.skip(voter);
             }
-            Attempt::Answered(reply) => {
+            Attempt::Replied(reply) => {
                 node.calls.borrow_mut().set_leader(group, Some(voter));
                 return Ok(reply);
             }
-            Attempt::Unsent => {
+            Attempt::NotSent => {
                 node.calls.borrow_mut().set_leader(group, None);
                 sleep(ELECTION_PAUSE).await;
             }
@@ -171,61 +173,61 @@
     }
 }
 
-/// The voters of a group in the order in which one call asks them.
-struct Turns {
+/// The order in which one call tries the voters of a group.
+struct VoterRotation {
     voters: Vec<InstanceId>,
-    round: usize,
-    // Voters that gave no answer; others may still take one of them for the leader.
-    silent: Vec<InstanceId>,
+    next_index: usize,
+    // Voters that sent no reply. Others may still name one of them as the leader.
+    unresponsive: Vec<InstanceId>,
 }
 
-impl Turns {
-    /// The next voter, passing over silent ones.
+impl VoterRotation {
+    /// The next voter that is not unresponsive.
     fn next(&mut self) -> InstanceId {
         loop {
-            let voter = &self.voters[self.round % self.voters.len()];
-            self.round += 1;
-            if !self.silent.contains(voter) {
+            let voter = &self.voters[self.next_index % self.voters.len()];
+            self.next_index += 1;
+            if !self.unresponsive.contains(voter) {
                 return voter.clone();
             }
         }
     }
 
-    /// Notes that a voter gave no answer; when all gave none, each is asked again.
-    fn silence(&mut self, voter: InstanceId) {
-        if !self.silent.contains(&voter) {
-            self.silent.push(voter);
+    /// Marks a voter as unresponsive. Once all voters are, each is tried again.
+    fn skip(&mut self, voter: InstanceId) {
+        if !self.unresponsive.contains(&voter) {
+            self.unresponsive.push(voter);
         }
-        if self.voters.iter().all(|it| self.silent.contains(it)) {
-            self.silent.clear();
+        if self.voters.iter().all(|it| self.unresponsive.contains(it)) {
+            self.unresponsive.clear();
         }
     }
 }
 
 enum Attempt {
-    Answered(GroupReply),
-    Silent,
-    Unsent,
+    Replied(GroupReply),
+    TimedOut,
+    NotSent,
 }
 
-async fn ask(
+async fn attempt(
     node: &Node,
     voter: &InstanceId,
     group: &GroupId,
     request: GroupRequest,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Attempt {
     let (call, receiver) = node.calls.borrow_mut().register();
     let message = Message::Call { call, group: group.clone(), request };
     if !node.send(voter, message) {
         node.calls.borrow_mut().remove(call);
-        return Attempt::Unsent;
+        return Attempt::NotSent;
     }
-    let answer = timeout(limit, receiver).await;
+    let reply = timeout(time_limit, receiver).await;
     node.calls.borrow_mut().remove(call);
-    match answer {
-        Ok(Ok(reply)) => Attempt::Answered(reply),
-        _ => Attempt::Silent,
+    match reply {
+        Ok(Ok(reply)) => Attempt::Replied(reply),
+        _ => Attempt::TimedOut,
     }
 }
 
@@ -233,14 +235,14 @@
 ///
 /// # Errors
 ///
-/// Fails when no reply came within `limit`.
+/// Fails as [`submit`] does, or if the reply is of another kind.
 pub async fn submit_configuration_command(
     node: &Node,
     command: configuration_group::Command,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Result<configuration_group::Reply, CallError> {
     let group = GroupId::Configuration;
-    match submit(node, &group, GroupRequest::Configure(command), limit).await? {
+    match submit(node, &group, GroupRequest::Configure(command), time_limit).await? {
         GroupReply::Configured(reply) => Ok(reply),
         _ => Err(CallError::UnexpectedReply { group }),
     }
@@ -250,82 +252,82 @@
 ///
 /// # Errors
 ///
-/// Fails when no reply came within `limit`.
+/// Fails as [`submit`] does, or if the reply is of another kind.
 pub async fn submit_home_action(
     node: &Node,
     region: &RegionId,
     action: home::Action,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Result<home::Reply, CallError> {
     let group = GroupId::Home(region.clone());
-    match submit(node, &group, GroupRequest::Act(action), limit).await? {
+    match submit(node, &group, GroupRequest::Act(action), time_limit).await? {
         GroupReply::Acted(reply) => Ok(reply),
         _ => Err(CallError::UnexpectedReply { group }),
     }
 }
 
-/// Reads the revision at which the home group of a region was founded.
+/// Reads the revision at which the home group of a region was founded; `None` if it isn't founded.
 ///
 /// # Errors
 ///
-/// Fails when no reply came within `limit`.
+/// Fails as [`submit`] does, or if the reply is of another kind.
 pub async fn read_founding_revision(
     node: &Node,
     region: &RegionId,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Result<Option<Revision>, CallError> {
     let group = GroupId::Home(region.clone());
-    match submit(node, &group, GroupRequest::FoundingRevision, limit).await? {
+    match submit(node, &group, GroupRequest::FoundingRevision, time_limit).await? {
         GroupReply::FoundingRevision(revision) => Ok(revision),
         _ => Err(CallError::UnexpectedReply { group }),
     }
 }
 
-/// Reads which teams are on their way to a new home region.
+/// Reads the moves of teams to new home regions that are in progress.
 ///
 /// # Errors
 ///
-/// Fails when no reply came within `limit`.
+/// Fails as [`submit`] does, or if the reply is of another kind.
 pub async fn read_home_moves(
     node: &Node,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Result<Vec<configuration_group::HomeMove>, CallError> {
     let group = GroupId::Configuration;
-    match submit(node, &group, GroupRequest::HomeMoves, limit).await? {
+    match submit(node, &group, GroupRequest::HomeMoves, time_limit).await? {
         GroupReply::HomeMoves(moves) => Ok(moves),
         _ => Err(CallError::UnexpectedReply { group }),
     }
 }
 
-/// Asks where a revision is in force; the newest one if none is named.
+/// Reads the rollout of a revision, by default of the newest one.
 ///
 /// # Errors
 ///
-/// Fails when no reply came within `limit`.
+/// Fails as [`submit`] does, or if the reply is of another kind.
 pub async fn read_rollout(
     node: &Node,
     revision: Option<Revision>,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Result<configuration_group::Rollout, CallError> {
     let group = GroupId::Configuration;
-    match submit(node, &group, GroupRequest::Rollout(revision), limit).await? {
+    match submit(node, &group, GroupRequest::Rollout(revision), time_limit).await? {
         GroupReply::Rollout(force) => Ok(force),
         _ => Err(CallError::UnexpectedReply { group }),
     }
 }
 
-/// Asks the home group of the region in a request's id for its record.
+/// Reads the record of a request from the home group of the region that its id names.
 ///
 /// # Errors
 ///
-/// Fails when no reply came within `limit`.
+/// Fails as [`submit`] does, or if the reply is of another kind.
 pub async fn look_up_record(
     node: &Node,
     id: &RequestId,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Result<home::RecordLookup, CallError> {
     let group = GroupId::Home(id.region.clone());
-    match submit(node, &group, GroupRequest::LookUp(id.clone()), limit).await? {
+    match submit(node, &group, GroupRequest::LookUp(id.clone()), time_limit).await? {
         GroupReply::Record(known) => Ok(known),
         _ => Err(CallError::UnexpectedReply { group }),
     }
--- a/src/coordination/clock.rs
+++ b/src/coordination/clock.rs
@@ -1,14 +1,14 @@
-//! The process's clocks: monotonic time for the cores, wall-clock time for incarnations only.
+//! The clocks of the process: monotonic time for the cores, wall-clock time for incarnations only.
 //!
-//! The monotonic clock counts the time for which the machine is suspended, so that a lease or the
-//! age of news never outlives a suspension.
+//! The monotonic clock keeps counting while the machine is suspended, so that no lease and no update
+//! is taken to be younger than it is after a suspension.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use medlarlug_core::{ids::Incarnation, time::Time};
 use rustix::time::{ClockId, clock_gettime};
 
-/// Reads the monotonic clock as cores see it.
+/// The monotonic clock that the cores use.
 ///
 /// ```
 /// use medlarlug::coordination::clock::Clock;
@@ -18,20 +18,20 @@
 /// ```
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    /// Boot time of the start.
+    /// Time since boot when the clock was started.
     start: Duration,
-    /// Reading at the start.
-    first: Time,
+    /// Reading when the clock was started.
+    offset: Time,
 }
 
 impl Clock {
-    /// A clock whose origin is now.
+    /// Starts a clock whose reading is zero now.
     pub fn start() -> Clock {
         Clock::start_with_offset(Duration::ZERO)
     }
 
-    /// A clock that was started `past` ago, so that it can tell when something was that is up to
-    /// `past` older than the process.
+    /// Starts a clock whose reading is `offset` now, so that it can represent the time of events that
+    /// took place up to `offset` before the start of the process.
     ///
     /// ```
     /// use medlarlug::coordination::clock::Clock;
@@ -43,27 +43,28 @@
     /// let now = clock.now();
     /// assert_eq!(now - now.saturating_sub(age), age);
     /// ```
-    pub fn start_with_offset(past: Duration) -> Clock {
-        Clock { start: time_since_boot(), first: Time::ZERO + past }
+    pub fn start_with_offset(offset: Duration) -> Clock {
+        Clock { start: time_since_boot(), offset: Time::ZERO + offset }
     }
 
-    /// The current reading.
+    /// The current reading; never lower than an earlier one.
     pub fn now(&self) -> Time {
-        self.first + time_since_boot().saturating_sub(self.start)
+        self.offset + time_since_boot().saturating_sub(self.start)
     }
 }
 
-/// Time since the machine was started, suspension included.
+/// Time since the machine was booted, including suspension.
 fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
     Duration::new(seconds, u32::try_from(time.tv_nsec).unwrap_or_default())
 }
 
-/// An incarnation for a process without a disk: the wall-clock time of its start.
+/// The incarnation of a process that starts now: the wall-clock time in milliseconds since 1970, which
+/// doesn't need a disk to count the starts on.
 ///
-/// Milliseconds since 1970 rise from one start to the next unless the clock was set back, in
-/// which case peers ignore the process until its incarnation passes the former one.
+/// It increases with each start unless the clock was set back. In that case peers ignore the process
+/// until it is started with a higher incarnation than its former one.
 pub fn incarnation_from_wall_clock() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Incarnation(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
--- a/src/coordination/daemon.rs
+++ b/src/coordination/daemon.rs
@@ -1,5 +1,5 @@
-//! What the programs of entry instances and keepers have in common: exit status, telemetry,
-//! signals and the runtime.
+//! Code that the programs of entry instances and keepers share: exit codes, telemetry, signals and
+//! the runtime.
 
 use std::{future::Future, path::Path, process::ExitCode};
 
@@ -13,21 +13,21 @@
     transport::signals,
 };
 
-/// What a process hands to its loop.
+/// Handles that [`run`] passes to the main function of a process.
 pub struct Context {
-    /// Changes the level of the logs.
+    /// Changes the log level while the process runs.
     pub level: LevelHandle,
-    /// Renders the metrics.
+    /// Renders the metrics of the process for `GET /metrics`.
     pub metrics: Metrics,
-    /// Turns true when the process has to end its work and stop.
+    /// Set to true, by a signal or an operator, when the process has to drain and stop.
     pub drain: watch::Sender<bool>,
 }
 
-/// Starts telemetry and signals, and runs the process's loop on the current thread.
+/// Starts telemetry and signal handling, and runs `main` on the current thread.
 ///
 /// # Errors
 ///
-/// Fails when telemetry, signals or the runtime can't be started, and when the loop fails.
+/// Fails when telemetry, signal handling or the runtime can't be started, and when `main` fails.
 pub fn run<F, E>(log: LogLevel, main: impl FnOnce(Context) -> F) -> eyre::Result<()>
 where
     F: Future<Output = Result<(), E>>,
@@ -44,12 +44,12 @@
     })
 }
 
-/// Tells that a settings file is valid, for `--check`.
+/// Prints that a settings file is valid, for `--check`.
 pub fn print_valid(file: &Path) {
     println!("{}: valid", file.display());
 }
 
-/// The exit status of a program; prints what failed, with its causes, on one line.
+/// The exit code of a program. An error is printed to stderr with its causes, on one line.
 pub fn exit_code(program: &str, result: eyre::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/coordination/keeper/machine.rs
+++ b/src/coordination/keeper/machine.rs
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Answers a read-only request; [`GroupReply::UnsupportedRequest`] if this kind of group doesn't support it.
+    /// Answers a read-only request; [`GroupReply::UnsupportedRequest`] if this kind of group doesn't
+    /// have it.
     pub fn read(&self, request: &GroupRequest) -> GroupReply {
         match (self, request) {
             (StateMachine::Home(machine), GroupRequest::LookUp(id)) => {
--- a/src/coordination/lookup.rs
+++ b/src/coordination/lookup.rs
@@ -1,4 +1,4 @@
-//! What became of a request.
+//! Look-up of the record of a request.
 
 use std::time::Duration;
 
@@ -6,32 +6,32 @@
 
 use crate::coordination::{calls, calls::CallError, node::Node};
 
-/// What a request without a record may be.
-pub const NOT_FOUND_TITLE: &str = "no record: the id was never given out, or its instance stopped within \
-                            the last batch of records before it was sent";
+/// Title of the answer for a request without a record.
+pub const NOT_FOUND_TITLE: &str = "no record: the id was never given out, or its instance stopped \
+                                   within the last batch of records before it was sent";
 
-/// What is known of a request.
+/// The result of looking up a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RecordStatus {
-    /// Its record.
+    /// The record of the request.
     Recorded(RequestRecord),
-    /// The record is no longer kept.
+    /// The record's retention time has passed.
     Expired,
-    /// The home group has no such record.
+    /// The home group has no record of the request; it may still arrive.
     NotFound,
 }
 
-/// Asks the home group that keeps the record of `id`.
+/// Reads the record of `id` from the home group that stores it.
 ///
 /// # Errors
 ///
-/// Fails when the group can't be reached within `limit`.
+/// Fails if no reply arrives within `time_limit`; see [`CallError`].
 pub async fn record_status(
     node: &Node,
     id: &RequestId,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Result<RecordStatus, CallError> {
-    match calls::look_up_record(node, id, limit).await? {
+    match calls::look_up_record(node, id, time_limit).await? {
         RecordLookup::Found(record) => Ok(RecordStatus::Recorded(record)),
         RecordLookup::Expired => Ok(RecordStatus::Expired),
         RecordLookup::Pending => Ok(RecordStatus::NotFound),
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,13 +1,13 @@
-//! The loops that drive the coordination cores.
+//! The event loops of the processes, which drive the coordination cores.
 //!
-//! * [`node`]: what every process has: links, calls, membership, the configuration's follower.
+//! * [`node`]: the part that all processes share: links, calls, membership, configuration follower.
 //! * [`keeper`]: the process that replicates state.
-//! * [`entry`]: the process that takes callers' requests in.
-//! * [`operators`]: the operators' interface of both.
-//! * [`calls`]: requests to replication groups.
-//! * [`lookup`]: what became of a request.
-//! * [`clock`]: the process's clocks.
-//! * [`daemon`]: what the programs have in common.
+//! * [`entry`]: the process that receives requests from callers.
+//! * [`operators`]: the HTTP interface for operators, which both processes have.
+//! * [`calls`]: calls to replication groups.
+//! * [`lookup`]: look-up of the record of a request.
+//! * [`clock`]: the clocks of the process.
+//! * [`daemon`]: exit codes, telemetry, signals and the runtime.
 
 pub mod calls;
 pub mod clock;
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -1,8 +1,8 @@
-//! What entry instances and keepers have in common: links, calls, membership and the follower of
-//! the configuration.
+//! The part that entry instances and keepers share: links, calls, membership and the follower of the
+//! configuration.
 //!
-//! A [`Node`] is passed down to whatever runs in the process. Cores are behind `RefCell`s, which
-//! are borrowed for the time of one `handle` call and never across an `await`.
+//! All tasks of a process share one [`Node`]. The cores are in `RefCell`s, which are borrowed for the
+//! duration of one `handle` call and never across an `await`.
 
 use std::{cell::RefCell, ops::Deref, rc::Rc, time::Duration};
 
@@ -24,65 +24,65 @@
     transport::links::Links,
 };
 
-/// Counter: messages that could not be sent because a peer takes none.
+/// Counter of messages that could not be queued on the link to a peer.
 const UNSENT_MESSAGES: &str = "medlarlug_link_unsent_messages_total";
 
-/// Age below which a connection is not replaced at its receiver's request: it may have had no
-/// time yet to be heard.
+/// Minimum age of a connection that is replaced at its receiver's request. The receiver may not have
+/// had the time to get a message over a younger one.
 const MIN_LINK_AGE: Duration = Duration::from_secs(1);
 
-/// The part that every process of the system has.
+/// State and services that are common to all kinds of processes.
 pub struct Node {
-    /// The process itself, as the cluster file names it.
+    /// The entry of this process in the cluster file.
     pub own: Peer,
-    /// Its region.
+    /// Region of this process's zone, by the cluster file.
     pub region: RegionId,
-    /// Its incarnation.
+    /// Incarnation of this process, new at each start.
     pub incarnation: Incarnation,
-    /// The cluster file.
+    /// Instances, zones and voters from the cluster file.
     pub cluster: ClusterSettings,
-    /// The deployment keys.
+    /// Keys that authenticate the processes of the deployment to each other.
     pub keys: DeploymentKeys,
-    /// The process's clock.
+    /// Source of the time that all cores get.
     pub clock: Clock,
-    /// Calls to replication groups.
+    /// Calls to replication groups whose reply is outstanding.
     pub calls: RefCell<PendingCalls>,
-    /// Who is there.
+    /// Liveness and state of the other instances, and the known upstreams.
     pub members: RefCell<Membership>,
-    /// The configuration in force here.
+    /// Follower of the configuration group; holds the configuration in effect here and its lease.
     pub follower: RefCell<Follower>,
     links: RefCell<Links>,
-    // Peers that aren't watched by heartbeats and owe an answer.
-    awaited: RefCell<PendingResponses>,
+    // Outstanding responses of peers that aren't monitored by heartbeats.
+    pending_responses: RefCell<PendingResponses>,
     revision: watch::Sender<Revision>,
     unsaved: watch::Sender<Option<Box<Configuration>>>,
-    current: RefCell<Option<Rc<ActiveConfiguration>>>,
+    active: RefCell<Option<Rc<ActiveConfiguration>>>,
 }
 
-/// The configuration in force at an instance, with the index that every request needs.
+/// The configuration in effect at this instance, with an index of the bearer keys.
 #[derive(Debug)]
 pub struct ActiveConfiguration {
-    /// The configuration.
+    /// The configuration, as released.
     pub configuration: Configuration,
-    // Teams by the fingerprints of their bearer keys, sorted.
-    keys: Vec<(Fingerprint, TeamId)>,
+    // The team of each bearer key, sorted by the fingerprint of the key.
+    team_of_key: Vec<(Fingerprint, TeamId)>,
 }
 
 impl ActiveConfiguration {
     fn new(configuration: Configuration) -> ActiveConfiguration {
-        let of_team = |team: &Team| -> Vec<(Fingerprint, TeamId)> {
+        let keys_of_team = |team: &Team| -> Vec<(Fingerprint, TeamId)> {
             team.keys.iter().map(|key| (*key, team.id.clone())).collect()
         };
-        let mut keys: Vec<(Fingerprint, TeamId)> =
-            configuration.teams().flat_map(of_team).collect();
-        keys.sort();
-        ActiveConfiguration { configuration, keys }
+        let mut team_of_key: Vec<(Fingerprint, TeamId)> =
+            configuration.teams().flat_map(keys_of_team).collect();
+        team_of_key.sort();
+        ActiveConfiguration { configuration, team_of_key }
     }
 
     /// The team that owns the bearer key with this fingerprint.
     pub fn team_of_key(&self, key: Fingerprint) -> Option<&Team> {
-        let found = self.keys.binary_search_by(|it| it.0.cmp(&key)).ok()?;
-        self.configuration.team(&self.keys[found].1)
+        let found = self.team_of_key.binary_search_by(|it| it.0.cmp(&key)).ok()?;
+        self.configuration.team(&self.team_of_key[found].1)
     }
 }
 
@@ -95,7 +95,7 @@
 }
 
 impl Node {
-    /// Notes every peer and starts the cores; links connect with their first message.
+    /// Registers all peers and creates the cores; links connect when their first message is sent.
     pub fn new(
         own: Peer,
         cluster: ClusterSettings,
@@ -104,7 +104,7 @@
         storage: Storage,
         mut links: Links,
     ) -> Node {
-        // Calls of a keeper may go to a group that it leads itself, over the same path.
+        // The own instance is included: a keeper may call a group that it leads itself.
         for peer in &cluster.instances {
             links.add_peer(peer.id.clone(), peer.peers);
         }
@@ -113,11 +113,11 @@
         let settings = membership::Settings { own: seed(&own), incarnation, peers };
         let clock = Clock::start();
         let members = Membership::new(clock.now(), settings);
-        let start = first_number(incarnation);
+        let start = initial_number(incarnation);
         let follower = Follower::new(follower::Timing::default(), storage, start);
         let sources = sources_of(&cluster, &own);
         let revision = watch::Sender::new(follower.revision());
-        let current = follower.configuration().cloned().map(ActiveConfiguration::new).map(Rc::new);
+        let active = follower.configuration().cloned().map(ActiveConfiguration::new).map(Rc::new);
         let region = cluster.region_of(&own.zone).cloned().expect("the settings were checked");
         let node = Node {
             own,
@@ -130,24 +130,24 @@
             members: RefCell::new(members),
             follower: RefCell::new(follower),
             links: RefCell::new(links),
-            awaited: RefCell::default(),
+            pending_responses: RefCell::default(),
             revision,
             unsaved: watch::Sender::new(None),
-            current: RefCell::new(current),
+            active: RefCell::new(active),
         };
         node.set_update_sources(sources);
         node
     }
 
-    /// The current time.
+    /// The current reading of [`Node::clock`].
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Sends a message; tells whether it was handed to the link.
+    /// Sends a message; returns whether the link accepted it, which doesn't mean that it arrives.
     pub fn send(&self, to: &InstanceId, message: Message) -> bool {
-        if calls_for_answer(&message) && self.members.borrow().peer(to).is_none() {
-            self.awaited.borrow_mut().expect_response(self.now(), to);
+        if requires_response(&message) && self.members.borrow().peer(to).is_none() {
+            self.pending_responses.borrow_mut().expect_response(self.now(), to);
         }
         match self.links.borrow_mut().send(to, message) {
             Ok(()) => true,
@@ -159,78 +159,81 @@
         }
     }
 
-    /// The voters of a group, as the cluster file names them; those of the own zone first.
+    /// The voters of a group according to the cluster file, those of the own zone first; empty for an
+    /// unknown group.
     pub fn voters(&self, group: &GroupId) -> Vec<InstanceId> {
         let mut voters = match group {
             GroupId::Configuration => self.cluster.configuration.clone(),
             GroupId::Home(region) => {
                 self.cluster.home(region).map(|it| it.voters.clone()).unwrap_or_default()
             }
-            // Its members find each other by contact addresses, not by the cluster file.
+            // Its members discover each other by contact addresses, not by the cluster file.
             GroupId::Publication => Vec::new(),
         };
-        let is_far =
+        let is_in_other_zone =
             |id: &InstanceId| self.cluster.peer(id).is_none_or(|it| it.zone != self.own.zone);
-        voters.sort_by_key(is_far);
+        voters.sort_by_key(is_in_other_zone);
         voters
     }
 
-    /// A receiver that sees every new revision.
+    /// A receiver that is notified when a new revision takes effect here.
     pub fn revisions(&self) -> watch::Receiver<Revision> {
         self.revision.subscribe()
     }
 
-    /// A receiver that sees every configuration that has to be saved before it is in force.
+    /// A receiver of the configurations that have to be saved before they take effect.
     pub fn unsaved_configurations(&self) -> watch::Receiver<Option<Box<Configuration>>> {
         self.unsaved.subscribe()
     }
 
-    /// Brings a configuration into force that is saved now.
+    /// Puts a configuration into effect after it has been saved.
     pub fn configuration_saved(&self, configuration: Box<Configuration>) {
         self.run_follower(follower::Event::Saved(configuration));
     }
 
-    /// The configuration in force here, if a revision is known.
+    /// The configuration in effect here; `None` until a first revision is known.
     pub fn configuration(&self) -> Option<Rc<ActiveConfiguration>> {
-        self.current.borrow().clone()
+        self.active.borrow().clone()
     }
 
-    /// Takes an announcement of an upstream in.
+    /// Applies an announcement that an upstream sent to this instance.
     pub fn apply_announcement(&self, announcement: Announcement) -> Vec<Notice> {
         self.run_membership(membership::Event::Announced(announcement))
     }
 
-    /// Tells peers the own load and state.
+    /// Sets the status that is reported to the peers.
     pub fn report_status(&self, status: Status) -> Vec<Notice> {
         self.run_membership(membership::Event::Status(status))
     }
 
-    /// Lets time pass in the common cores.
+    /// Advances the timers of the follower and the membership, and reconnects to peers whose response
+    /// is overdue.
     pub fn tick(&self) -> Vec<Notice> {
-        let silent = self.awaited.borrow_mut().take_unresponsive(self.now());
-        silent.iter().for_each(|it| self.reconnect(it));
+        let unresponsive = self.pending_responses.borrow_mut().take_unresponsive(self.now());
+        unresponsive.iter().for_each(|it| self.reconnect(it));
         self.run_follower(follower::Event::Tick);
         self.run_membership(membership::Event::Tick)
     }
 
-    /// Names whom the follower asks.
+    /// Sets the instances that the follower sends its update requests to.
     pub fn set_update_sources(&self, sources: Sources) {
         self.run_follower(follower::Event::Sources(sources));
     }
 
-    /// Takes a newer configuration in, as a keeper learns it from its own group.
+    /// Applies a configuration update that a keeper read from its own replica of the group.
     pub fn apply_update(&self, update: follower::Update) {
         self.run_follower(follower::Event::Pushed(update));
     }
 
-    /// Confirms the newest revision, as a keeper knows it from its own group.
+    /// Applies a confirmation of the newest revision that a keeper read from its own group.
     pub fn apply_confirmation(&self, confirmation: follower::Confirmation) {
         self.run_follower(follower::Event::Confirmed(confirmation));
     }
 
-    /// Handles what is common to all processes; gives back what is not, and notices.
+    /// Handles a message that is common to all kinds of processes; returns other messages, and the
+    /// notices that result.
     pub fn receive(&self, from: InstanceId, message: Message) -> Received {
-        self.awaited.borrow_mut().response_received(&from);
+        self.pending_responses.borrow_mut().response_received(&from);
         match message {
             Message::Membership(message) => {
                 Received::Notices(self.run_membership(membership::Event::Message { from, message }))
@@ -239,13 +242,13 @@
                 self.calls.borrow_mut().complete(call, reply);
                 Received::Handled
             }
-            Message::UpdateRequest(ask) => {
-                let answer = self.follower.borrow().answer(self.now(), ask);
-                self.send(&from, Message::UpdateResponse(Box::new(answer)));
+            Message::UpdateRequest(request) => {
+                let response = self.follower.borrow().answer(self.now(), request);
+                self.send(&from, Message::UpdateResponse(Box::new(response)));
                 Received::Handled
             }
-            Message::UpdateResponse(answer) => {
-                self.run_follower(follower::Event::ResponseReceived(*answer));
+            Message::UpdateResponse(response) => {
+                self.run_follower(follower::Event::ResponseReceived(*response));
                 Received::Handled
             }
             Message::Push(update) => {
@@ -253,7 +256,7 @@
                 Received::Handled
             }
             Message::NothingReceived => {
-                self.replace_unheard(&from);
+                self.replace_link_on_request(&from);
                 Received::Handled
             }
             other => Received::Other(from, Box::new(other)),
@@ -289,29 +292,29 @@
                 }
                 follower::Effect::Changed(revision) => {
                     tracing::info!(%revision, "configuration in force");
-                    self.keep_current();
+                    self.activate_configuration();
                     self.revision.send_replace(revision);
                 }
             }
         }
     }
 
-    /// Indexes a configuration that has come into force.
-    fn keep_current(&self) {
+    /// Indexes the configuration that has taken effect in the follower.
+    fn activate_configuration(&self) {
         let newest = self.follower.borrow().configuration().cloned();
-        self.current.replace(newest.map(ActiveConfiguration::new).map(Rc::new));
+        self.active.replace(newest.map(ActiveConfiguration::new).map(Rc::new));
     }
 
-    /// Replaces the own connection to a silent peer, and asks the peer to replace its own.
+    /// Replaces the connection to an unresponsive peer, and asks the peer to replace its own.
     ///
-    /// A connection carries messages one way, so the silent one is the peer's, and the peer may
-    /// hear this instance all the while.
+    /// A connection carries messages in one direction only. So the broken connection may be the peer's,
+    /// while the peer still receives the messages of this instance.
     fn reconnect(&self, peer: &InstanceId) {
         self.replace_link(peer);
         self.send(peer, Message::NothingReceived);
     }
 
-    fn replace_unheard(&self, peer: &InstanceId) {
+    fn replace_link_on_request(&self, peer: &InstanceId) {
         let age = self.links.borrow().connection_age(peer);
         if age.is_some_and(|age| age >= MIN_LINK_AGE) {
             self.replace_link(peer);
@@ -319,25 +322,26 @@
     }
 
     fn replace_link(&self, peer: &InstanceId) {
-        tracing::info!(%peer, "silent link replaced");
+        tracing::info!(%peer, "link to unresponsive peer replaced");
         if let Err(error) = self.links.borrow_mut().reconnect(peer) {
             tracing::warn!(%error, %peer, "failed to replace a link");
         }
     }
 }
 
-/// What became of a received message.
+/// The result of [`Node::receive`].
 #[derive(Debug)]
 pub enum Received {
-    /// It was handled.
+    /// The message was handled.
     Handled,
-    /// It was handled, and what is known of others changed.
+    /// The message was handled; the notices list what changed in the membership, if anything.
     Notices(Vec<Notice>),
-    /// It is for the particular kind of process.
+    /// The message was not handled: only some kinds of processes get it.
     Other(InstanceId, Box<Message>),
 }
 
-/// The voters of the configuration group, and the other instances of the own zone.
+/// The update sources by the cluster file: the voters of the configuration group and the other
+/// instances of the own zone. Members of the configuration group replace them.
 fn sources_of(cluster: &ClusterSettings, own: &Peer) -> Sources {
     let voters = cluster.configuration.iter().filter(|it| **it != own.id).cloned().collect();
     let is_peer = |it: &&Peer| {
@@ -347,14 +351,16 @@
     Sources { voters, peers }
 }
 
-/// Number before that of a process's first question and call; each start leaves room for 2^20
-/// numbers a millisecond, so a late answer to an earlier start answers nothing of this one.
-fn first_number(incarnation: Incarnation) -> u64 {
+/// Number below that of the process's first update request and call.
+///
+/// Each millisecond between two starts leaves room for 2^20 numbers, so a late reply to an earlier
+/// process never matches a call of this one.
+fn initial_number(incarnation: Incarnation) -> u64 {
     incarnation.0 << 20
 }
 
-/// Whether the receiver answers at once, in one way or another.
-fn calls_for_answer(message: &Message) -> bool {
+/// Whether the receiver of the message responds to it immediately, with any kind of message.
+fn requires_response(message: &Message) -> bool {
     matches!(
         message,
         Message::Call { .. } | Message::UpdateRequest(_) | Message::Replication { .. }
--- a/src/coordination/operators/confirmations.rs
+++ b/src/coordination/operators/confirmations.rs
@@ -1,4 +1,4 @@
-//! Where a revision of the configuration is in force, zone by zone.
+//! The rollout of a configuration revision, by zone.
 
 use std::time::Duration;
 
@@ -18,72 +18,74 @@
     protocol::operators::{Confirmations, ZoneConfirmation},
 };
 
-/// Time that the question for confirmations may take.
-const FORCE_LIMIT: Duration = Duration::from_secs(2);
+/// Time-out of the read from the leader of the configuration group.
+const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where the revision named by the request, or else the newest one, is in force.
+/// The rollout of the revision that the request names, or of the newest one.
 ///
-/// The leader of the configuration group knows it. While it can't be asked, the answer is what
-/// this process's peers told it.
+/// The leader of the configuration group tracks it. While the leader can't be reached, the answer is
+/// derived from the revisions that the peers of this process report.
 pub(super) async fn confirmations(api: &OperatorApi, request: &Request<Incoming>) -> Confirmations {
-    let revision = revision_of(request);
-    match calls::read_rollout(&api.node, revision, FORCE_LIMIT).await {
-        Ok(force) => confirmations_of(&api.node, &force),
+    let revision = requested_revision(request);
+    match calls::read_rollout(&api.node, revision, ROLLOUT_TIMEOUT).await {
+        Ok(rollout) => confirmations_of(&api.node, &rollout),
         Err(error) => {
             tracing::debug!(%error, "confirmations taken from peers");
-            heard_confirmations(api, revision)
+            confirmations_of_peers(api, revision)
         }
     }
 }
 
-/// The value of `revision` in the query.
-fn revision_of(request: &Request<Incoming>) -> Option<Revision> {
+/// The query parameter `revision`; `None` if it is missing or not a number.
+fn requested_revision(request: &Request<Incoming>) -> Option<Revision> {
     let mut pairs = request.uri().query()?.split('&');
     let value = pairs.find_map(|it| it.strip_prefix("revision="))?;
     value.parse().ok().map(Revision)
 }
 
-fn confirmations_of(node: &Node, force: &Rollout) -> Confirmations {
+fn confirmations_of(node: &Node, rollout: &Rollout) -> Confirmations {
     let members = node.members.borrow();
     let zone = |it: &ZoneRollout| {
         let instances = node.cluster.instances.iter().filter(|peer| peer.zone == it.zone);
-        let told = instances.filter_map(|peer| told_revision(node, &members, &peer.id)).min();
+        let reported =
+            instances.filter_map(|peer| reported_revision(node, &members, &peer.id)).min();
         let revision = match it.pending.is_empty() {
-            true => Some(told.unwrap_or(force.revision).max(force.revision)),
-            false => told.filter(|told| *told < force.revision),
+            true => Some(reported.unwrap_or(rollout.revision).max(rollout.revision)),
+            false => reported.filter(|reported| *reported < rollout.revision),
         };
         ZoneConfirmation { zone: it.zone.clone(), revision, missing: it.pending.clone() }
     };
     Confirmations {
-        revision: force.revision,
-        everywhere: force.is_complete(),
-        leases_ms: Some(millis(force.leases)),
-        zones: force.zones.iter().map(zone).collect(),
+        revision: rollout.revision,
+        everywhere: rollout.is_complete(),
+        leases_ms: Some(millis(rollout.leases)),
+        zones: rollout.zones.iter().map(zone).collect(),
     }
 }
 
-/// The revision in force in each zone, as this process's peers told it.
-fn heard_confirmations(api: &OperatorApi, revision: Option<Revision>) -> Confirmations {
+/// The rollout according to the revisions that the peers of this process report.
+fn confirmations_of_peers(api: &OperatorApi, revision: Option<Revision>) -> Confirmations {
     let node = &api.node;
     let members = node.members.borrow();
     let newest = members.highest_revision().max(node.follower.borrow().revision());
     let revision = revision.unwrap_or(newest);
     let zones = node.cluster.zones.iter().map(|zone| {
         let instances = node.cluster.instances.iter().filter(|it| it.zone == zone.id);
-        let told = instances.map(|it| (it.id.clone(), told_revision(node, &members, &it.id)));
-        let told: Vec<(InstanceId, Option<Revision>)> = told.collect();
-        let missing = told.iter().filter(|it| it.1.is_none_or(|it| it < revision));
+        let reported =
+            instances.map(|it| (it.id.clone(), reported_revision(node, &members, &it.id)));
+        let reported: Vec<(InstanceId, Option<Revision>)> = reported.collect();
+        let missing = reported.iter().filter(|it| it.1.is_none_or(|it| it < revision));
         ZoneConfirmation {
             zone: zone.id.clone(),
-            revision: told.iter().filter_map(|it| it.1).min(),
+            revision: reported.iter().filter_map(|it| it.1).min(),
             missing: missing.map(|it| it.0.clone()).collect(),
         }
     });
     Confirmations { revision, everywhere: false, leases_ms: None, zones: zones.collect() }
 }
 
-/// The revision of an instance; `None` while it is not heard.
-fn told_revision(node: &Node, members: &Membership, id: &InstanceId) -> Option<Revision> {
+/// The own revision, or the one that a live peer reported last; `None` for other peers.
+fn reported_revision(node: &Node, members: &Membership, id: &InstanceId) -> Option<Revision> {
     if *id == node.own.id {
         return Some(node.follower.borrow().revision());
     }
--- a/src/coordination/operators/mod.rs
+++ b/src/coordination/operators/mod.rs
@@ -1,21 +1,21 @@
-//! The operators' HTTP interface, the same on entry instances and keepers.
+//! The HTTP interface for operators, which entry instances and keepers share.
 //!
 //! | request | answer |
 //! | --- | --- |
-//! | `GET /status` | the process: id, role, zone, revision, peers |
-//! | `GET /upstreams` | upstreams of the zone, and summaries of other zones |
+//! | `GET /status` | id, kind, zone, revision and peers of the process |
+//! | `GET /upstreams` | the upstreams of the zone |
 //! | `GET /requests/{id}` | the record of a request |
-//! | `GET /dump` | the state of the process |
-//! | `GET /metrics` | metrics as Prometheus text |
-//! | `POST /release/check` | whether a note would be accepted |
-//! | `POST /release/apply` | applies a note |
-//! | `GET /release` | the configuration in force here |
-//! | `GET /release/history` | accepted notes |
-//! | `GET /release/confirmations` | revision in force at each instance |
+//! | `GET /dump` | the state of the process, including summaries of other zones |
+//! | `GET /metrics` | metrics in the Prometheus text format |
+//! | `POST /release/check` | checks a release note without applying it |
+//! | `POST /release/apply` | applies a release note |
+//! | `GET /release` | the configuration in effect at this process |
+//! | `GET /release/history` | the accepted release notes |
+//! | `GET /release/confirmations` | the rollout of a revision, by zone |
 //! | `POST /drain` | stops the process gracefully |
-//! | `PUT /log-level` | changes the level of the logs |
+//! | `PUT /log-level` | changes the log level |
 //!
-//! Every request but `GET /metrics` carries an operator's bearer key.
+//! Every request except `GET /metrics` must carry the bearer key of an operator.
 
 mod confirmations;
 mod releases;
@@ -51,54 +51,55 @@
     },
 };
 
-/// Longest body of a change of the log level, in bytes.
-const LEVEL_BYTES: usize = 1024;
+/// Maximum size of the body of `PUT /log-level`.
+const MAX_LEVEL_BYTES: usize = 1024;
 
-/// Time that a look-up may take.
-const LOOK_UP_LIMIT: Duration = Duration::from_secs(4);
+/// Time-out of a read from a replication group.
+const LOOK_UP_TIMEOUT: Duration = Duration::from_secs(4);
 
 type Dump = Box<dyn Fn() -> Value>;
 
-type Process = Box<dyn Fn() -> ProcessDetails>;
+type Details = Box<dyn Fn() -> ProcessDetails>;
 
-/// What only one kind of process knows of its status.
+/// The part of a process's status that depends on the kind of the process.
 #[derive(Debug, Clone, Default)]
 pub struct ProcessDetails {
-    /// Whether it is about to stop.
+    /// Whether the process is draining.
     pub leaving: bool,
-    /// Requests that run.
+    /// Number of in-flight requests; 0 at a keeper.
     pub running: u64,
-    /// Replication groups that it belongs to.
+    /// Replication groups that the process is a member of; none at an entry instance.
     pub groups: Vec<GroupStatus>,
 }
 
-/// What the operators' interface needs of its process.
+/// The state that the handlers of the operators' interface use.
 pub struct OperatorApi {
     node: Rc<Node>,
     operators: Vec<Operator>,
     context: Context,
-    process: Process,
+    details: Details,
     dump: Dump,
 }
 
 impl OperatorApi {
-    /// An interface that dumps nothing but the common part.
+    /// Creates an interface whose status and dump have only the part that all processes share.
     pub fn new(node: Rc<Node>, operators: Vec<Operator>, context: Context) -> OperatorApi {
-        let process = Box::new(ProcessDetails::default);
+        let details = Box::new(ProcessDetails::default);
         let dump = Box::new(|| Value::Null);
-        OperatorApi { node, operators, context, process, dump }
+        OperatorApi { node, operators, context, details, dump }
     }
 
-    /// The same interface, with the state that only this kind of process has.
+    /// Adds a dump of the state that only this kind of process has.
     pub fn with_dump(self, dump: impl Fn() -> Value + 'static) -> OperatorApi {
         OperatorApi { dump: Box::new(dump), ..self }
     }
 
-    /// The same interface, with the status that only this kind of process has.
-    pub fn with_details(self, process: impl Fn() -> ProcessDetails + 'static) -> OperatorApi {
-        OperatorApi { process: Box::new(process), ..self }
+    /// Adds the status details that only this kind of process has.
+    pub fn with_details(self, details: impl Fn() -> ProcessDetails + 'static) -> OperatorApi {
+        OperatorApi { details: Box::new(details), ..self }
     }
 
+    /// The operator whose bearer key the request carries.
     fn operator(&self, request: &Request<Incoming>) -> Option<OperatorId> {
         let key = Fingerprint::of(bearer_key(request)?.as_bytes());
         let found = self.operators.iter().find(|it| it.key == key)?;
@@ -121,7 +122,7 @@
     http_server::serve(listener, limits, stop, handler).await;
 }
 
-/// The bearer key of a request.
+/// The bearer key in the `Authorization` header; `None` without one or with another scheme.
 pub fn bearer_key<B>(request: &Request<B>) -> Option<&str> {
     let value = request.headers().get(header::AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ").map(str::trim)
@@ -166,7 +167,7 @@
     body::problem_answer(&Problem::new(status, kind, title, Outcome::NotRun))
 }
 
-/// Reads a body of at most `limit` bytes; fails with the refusal.
+/// Reads a body of at most `limit` bytes; the error is the answer to the operator.
 async fn read_body(request: Request<Incoming>, limit: usize) -> Result<Bytes, Answer> {
     body::read(request.into_body(), limit).await.map_err(|error| match error {
         BodyError::TooLong { .. } => refuse(413, "body-too-long", &error.to_string()),
@@ -174,18 +175,19 @@
     })
 }
 
-/// The answer to an operator or caller whose call to a group failed.
-pub fn call_error_answer(failure: &CallError) -> Answer {
-    let outcome = match failure {
+/// The answer to an operator or caller whose call to a group failed: 503, with outcome `unknown` if
+/// the command may have been applied.
+pub fn call_error_answer(error: &CallError) -> Answer {
+    let outcome = match error {
         CallError::Uncertain { .. } => Outcome::Unknown,
         _ => Outcome::NotRun,
     };
-    let problem = Problem::new(503, "group-unreachable", &failure.to_string(), outcome);
+    let problem = Problem::new(503, "group-unreachable", &error.to_string(), outcome);
     body::problem_answer(&problem.with_retry_after(Duration::from_secs(1)))
 }
 
 async fn set_level(api: &OperatorApi, request: Request<Incoming>) -> Answer {
-    let bytes = match read_body(request, LEVEL_BYTES).await {
+    let bytes = match read_body(request, MAX_LEVEL_BYTES).await {
         Ok(bytes) => bytes,
         Err(answer) => return answer,
     };
@@ -205,15 +207,15 @@
         Ok(id) => id,
         Err(error) => return refuse(400, "no-request-id", &format!("{error}")),
     };
-    record_status_answer(lookup::record_status(&api.node, &id, LOOK_UP_LIMIT).await)
+    record_status_answer(lookup::record_status(&api.node, &id, LOOK_UP_TIMEOUT).await)
 }
 
-/// The answer that tells what is known of a request.
+/// The answer with the record of a request: 410 once it has expired, 404 if there is none.
 pub fn record_status_answer(status: Result<RecordStatus, CallError>) -> Answer {
     match status {
         Ok(RecordStatus::Recorded(record)) => ok(&record),
         Ok(RecordStatus::Expired) => refuse(410, "record-expired", "the record is no longer kept"),
         Ok(RecordStatus::NotFound) => refuse(404, "no-record", lookup::NOT_FOUND_TITLE),
-        Err(failure) => call_error_answer(&failure),
+        Err(error) => call_error_answer(&error),
     }
 }
--- a/src/coordination/operators/releases.rs
+++ b/src/coordination/operators/releases.rs
@@ -1,4 +1,4 @@
-//! Release notes: checked, applied, and those accepted before.
+//! Requests that check, apply and list release notes.
 
 use std::time::Duration;
 
@@ -12,19 +12,19 @@
 use crate::{
     coordination::{
         calls,
-        operators::{LOOK_UP_LIMIT, OperatorApi, call_error_answer, ok, read_body, refuse},
+        operators::{LOOK_UP_TIMEOUT, OperatorApi, call_error_answer, ok, read_body, refuse},
     },
     protocol::{GroupId, GroupReply, GroupRequest, operators::AcceptedNote},
     transport::body::Answer,
 };
 
-/// Longest body of a release note, in bytes.
-const NOTE_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of the body of a release note.
+const MAX_NOTE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Time that a release note has to be committed.
-const APPLY_LIMIT: Duration = Duration::from_secs(8);
+/// Time-out of the commit of a release note.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The configuration in force here; the empty one before the first release note.
+/// The configuration in effect at this process; empty until a first revision is known.
 pub(super) fn configuration(api: &OperatorApi) -> Configuration {
     let current = api.node.configuration();
     current.map(|it| it.configuration.clone()).unwrap_or_default()
@@ -40,18 +40,18 @@
 
 pub(super) async fn history(api: &OperatorApi) -> Answer {
     let group = GroupId::Configuration;
-    match calls::submit(&api.node, &group, GroupRequest::History, LOOK_UP_LIMIT).await {
+    match calls::submit(&api.node, &group, GroupRequest::History, LOOK_UP_TIMEOUT).await {
         Ok(GroupReply::History(notes)) => {
             let notes: Vec<AcceptedNote> = notes.iter().map(accepted_note).collect();
             ok(&notes)
         }
         Ok(_) => refuse(500, "mismatch", "the configuration group sent another kind of reply"),
-        Err(failure) => call_error_answer(&failure),
+        Err(error) => call_error_answer(&error),
     }
 }
 
 async fn read_note(request: Request<Incoming>) -> Result<ReleaseNote, Answer> {
-    let bytes = read_body(request, NOTE_BYTES).await?;
+    let bytes = read_body(request, MAX_NOTE_BYTES).await?;
     let raw: RawNote = serde_json::from_slice(&bytes)
         .map_err(|error| refuse(400, "no-release-note", &error.to_string()))?;
     ReleaseNote::try_from(raw).map_err(|error| note_refused(&error))
@@ -94,7 +94,8 @@
         let title = format!("the note names {}, the key is {operator}'s", note.operator());
         return refuse(403, "foreign-operator", &title);
     }
-    match calls::submit_configuration_command(&api.node, Command::Apply(note), APPLY_LIMIT).await {
+    match calls::submit_configuration_command(&api.node, Command::Apply(note), COMMIT_TIMEOUT).await
+    {
         Ok(Reply::Accepted(accepted)) => {
             tracing::info!(%operator, number = %accepted.number, revision = %accepted.revision,
                 "release note accepted");
@@ -105,7 +106,7 @@
             tracing::error!(?reply, "unexpected reply to a release note");
             refuse(500, "mismatch", "the configuration group sent another kind of reply")
         }
-        Err(failure) => call_error_answer(&failure),
+        Err(error) => call_error_answer(&error),
     }
 }
 
--- a/src/coordination/operators/status.rs
+++ b/src/coordination/operators/status.rs
@@ -1,4 +1,4 @@
-//! What a process tells of itself: status, upstreams, dump.
+//! Read-only views of a process: status, upstreams, dump.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
         state: state_name(peer.state).into(),
         age_ms: peer.age(now).map(millis),
     });
-    let own = (api.process)();
+    let details = (api.details)();
     ProcessStatus {
         instance: node.own.id.clone(),
         kind: node.own.kind.name().into(),
@@ -28,10 +28,10 @@
         region: node.region.clone(),
         incarnation: node.incarnation,
         revision: node.follower.borrow().revision(),
-        leaving: own.leaving,
-        running: own.running,
+        leaving: details.leaving,
+        running: details.running,
         peers: peers.collect(),
-        groups: own.groups,
+        groups: details.groups,
     }
 }
 
@@ -58,7 +58,7 @@
             id: announcement.id.clone(),
             zone: announcement.zone.clone(),
             address: announcement.address,
-            serves: serves(&it.targets()),
+            serves: target_names(&it.targets()),
             slots: announcement.slots.0,
             running: announcement.load.running,
             waiting: announcement.load.waiting,
@@ -69,13 +69,13 @@
     upstreams.collect()
 }
 
-fn serves(targets: &[Target]) -> SmolStr {
+fn target_names(targets: &[Target]) -> SmolStr {
     let names: Vec<String> = targets.iter().map(|it| it.key().to_string()).collect();
     names.join(", ").into()
 }
 
-/// Summaries of other zones, as a dump shows them.
-fn zones(api: &OperatorApi) -> Vec<Value> {
+/// The summaries of other zones, for the dump.
+fn zone_summaries(api: &OperatorApi) -> Vec<Value> {
     let now = api.node.now();
     let members = api.node.members.borrow();
     let zones = members.zones().iter().map(|zone| {
@@ -100,7 +100,7 @@
         "status": status(api),
         "confirmed_ms": confirmed.map(millis),
         "upstreams": upstreams(api),
-        "zones": zones(api),
+        "zones": zone_summaries(api),
         "process": (api.dump)(),
     })
 }
