--- a/src/coordination/entry/inference/delivery.rs
+++ b/src/coordination/entry/inference/delivery.rs
@@ -1,4 +1,4 @@
-//! The delivery of an upstream's answer, streamed or whole, and the recorded end of the request.
+//! The delivery of an upstream's answer, streamed or not, and the recorded end of the request.
 
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
 };
 use tokio::task;
 
-use super::{AttemptEnd, Job, Place};
+use super::{AttemptError, Destination, Job};
 use crate::{
     coordination::entry::{
         Entry,
@@ -27,11 +27,11 @@
     transport::body::{self, Answer},
 };
 
-/// Longest answer that is not streamed, in bytes.
-const ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum size of an answer that is not streamed.
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Whether an upstream's error document says that it has not begun the request.
-pub fn says_not_started(status: StatusCode, content: &[u8]) -> bool {
+/// Whether an upstream's error document states that it has not begun the request.
+pub fn is_not_started(status: StatusCode, content: &[u8]) -> bool {
     if !status.is_server_error() {
         return false;
     }
@@ -39,26 +39,31 @@
     document["error"]["code"] == "not_started"
 }
 
-/// Passes a streamed answer on from its first event; `slot` is taken along.
+/// Waits for the first event of a streamed answer, and spawns a task that delivers the rest. The
+/// task takes `slot` and holds it until the end of the stream.
 pub(super) async fn stream(
     entry: &Rc<Entry>,
     job: &Job,
     exchange: Exchange,
     slot: &mut Option<Slot>,
-) -> Result<Answer, AttemptEnd> {
+) -> Result<Answer, AttemptError> {
     let (id, target) = (job.facts().id.clone(), job.facts().target.clone());
-    let (place, attempt_id, address) =
-        (exchange.place.clone(), exchange.attempt_id, exchange.address);
+    let (destination, attempt_id, address) =
+        (exchange.destination.clone(), exchange.attempt_id, exchange.address);
     let mut relay = Relay::new(entry.clone(), id.clone(), exchange);
     if let Err(refusal) = relay.begin().await {
-        entry.routed(router::Event::Failed(attempt_id));
+        entry.notify_router(router::Event::Failed(attempt_id));
         let reason = refusal.reason.title().into();
-        if let Place::Upstream(upstream) = &place {
-            entry.examine_loss(&id, upstream, address).await;
+        if let Destination::Upstream(upstream) = &destination {
+            entry.check_for_crash(&id, upstream, address).await;
         }
-        return Err(AttemptEnd::Failed(FailedAttempt { place, failure: Failure::Lost, reason }));
+        return Err(AttemptError::Failed(FailedAttempt {
+            destination,
+            failure: Failure::Lost,
+            reason,
+        }));
     }
-    let (sender, body) = body::streamed();
+    let (sender, body) = body::channel();
     let mut answer = Response::new(body);
     let fields = answer.headers_mut();
     let media = header::HeaderValue::from_static("text/event-stream");
@@ -68,20 +73,20 @@
     task::spawn_local(async move {
         let end = relay.deliver(sender).await;
         drop(slot);
-        if let (StreamEnd::Failed(_), Place::Upstream(upstream)) = (&end, &place) {
-            entry.examine_loss(&id, upstream, address).await;
+        if let (StreamEnd::Failed(_), Destination::Upstream(upstream)) = (&end, &destination) {
+            entry.check_for_crash(&id, upstream, address).await;
         }
-        let own = matches!(place, Place::Upstream(_)).then_some(&target);
-        finish(&entry, &id, own, attempt_id, end);
+        let local_target = matches!(destination, Destination::Upstream(_)).then_some(&target);
+        finish(&entry, &id, local_target, attempt_id, end);
     });
     Ok(answer)
 }
 
-/// Ends a streamed request; `own` is its target if an upstream of the own zone served it.
+/// Ends a streamed request; `local_target` is its target if an upstream of the own zone served it.
 fn finish(
     entry: &Entry,
     id: &RequestId,
-    own: Option<&Target>,
+    local_target: Option<&Target>,
     attempt_id: routing::AttemptId,
     end: StreamEnd,
 ) {
@@ -89,83 +94,88 @@
         StreamEnd::Complete => {
             (router::Event::Ended(attempt_id), Outcome::Answered, "whole answer")
         }
-        StreamEnd::CallerGone => {
+        StreamEnd::CallerDisconnected => {
             (router::Event::Ended(attempt_id), Outcome::Failed, "the caller went away")
         }
         StreamEnd::Failed(refusal) => {
             (router::Event::Failed(attempt_id), refusal.outcome, refusal.reason.title())
         }
     };
-    entry.routed(event);
+    entry.notify_router(event);
     let request = id.clone();
     if end == StreamEnd::Complete {
-        entry.suspect(suspects::Event::Completed { request });
-        if let Some(target) = own {
-            entry.with_budget(target, |budget| budget.record_success());
+        entry.handle_suspect_event(suspects::Event::Completed { request });
+        if let Some(target) = local_target {
+            entry.with_retry_budget(target, |budget| budget.record_success());
         }
     } else {
-        entry.suspect(suspects::Event::Inconclusive { request });
+        entry.handle_suspect_event(suspects::Event::Inconclusive { request });
     }
-    entry.end(id, outcome, reason);
+    entry.end_request(id, outcome, reason);
 }
 
-/// Reads an answer that is not streamed and passes it on.
+/// Reads an answer that is not streamed, and returns it for the caller.
 ///
-/// An upstream's error fails the attempt; but a call that must not run twice ends with it, unless
-/// the upstream says that it has not begun the call.
+/// If the upstream answers with an error, the attempt fails. But a call that must not run twice ends
+/// with that error, unless the upstream states that it has not begun the call.
 pub(super) async fn whole(
     entry: &Rc<Entry>,
     job: &Job,
     exchange: Exchange,
-) -> Result<Answer, AttemptEnd> {
+) -> Result<Answer, AttemptError> {
     let facts = job.facts();
-    let (place, attempt_id) = (exchange.place, exchange.attempt_id);
+    let (destination, attempt_id) = (exchange.destination, exchange.attempt_id);
     let (head, incoming) = exchange.answer.into_parts();
-    entry.step(&facts.id, Stage::FirstByte);
+    entry.record_stage(&facts.id, Stage::FirstByte);
     let failed = |failure, reason| {
-        entry.suspect(suspects::Event::Inconclusive { request: facts.id.clone() });
-        entry.routed(router::Event::Failed(attempt_id));
-        let place = place.clone();
-        Err(AttemptEnd::Failed(FailedAttempt { place, failure, reason }))
+        entry.handle_suspect_event(suspects::Event::Inconclusive { request: facts.id.clone() });
+        entry.notify_router(router::Event::Failed(attempt_id));
+        let destination = destination.clone();
+        Err(AttemptError::Failed(FailedAttempt { destination, failure, reason }))
     };
-    let limited = http_body_util::Limited::new(incoming, ANSWER_BYTES);
-    let content = match tokio::time::timeout(job.call.limit, limited.collect()).await {
+    let limited = http_body_util::Limited::new(incoming, MAX_ANSWER_BYTES);
+    let content = match tokio::time::timeout(job.call.head_timeout, limited.collect()).await {
         Ok(Ok(collected)) => collected.to_bytes(),
         _ => return failed(Failure::Lost, "the answer was cut before its end".into()),
     };
     let status = head.status;
-    if says_not_started(status, &content) {
+    if is_not_started(status, &content) {
         return failed(Failure::NotSent, "the upstream did not begin it".into());
     }
     if status.is_server_error() && job.call.key.is_none() {
         let reason = smol_str::format_smolstr!("the upstream answered with status {status}");
         return failed(Failure::Error, reason);
     }
-    entry.client.give_back(exchange.connection);
-    entry.routed(router::Event::FirstToken(attempt_id));
-    entry.routed(router::Event::Ended(attempt_id));
-    pay_for_retries(entry, &facts.target, &place, status);
-    entry.suspect(suspects::Event::Completed { request: facts.id.clone() });
-    entry.end(&facts.id, Outcome::Answered, "whole answer");
-    Ok(pass_on(&facts.id, status, head.headers.get(header::CONTENT_TYPE), content))
+    entry.client.release(exchange.connection);
+    entry.notify_router(router::Event::FirstToken(attempt_id));
+    entry.notify_router(router::Event::Ended(attempt_id));
+    credit_retry_budget(entry, &facts.target, &destination, status);
+    entry.handle_suspect_event(suspects::Event::Completed { request: facts.id.clone() });
+    entry.end_request(&facts.id, Outcome::Answered, "whole answer");
+    Ok(build_answer(&facts.id, status, head.headers.get(header::CONTENT_TYPE), content))
 }
 
-/// Counts an answer for the retry budget of `target`, unless it is an error, or another zone's
-/// instance sent the request to the upstream and counts it.
-pub fn pay_for_retries(entry: &Entry, target: &Target, place: &Place, status: StatusCode) {
-    if matches!(place, Place::Upstream(_)) && !status.is_server_error() {
-        entry.with_budget(target, |budget| budget.record_success());
+/// Credits an answer to the retry budget of `target`. Errors are not credited, and neither are
+/// answers from another zone, whose instance credits them to its own budget.
+pub fn credit_retry_budget(
+    entry: &Entry,
+    target: &Target,
+    destination: &Destination,
+    status: StatusCode,
+) {
+    if matches!(destination, Destination::Upstream(_)) && !status.is_server_error() {
+        entry.with_retry_budget(target, |budget| budget.record_success());
     }
 }
 
-/// An upstream's answer as the caller gets it.
-pub fn pass_on(
+/// Builds the answer to the caller from the parts of an upstream's answer.
+pub fn build_answer(
     id: &RequestId,
     status: StatusCode,
     media: Option<&header::HeaderValue>,
     content: Bytes,
 ) -> Answer {
-    let mut answer = Response::new(body::whole(content));
+    let mut answer = Response::new(body::full(content));
     *answer.status_mut() = status;
     if let Some(media) = media {
         answer.headers_mut().insert(header::CONTENT_TYPE, media.clone());
--- a/src/coordination/entry/internal.rs
+++ b/src/coordination/entry/internal.rs
@@ -2,8 +2,8 @@
 //!
 //! | request | answer |
 //! | --- | --- |
-//! | `POST /v1/announce` | takes an upstream's announcement in |
-//! | `POST /v1/forward` | serves a request that another zone hands over |
+//! | `POST /v1/announce` | accepts an upstream's announcement |
+//! | `POST /v1/forward` | serves a request that another zone forwards |
 //!
 //! Bodies are authenticated by the deployment key.
 
@@ -32,22 +32,22 @@
     },
 };
 
-/// Longest announcement, in bytes.
-const ANNOUNCEMENT_BYTES: usize = 256 * 1024;
+/// Maximum size of an announcement.
+const MAX_ANNOUNCEMENT_BYTES: usize = 256 * 1024;
 
-/// Bytes that a forwarded request needs beside its body.
-const FORWARD_BYTES: usize = 64 * 1024;
+/// Maximum size of a forwarded request without its body.
+const FORWARD_OVERHEAD_BYTES: usize = 64 * 1024;
 
-/// Connections of upstreams and other instances that are open at once.
-const CONNECTIONS: usize = 4096;
+/// Maximum number of open connections from upstreams and other instances.
+const MAX_CONNECTIONS: usize = 4096;
 
 /// Serves the internal interface until `stop` turns true.
 ///
-/// The limits on the connections and requests of callers do not bind here: a burst of callers'
-/// requests that other zones forward must not shut out announcements.
+/// The limits on callers' connections and requests do not apply here: a burst of callers' requests
+/// that other zones forward must not block announcements.
 pub async fn serve(entry: Rc<Entry>, listener: TcpListener, stop: watch::Receiver<bool>) {
     let callers = entry.server_limits();
-    let limits = ServerLimits { connections: CONNECTIONS, requests: u32::MAX, ..callers };
+    let limits = ServerLimits { connections: MAX_CONNECTIONS, requests: u32::MAX, ..callers };
     let handler = move |request, _| {
         let entry = entry.clone();
         async move { answer(entry, request).await }
@@ -59,13 +59,13 @@
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::POST, "/v1/announce") => announce(&entry, request).await,
-        (&Method::POST, forward::PATH) => take_over(entry, request).await,
+        (&Method::POST, forward::PATH) => serve_forwarded(entry, request).await,
         _ => refuse(404, "not-found", "there is no such resource"),
     }
 }
 
 fn refuse(status: u16, kind: &str, title: &str) -> Answer {
-    body::refusal(&Problem::new(status, kind, title, Outcome::NotRun))
+    body::problem_answer(&Problem::new(status, kind, title, Outcome::NotRun))
 }
 
 /// Reads a body and checks its authentication code.
@@ -74,7 +74,7 @@
     request: Request<Incoming>,
     limit: usize,
 ) -> Result<Bytes, Answer> {
-    let code = request.headers().get(headers::CODE).and_then(|it| it.to_str().ok());
+    let code = request.headers().get(headers::MAC).and_then(|it| it.to_str().ok());
     let code = code.unwrap_or_default().to_owned();
     let content = body::read(request.into_body(), limit)
         .await
@@ -86,7 +86,7 @@
 }
 
 async fn announce(entry: &Entry, request: Request<Incoming>) -> Answer {
-    let content = match read_authenticated(entry, request, ANNOUNCEMENT_BYTES).await {
+    let content = match read_authenticated(entry, request, MAX_ANNOUNCEMENT_BYTES).await {
         Ok(content) => content,
         Err(answer) => return answer,
     };
@@ -94,13 +94,13 @@
         Ok(announcement) => announcement,
         Err(error) => return refuse(400, "no-announcement", &error.to_string()),
     };
-    let notices = entry.node.announced(announcement);
-    entry.note(&notices);
+    let notices = entry.node.apply_announcement(announcement);
+    entry.handle_notices(&notices);
     body::json(StatusCode::OK, &serde_json::json!({}))
 }
 
-async fn take_over(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
-    let limit = entry.settings.limits.body.0 as usize + FORWARD_BYTES;
+async fn serve_forwarded(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
+    let limit = entry.settings.limits.body.0 as usize + FORWARD_OVERHEAD_BYTES;
     let content = match read_authenticated(&entry, request, limit).await {
         Ok(content) => content,
         Err(answer) => return answer,
@@ -110,11 +110,11 @@
         Err(error) => return refuse(400, "no-forwarded-call", &error.to_string()),
     };
     let ForwardedCall { header, method, path, media, key, stream, body } = call;
-    // The sender drops an answer that does not name its request.
+    // The sender discards an answer that does not carry the id of its request.
     let request = header.request().clone();
     let refuse_as = |reason: Reason, title: &str| {
         let problem = Problem::new(reason.status(), reason.slug(), title, Outcome::NotRun);
-        body::refusal(&problem.of(&request))
+        body::problem_answer(&problem.for_request(&request))
     };
     let Some(configuration) = entry.configuration() else {
         return refuse_as(Reason::NoConfiguration, Reason::NoConfiguration.title());
@@ -128,20 +128,22 @@
         true => Reuse::Never,
         false => Reuse::Allowed,
     };
-    let limit = inference::head_limit(forwarded.facts());
+    let head_timeout = inference::head_timeout(forwarded.facts());
     let method = method.parse().unwrap_or(Method::POST);
     let payload = Bytes::from(body);
-    let content = Fingerprint::of(&payload);
-    let call = Call { method, path, media, key, content, body: payload, stream, reuse, limit };
-    if let Err(refusal) = entry.admit() {
+    let fingerprint = Fingerprint::of(&payload);
+    let call =
+        Call { method, path, media, key, fingerprint, body: payload, stream, reuse, head_timeout };
+    if let Err(refusal) = entry.admit_request() {
         return refuse_as(refusal.reason, refusal.reason.title());
     }
-    let job = Job { origin: JobOrigin::Zone(forwarded), call, cost: inference::DEFAULT_COST };
+    let job =
+        Job { origin: JobOrigin::Zone(forwarded), call, cost: inference::DEFAULT_COST_TOKENS };
     let id = job.facts().id.clone();
     let task = task::spawn_local(inference::serve(entry.clone(), job));
     task.await.unwrap_or_else(|_| {
         entry.intake.release();
         let problem = Problem::new(500, "failed", "the request failed", Outcome::Unknown);
-        body::refusal(&problem.of(&id))
+        body::problem_answer(&problem.for_request(&id))
     })
 }
--- a/src/coordination/entry/outcomes.rs
+++ b/src/coordination/entry/outcomes.rs
@@ -1,13 +1,14 @@
-//! Questions to plain services about bookings of unknown outcome.
+//! Queries to plain services about bookings of unknown outcome.
 //!
-//! The owner asks the upstream that it sent the booking to once after a lost answer. Everything
-//! later is up to the leader of the home group: it hands [`OutcomeQuery`]s to an entry instance of
-//! each permitted zone, which asks the zone's upstreams of the service, owner or not. A question
-//! sends nothing again, and of several answers the home group records one.
+//! After a lost answer, the owner queries the upstream to which it sent the booking, once. All later
+//! queries are up to the leader of the home group: it sends [`OutcomeQuery`]s to an entry instance of
+//! each permitted zone, which queries the zone's upstreams of the service, whether or not the
+//! instance owns the booking. A query never sends the booking again, and if several upstreams answer,
+//! the home group records one of the answers.
 //!
 //! A service answers `GET /outcomes/{key}` with `{"state": "ran", "request": ..., "answer": ...}`
-//! once the call has ended. `request` is the `x-request-id` under which it ran; another one than
-//! the booking's shows that somebody else used the key.
+//! once the call has ended. `request` is the `x-request-id` under which the call ran; if it differs
+//! from that of the booking, another request has used the key.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -26,7 +27,7 @@
 use tokio::time::timeout;
 
 use crate::{
-    coordination::{calls, calls::CallFailure, entry::Entry},
+    coordination::{calls, calls::CallError, entry::Entry},
     protocol::headers,
     transport::{
         body,
@@ -34,80 +35,81 @@
     },
 };
 
-/// Longest answer to a booking, in bytes.
-pub const ANSWER_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum size of the answer to a booking.
+pub const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
-/// Times of one question.
-pub const QUESTION_LIMITS: CallLimits =
+/// Time-outs of one query.
+pub const OUTCOME_QUERY_LIMITS: CallLimits =
     CallLimits { connect: Duration::from_secs(1), head: Duration::from_secs(2) };
 
-/// Time that a home group has to answer or to record an outcome.
-const GROUP_LIMIT: Duration = Duration::from_secs(2);
+/// Time for a home group to answer a look-up or to record an outcome.
+const GROUP_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a service answered to a booking.
-pub struct Served {
-    /// What is recorded of it.
+/// A service's answer to a booking.
+pub struct ServiceAnswer {
+    /// The part that the home group records; a long body is left out of it.
     pub recorded: RecordedAnswer,
-    /// The whole body.
+    /// The complete body, for the caller.
     pub content: Bytes,
 }
 
-/// Asks the own zone's services about bookings of the home group of `home`, and settles them.
-pub async fn settle_all(entry: Rc<Entry>, home: RegionId, questions: Vec<OutcomeQuery>) {
-    join_all(questions.iter().map(|it| settle(&entry, &home, it))).await;
+/// Queries the own zone's services about bookings of the home group of `home`, and has the outcomes
+/// recorded.
+pub async fn resolve_all(entry: Rc<Entry>, home: RegionId, queries: Vec<OutcomeQuery>) {
+    join_all(queries.iter().map(|it| resolve(&entry, &home, it))).await;
 }
 
-async fn settle(entry: &Entry, home: &RegionId, question: &OutcomeQuery) {
-    let answers = addresses(entry, question).into_iter();
-    let answers = answers.map(|it| ask(entry, it, &question.key, &question.request));
-    let Some(served) = join_all(answers).await.into_iter().flatten().next() else { return };
-    let request = &question.request;
-    // The record goes first: while the booking is not settled, the question comes again.
-    let result = match record(entry, question).await {
-        Ok(Reply::Ok) => settle_booking(entry, home, question, served.recorded).await,
+async fn resolve(entry: &Entry, home: &RegionId, query: &OutcomeQuery) {
+    let answers = addresses(entry, query).into_iter();
+    let answers = answers.map(|it| query_outcome(entry, it, &query.key, &query.request));
+    let Some(answer) = join_all(answers).await.into_iter().flatten().next() else { return };
+    let request = &query.request;
+    // The request record is written first: the query is repeated until the booking is resolved.
+    let result = match record_outcome(entry, query).await {
+        Ok(Reply::Ok) => resolve_booking(entry, home, query, answer.recorded).await,
         other => other,
     };
     match result {
-        Ok(Reply::Ok) => tracing::info!(%request, "unknown outcome settled"),
-        Ok(reply) => tracing::info!(%request, ?reply, "unknown outcome not settled"),
-        Err(error) => tracing::info!(%request, %error, "unknown outcome not settled"),
+        Ok(Reply::Ok) => tracing::info!(%request, "unknown outcome resolved"),
+        Ok(reply) => tracing::info!(%request, ?reply, "unknown outcome not resolved"),
+        Err(error) => tracing::info!(%request, %error, "unknown outcome not resolved"),
     }
 }
 
-/// The zone's upstreams of the service, if residency permits to ask them.
-fn addresses(entry: &Entry, question: &OutcomeQuery) -> Vec<SocketAddr> {
+/// Addresses of the zone's upstreams of the service; none if residency forbids querying them.
+fn addresses(entry: &Entry, query: &OutcomeQuery) -> Vec<SocketAddr> {
     let node = &entry.node;
     let Some(configuration) = entry.configuration() else { return Vec::new() };
-    if !question.is_permitted_in(&configuration, &node.region) {
+    if !query.is_permitted_in(&configuration, &node.region) {
         return Vec::new();
     }
-    let target = Target::Service(question.service.clone());
+    let target = Target::Service(query.service.clone());
     let members = node.members.borrow();
     let upstreams = members.upstreams(node.now()).filter(|it| it.serves(&target));
     upstreams.map(|it| it.announcement.address).collect()
 }
 
-async fn settle_booking(
+async fn resolve_booking(
     entry: &Entry,
     home: &RegionId,
-    question: &OutcomeQuery,
+    query: &OutcomeQuery,
     answer: RecordedAnswer,
-) -> Result<Reply, CallFailure> {
-    let OutcomeQuery { team, key, request, .. } = question.clone();
+) -> Result<Reply, CallError> {
+    let OutcomeQuery { team, key, request, .. } = query.clone();
     let action = Action::ResolveOutcome { team, key, request, answer };
-    calls::act(&entry.node, home, action, GROUP_LIMIT).await
+    calls::submit_home_action(&entry.node, home, action, GROUP_CALL_TIMEOUT).await
 }
 
-/// Notes in the record of a booking's request that the service told its outcome.
-async fn record(entry: &Entry, question: &OutcomeQuery) -> Result<Reply, CallFailure> {
-    let request = &question.request;
-    let mut record = match calls::look_up(&entry.node, request, GROUP_LIMIT).await? {
+/// Adds to the record of a booking's request that the service has reported the outcome.
+async fn record_outcome(entry: &Entry, query: &OutcomeQuery) -> Result<Reply, CallError> {
+    let request = &query.request;
+    let mut record = match calls::look_up_record(&entry.node, request, GROUP_CALL_TIMEOUT).await? {
         RecordLookup::Found(record) => record,
-        // The owner was lost before it sent the record.
+        // The owner crashed before it sent the record.
         RecordLookup::Expired | RecordLookup::Pending => RequestRecord {
             id: request.clone(),
-            team: question.team.clone(),
-            target: ItemKey::Service(question.service.clone()),
+            team: query.team.clone(),
+            target: ItemKey::Service(query.service.clone()),
             outcome: None,
             timeline: Vec::new(),
         },
@@ -118,37 +120,39 @@
     record.outcome = Some(Outcome::Answered);
     let reason = "told by the service when asked later".into();
     let stage = Stage::Ended { outcome: Outcome::Answered, reason };
-    // When the request was received is not known here.
+    // The time at which the request was received is not known here.
     let after = record.timeline.last().map(|it| it.after).unwrap_or_default();
     record.timeline.push(TimelineEntry { after, stage });
     let action = Action::Records(vec![record]);
-    calls::act(&entry.node, &request.region, action, GROUP_LIMIT).await
+    calls::submit_home_action(&entry.node, &request.region, action, GROUP_CALL_TIMEOUT).await
 }
 
-/// Asks an upstream for the answer of the call that `request` made under `key`.
-pub async fn ask(
+/// Queries an upstream for the answer to the call that `request` made under `key`; `None` if it has
+/// none or can't be reached.
+pub async fn query_outcome(
     entry: &Entry,
     address: SocketAddr,
     key: &BookingKey,
     request: &RequestId,
-) -> Option<Served> {
-    let mut question = Request::new(Full::new(Bytes::new()));
-    *question.method_mut() = Method::GET;
-    *question.uri_mut() = format!("/outcomes/{key}").parse().ok()?;
-    body::insert(question.headers_mut(), header::HOST.as_str(), &address.to_string());
-    body::insert(question.headers_mut(), headers::REQUEST_ID, &request.to_string());
-    let result = entry.client.call(address, question, Reuse::Never, QUESTION_LIMITS).await;
+) -> Option<ServiceAnswer> {
+    let mut query = Request::new(Full::new(Bytes::new()));
+    *query.method_mut() = Method::GET;
+    *query.uri_mut() = format!("/outcomes/{key}").parse().ok()?;
+    body::insert(query.headers_mut(), header::HOST.as_str(), &address.to_string());
+    body::insert(query.headers_mut(), headers::REQUEST_ID, &request.to_string());
+    let result = entry.client.call(address, query, Reuse::Never, OUTCOME_QUERY_LIMITS).await;
     let (answer, _) = result.ok()?;
     if answer.status() != StatusCode::OK {
         return None;
     }
-    let reading = body::read(answer.into_body(), ANSWER_BYTES);
-    let content = timeout(QUESTION_LIMITS.head, reading).await.ok()?.ok()?;
+    let reading = body::read(answer.into_body(), MAX_ANSWER_BYTES);
+    let content = timeout(OUTCOME_QUERY_LIMITS.head, reading).await.ok()?.ok()?;
     parse_outcome(&content, request)
 }
 
-/// The answer in a service's document, if it says that the call of `request` ran.
-pub fn parse_outcome(document: &[u8], request: &RequestId) -> Option<Served> {
+/// Extracts the answer from a service's document, if the document states that the call of `request`
+/// ran.
+pub fn parse_outcome(document: &[u8], request: &RequestId) -> Option<ServiceAnswer> {
     let document: serde_json::Value = serde_json::from_slice(document).ok()?;
     if document["state"] != "ran" || document["request"] != request.to_string().as_str() {
         return None;
@@ -162,5 +166,5 @@
         content_type: SmolStr::new_static("application/json"),
         body: Body::of(&content),
     };
-    Some(Served { recorded, content: content.into() })
+    Some(ServiceAnswer { recorded, content: content.into() })
 }
--- a/src/coordination/keeper/machine.rs
+++ b/src/coordination/keeper/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one replication group.
+//! The state machine of a replication group, for all kinds of groups.
 
 use medlarlug_core::{
     configuration_group,
@@ -12,9 +12,9 @@
 
 use crate::protocol::{GroupId, GroupReply, GroupRequest};
 
-/// A failure of a state machine.
+/// Errors of a state machine; the keeper stops at any of them.
 #[derive(Debug, Error)]
-pub enum MachineError {
+pub enum StateMachineError {
     /// A committed command can't be decoded.
     #[error("a committed command of group {group} can't be decoded")]
     Command {
@@ -35,46 +35,50 @@
     },
 }
 
-/// The state machine of one group, by the kind of the group.
+/// The state machine of a replication group.
 #[derive(Debug)]
-pub enum Machine {
-    /// Of the configuration group.
+pub enum StateMachine {
+    /// State of the configuration group.
     Configuration(Box<ConfigurationGroup>),
-    /// Of a home group.
+    /// State of a home group.
     Home(Box<HomeGroup>),
-    /// Of the publication group.
+    /// State of the publication group.
     Publication(Box<Publication>),
 }
 
-impl Machine {
-    /// The empty state machine of a group.
-    pub fn new(group: &GroupId) -> Machine {
+impl StateMachine {
+    /// Creates an empty state machine of the kind that `group` uses.
+    pub fn new(group: &GroupId) -> StateMachine {
         match group {
-            GroupId::Configuration => Machine::Configuration(Box::default()),
-            GroupId::Home(_) => Machine::Home(Box::default()),
-            GroupId::Publication => Machine::Publication(Box::default()),
+            GroupId::Configuration => StateMachine::Configuration(Box::default()),
+            GroupId::Home(_) => StateMachine::Home(Box::default()),
+            GroupId::Publication => StateMachine::Publication(Box::default()),
         }
     }
 
-    /// Applies a committed command.
+    /// Applies a committed command and returns its reply.
     ///
     /// # Errors
     ///
-    /// Fails when the command can't be decoded, which means that this program is older than the
-    /// one that proposed it.
-    pub fn apply(&mut self, group: &GroupId, command: &[u8]) -> Result<GroupReply, MachineError> {
-        let error = |source| MachineError::Command { group: group.clone(), source };
+    /// Fails when the command can't be decoded, which means that a newer version of the program
+    /// proposed it.
+    pub fn apply(
+        &mut self,
+        group: &GroupId,
+        command: &[u8],
+    ) -> Result<GroupReply, StateMachineError> {
+        let error = |source| StateMachineError::Command { group: group.clone(), source };
         match self {
-            Machine::Configuration(machine) => {
+            StateMachine::Configuration(machine) => {
                 let command: configuration_group::Command =
                     postcard::from_bytes(command).map_err(error)?;
                 Ok(GroupReply::Configured(machine.apply(command)))
             }
-            Machine::Home(machine) => {
+            StateMachine::Home(machine) => {
                 let command: home::Command = postcard::from_bytes(command).map_err(error)?;
                 Ok(GroupReply::Acted(machine.apply(command)))
             }
-            Machine::Publication(machine) => {
+            StateMachine::Publication(machine) => {
                 let command: publication::Command = postcard::from_bytes(command).map_err(error)?;
                 machine.apply(command);
                 Ok(GroupReply::Accepted)
@@ -82,71 +86,71 @@
         }
     }
 
-    /// Answers a request that reads only.
+    /// Answers a read-only request; [`GroupReply::UnsupportedRequest`] if this kind of group doesn't support it.
     pub fn read(&self, request: &GroupRequest) -> GroupReply {
         match (self, request) {
-            (Machine::Home(machine), GroupRequest::LookUp(id)) => {
-                GroupReply::Known(machine.look_up(id))
+            (StateMachine::Home(machine), GroupRequest::LookUp(id)) => {
+                GroupReply::Record(machine.look_up(id))
             }
-            (Machine::Configuration(machine), GroupRequest::History) => {
-                GroupReply::History(machine.history(HISTORY_ENTRIES))
+            (StateMachine::Configuration(machine), GroupRequest::History) => {
+                GroupReply::History(machine.history(MAX_HISTORY_ENTRIES))
             }
-            (Machine::Configuration(machine), GroupRequest::Revision) => {
+            (StateMachine::Configuration(machine), GroupRequest::Revision) => {
                 GroupReply::Revision(machine.configuration().revision)
             }
-            (Machine::Configuration(machine), GroupRequest::Moves) => {
-                GroupReply::Moves(machine.moves().to_vec())
+            (StateMachine::Configuration(machine), GroupRequest::HomeMoves) => {
+                GroupReply::HomeMoves(machine.moves().to_vec())
             }
-            (Machine::Home(machine), GroupRequest::Founding) => {
-                GroupReply::Founding(machine.founded())
+            (StateMachine::Home(machine), GroupRequest::FoundingRevision) => {
+                GroupReply::FoundingRevision(machine.founding_revision())
             }
-            (Machine::Publication(machine), GroupRequest::Published) => {
+            (StateMachine::Publication(machine), GroupRequest::Published) => {
                 GroupReply::Published(machine.clone())
             }
-            _ => GroupReply::Unfit,
+            _ => GroupReply::UnsupportedRequest,
         }
     }
 
-    /// The newest revision; `None` in a home group.
+    /// The newest revision; `None` except in the configuration group.
     pub fn revision(&self) -> Option<Revision> {
         match self {
-            Machine::Configuration(machine) => Some(machine.configuration().revision),
-            Machine::Home(_) | Machine::Publication(_) => None,
+            StateMachine::Configuration(machine) => Some(machine.configuration().revision),
+            StateMachine::Home(_) | StateMachine::Publication(_) => None,
         }
     }
 
-    /// The state of the publication group; `None` in other groups.
+    /// The state of the publication group; `None` in other kinds of groups.
     pub fn publication(&self) -> Option<&Publication> {
         match self {
-            Machine::Publication(machine) => Some(machine),
-            Machine::Configuration(_) | Machine::Home(_) => None,
+            StateMachine::Publication(machine) => Some(machine),
+            StateMachine::Configuration(_) | StateMachine::Home(_) => None,
         }
     }
 
-    /// The state as a snapshot.
+    /// Encodes the state as a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         match self {
-            Machine::Configuration(machine) => machine.encode_snapshot(),
-            Machine::Home(machine) => machine.encode_snapshot(),
-            Machine::Publication(machine) => machine.encode_snapshot(),
+            StateMachine::Configuration(machine) => machine.encode_snapshot(),
+            StateMachine::Home(machine) => machine.encode_snapshot(),
+            StateMachine::Publication(machine) => machine.encode_snapshot(),
         }
     }
 
-    /// Replaces the state by that of a snapshot.
+    /// Replaces the state by that of `snapshot`.
     ///
     /// # Errors
     ///
     /// Fails when the snapshot can't be decoded.
-    pub fn restore(&mut self, group: &GroupId, snapshot: &[u8]) -> Result<(), MachineError> {
-        let error = |source| MachineError::Snapshot { group: group.clone(), source };
+    pub fn restore(&mut self, group: &GroupId, snapshot: &[u8]) -> Result<(), StateMachineError> {
+        let error = |source| StateMachineError::Snapshot { group: group.clone(), source };
         match self {
-            Machine::Configuration(machine) => {
+            StateMachine::Configuration(machine) => {
                 **machine = ConfigurationGroup::decode_snapshot(snapshot).map_err(error)?;
             }
-            Machine::Home(machine) => {
+            StateMachine::Home(machine) => {
                 **machine = HomeGroup::decode_snapshot(snapshot).map_err(error)?;
             }
-            Machine::Publication(machine) => {
+            StateMachine::Publication(machine) => {
                 **machine = Publication::decode_snapshot(snapshot).map_err(error)?;
             }
         }
@@ -154,5 +158,5 @@
     }
 }
 
-/// Release notes that `release history` shows at most.
-const HISTORY_ENTRIES: usize = 100;
+/// Maximum number of release notes in the reply to `release history`.
+const MAX_HISTORY_ENTRIES: usize = 100;
--- a/src/coordination/keeper/status.rs
+++ b/src/coordination/keeper/status.rs
@@ -1,14 +1,14 @@
-//! What a keeper shows of its groups to operators.
+//! The status of a keeper's groups for operators.
 
 use medlarlug_core::replication::Replica;
 use smol_str::{SmolStr, StrExt, ToSmolStr};
 
 use crate::{
-    coordination::keeper::{group::Group, machine::Machine},
+    coordination::keeper::{group::Group, machine::StateMachine},
     protocol::operators::GroupStatus,
 };
 
-/// What operators see of a group.
+/// The group's entry in the answer to `GET /status`.
 pub fn group_status(group: &Group) -> GroupStatus {
     let replica = group.replica();
     GroupStatus {
@@ -26,12 +26,12 @@
     members.map(|it| it.voters().map(|it| it.key.to_smolstr()).collect()).unwrap_or_default()
 }
 
-/// A group in the dump of the process's state.
-pub fn dump_group(group: &Group) -> serde_json::Value {
+/// The group's entry in the answer to `GET /dump`.
+pub fn group_dump(group: &Group) -> serde_json::Value {
     let replica = group.replica();
-    let founded = match group.machine() {
-        Machine::Home(machine) => machine.founded(),
-        Machine::Configuration(_) | Machine::Publication(_) => None,
+    let founding_revision = match group.state_machine() {
+        StateMachine::Home(machine) => machine.founding_revision(),
+        StateMachine::Configuration(_) | StateMachine::Publication(_) => None,
     };
     serde_json::json!({
         "group": group.id().to_string(),
@@ -43,6 +43,6 @@
         "applied": replica.applied(),
         "last": replica.last_index(),
         "compacted": replica.snapshot_index(),
-        "founded": founded,
+        "founded": founding_revision,
     })
 }
