--- a/src/coordination/entry/attempt.rs
+++ b/src/coordination/entry/attempt.rs
@@ -41,12 +41,12 @@
 /// The connection from the task of a booking to its running attempt.
 ///
 /// Dropping it means that the caller's deadline has passed and that no more events will follow.
-pub struct Handle {
+pub struct AttemptHandle {
     events: UnboundedSender<Event>,
     steps: UnboundedReceiver<Step>,
 }
 
-impl Handle {
+impl AttemptHandle {
     /// Reports an event to the attempt.
     pub fn send_event(&self, event: Event) {
         // If the receiver is closed, the attempt has ended and needs no more events.
@@ -69,30 +69,31 @@
 }
 
 /// Starts an attempt and proposes `begin` to the home group of the region `home`.
-pub fn start(entry: &Rc<Entry>, home: RegionId, begin: Begin) -> Handle {
+pub fn start(entry: &Rc<Entry>, home: RegionId, begin: Begin) -> AttemptHandle {
     let (events, event_receiver) = unbounded_channel();
     let (step_sender, steps) = unbounded_channel();
     let mut effects = Vec::new();
     let attempt = Attempt::new(home, begin, &mut effects);
-    let driver = Driver { entry: entry.clone(), attempt, proposals: JoinSet::new(), step_sender };
+    let driver =
+        AttemptDriver { entry: entry.clone(), attempt, proposals: JoinSet::new(), step_sender };
     task::spawn_local(driver.run(event_receiver, effects));
-    Handle { events, steps }
+    AttemptHandle { events, steps }
 }
 
 /// The reply to the proposal that was made in `step`.
-struct Replied {
+struct ProposalReply {
     step: u32,
     reply: Reply,
 }
 
-struct Driver {
+struct AttemptDriver {
     entry: Rc<Entry>,
     attempt: Attempt,
-    proposals: JoinSet<Option<Replied>>,
+    proposals: JoinSet<Option<ProposalReply>>,
     step_sender: UnboundedSender<Step>,
 }
 
-impl Driver {
+impl AttemptDriver {
     async fn run(mut self, mut events: UnboundedReceiver<Event>, mut effects: Vec<Effect>) {
         let mut is_handle_open = true;
         loop {
@@ -108,7 +109,7 @@
                     event.unwrap_or(Event::Deadline)
                 }
                 Some(replied) = self.proposals.join_next() => match replied {
-                    Ok(Some(Replied { step, reply })) => Event::Replied { step, reply },
+                    Ok(Some(ProposalReply { step, reply })) => Event::Replied { step, reply },
                     _ => continue,
                 },
                 () = sleep(RETRY_INTERVAL), if self.proposals.is_empty() => Event::Tick,
@@ -130,9 +131,14 @@
     }
 }
 
-async fn propose(entry: Rc<Entry>, step: u32, home: RegionId, action: Action) -> Option<Replied> {
+async fn propose(
+    entry: Rc<Entry>,
+    step: u32,
+    home: RegionId,
+    action: Action,
+) -> Option<ProposalReply> {
     match calls::act(&entry.node, &home, action, PROPOSAL_TIMEOUT).await {
-        Ok(reply) => Some(Replied { step, reply }),
+        Ok(reply) => Some(ProposalReply { step, reply }),
         Err(error) => {
             tracing::debug!(%error, "no reply to the proposal of a booking");
             None
--- a/src/coordination/entry/callers.rs
+++ b/src/coordination/entry/callers.rs
@@ -62,7 +62,7 @@
     let limits = entry.server_limits();
     let handler = move |request, _| {
         let entry = entry.clone();
-        async move { answer(entry, request).await }
+        async move { handle_request(entry, request).await }
     };
     http_server::serve(listener, limits, stop, handler).await;
 }
@@ -73,7 +73,7 @@
     configuration: Rc<InForce>,
 }
 
-async fn answer(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
+async fn handle_request(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
     let caller = match authenticate(&entry, &request) {
         Ok(caller) => caller,
         Err(answer) => return answer,
@@ -224,11 +224,11 @@
     let job = Job { origin: JobOrigin::Caller(CallerRequest::new(facts)), call, cost };
     // The request continues to its recorded end if the caller's connection is lost.
     let task = task::spawn_local(inference::serve(entry.clone(), job));
-    finish(&entry, &id, task, Outcome::Failed).await
+    wait_for_answer(&entry, &id, task, Outcome::Failed).await
 }
 
 /// Waits for the answer; aborts the request with `outcome` at the drain deadline.
-async fn finish(
+async fn wait_for_answer(
     entry: &Entry,
     id: &RequestId,
     mut task: task::JoinHandle<Answer>,
@@ -237,7 +237,7 @@
     tokio::select! {
         answer = &mut task => answer.unwrap_or_else(|_| {
             entry.end_request(id, Outcome::Unknown, "the request failed");
-            failed(id)
+            internal_error(id)
         }),
         () = entry.intake.wait_for_abort() => {
             task.abort();
@@ -246,7 +246,7 @@
     }
 }
 
-fn failed(id: &RequestId) -> Answer {
+fn internal_error(id: &RequestId) -> Answer {
     let problem = Problem::new(500, "failed", "the request failed", Outcome::Unknown);
     body::refusal(&problem.of(id))
 }
@@ -359,7 +359,7 @@
             },
         )),
     };
-    finish(&entry, &request_id, task, outcome).await
+    wait_for_answer(&entry, &request_id, task, outcome).await
 }
 
 fn booking_key(entry: &Entry, request: &Request<Incoming>) -> Result<Option<BookingKey>, Answer> {
--- a/src/coordination/entry/exchange.rs
+++ b/src/coordination/entry/exchange.rs
@@ -51,7 +51,8 @@
     pub stream: bool,
     /// Whether the call may go over a connection that was used before.
     pub reuse: Reuse,
-    /// Time for the head of the answer to arrive after the connection is open.
+    /// Time for the head of the answer to arrive; for an answer that is not streamed, also the time
+    /// for its body.
     pub head_timeout: Duration,
 }
 
--- a/src/coordination/entry/inference/delivery.rs
+++ b/src/coordination/entry/inference/delivery.rs
@@ -41,7 +41,7 @@
 
 /// Waits for the first event of a streamed answer, and spawns a task that delivers the rest. The
 /// task takes `slot` and holds it until the end of the stream.
-pub(super) async fn stream(
+pub(super) async fn deliver_stream(
     entry: &Rc<Entry>,
     job: &Job,
     exchange: Exchange,
@@ -118,7 +118,7 @@
 ///
 /// If the upstream answers with an error, the attempt fails. But a call that must not run twice ends
 /// with that error, unless the upstream states that it has not begun the call.
-pub(super) async fn whole(
+pub(super) async fn deliver_complete(
     entry: &Rc<Entry>,
     job: &Job,
     exchange: Exchange,
--- a/src/coordination/entry/inference/job.rs
+++ b/src/coordination/entry/inference/job.rs
@@ -92,7 +92,7 @@
     facts.deadline + HEAD_TIMEOUT_MARGIN
 }
 
-/// Time beyond the deadline for which the head of an answer is still awaited.
+/// Time beyond the deadline for which an answer that the upstream has begun is still awaited.
 const HEAD_TIMEOUT_MARGIN: Duration = Duration::from_secs(20);
 
 /// The prefixes of a prompt in the form that the router takes, the longest first.
--- a/src/coordination/entry/inference/mod.rs
+++ b/src/coordination/entry/inference/mod.rs
@@ -125,9 +125,9 @@
     let exchange = send(entry, job).await?;
     let status = exchange.answer.status();
     if job.call.stream && status.is_success() {
-        return delivery::stream(entry, job, exchange, slot).await;
+        return delivery::deliver_stream(entry, job, exchange, slot).await;
     }
-    delivery::whole(entry, job, exchange).await
+    delivery::deliver_complete(entry, job, exchange).await
 }
 
 /// Ends a request with a refusal, and returns the answer for the caller.
--- a/src/coordination/entry/internal.rs
+++ b/src/coordination/entry/internal.rs
@@ -50,12 +50,12 @@
     let limits = ServerLimits { connections: MAX_CONNECTIONS, requests: u32::MAX, ..callers };
     let handler = move |request, _| {
         let entry = entry.clone();
-        async move { answer(entry, request).await }
+        async move { handle_request(entry, request).await }
     };
     http_server::serve(listener, limits, stop, handler).await;
 }
 
-async fn answer(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
+async fn handle_request(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::POST, "/v1/announce") => announce(&entry, request).await,
--- a/src/coordination/entry/mod.rs
+++ b/src/coordination/entry/mod.rs
@@ -224,7 +224,7 @@
     ///
     /// Fails with a refusal when the limit is exhausted.
     pub fn check_limit(&self, team: &TeamId) -> Result<(), Refusal> {
-        self.configure_limits();
+        self.update_limits();
         self.limits.borrow_mut().admit(self.node.now(), team)
     }
 
@@ -288,7 +288,7 @@
         self.set_gauges();
         self.handle_notices(&self.node.report(self.status()));
         self.handle_notices(&self.node.tick());
-        self.configure_limits();
+        self.update_limits();
         self.handle_suspect_event(suspects::Event::Tick);
         let count = self.tick_count.get().wrapping_add(1);
         self.tick_count.set(count);
@@ -303,7 +303,7 @@
     }
 
     /// Passes the rate limits of a new configuration revision to the rate limiter.
-    fn configure_limits(&self) {
+    fn update_limits(&self) {
         let revision = self.node.follower.borrow().revision();
         if revision == self.configured_revision.get() {
             return;
@@ -390,7 +390,7 @@
         }
     }
 
-    fn part(&self) -> ProcessPart {
+    fn process_part(&self) -> ProcessPart {
         let running = u64::from(self.intake.in_flight());
         ProcessPart { leaving: self.intake.is_leaving(), running, groups: Vec::new() }
     }
--- a/src/coordination/entry/orders.rs
+++ b/src/coordination/entry/orders.rs
@@ -94,10 +94,10 @@
             return;
         }
         let engines = self.engines(now);
-        let open = self.issuer.in_flight_orders().map(|it| &it.task);
+        let unanswered = self.issuer.in_flight_orders().map(|it| &it.task);
         let answered = self.answered.iter().map(|it| &it.0);
         let in_flight: Vec<Task> =
-            answered.chain(open).chain(self.issuer.waiting_tasks()).cloned().collect();
+            answered.chain(unanswered).chain(self.issuer.waiting_tasks()).cloned().collect();
         for task in self.planner.plan(&configuration, &engines, &in_flight) {
             let engine = engines.iter().find(|it| it.id == task.upstream);
             let fencing = engine.is_some_and(|it| it.fencing);
--- a/src/coordination/entry/process.rs
+++ b/src/coordination/entry/process.rs
@@ -125,7 +125,7 @@
     let api = OperatorApi::new(node.clone(), operators, context);
     let dump = entry.clone();
     let process = entry.clone();
-    let api = api.with_dump(move || dump.dump()).with_process(move || process.part());
+    let api = api.with_dump(move || dump.dump()).with_process(move || process.process_part());
     let listener = http_server::listen("operators", node.own.operators).await?;
     task::spawn_local(operators::serve(api, listener, operator_limits(), closed.clone()));
 
--- a/src/coordination/entry/services.rs
+++ b/src/coordination/entry/services.rs
@@ -28,7 +28,7 @@
 use crate::{
     coordination::entry::{
         Entry,
-        attempt::{self, Handle, Step},
+        attempt::{self, AttemptHandle, Step},
         exchange::{Exchange, FailedAttempt},
         inference::{self, AttemptError, Job},
         outcomes::{self, MAX_ANSWER_BYTES, ServiceAnswer},
@@ -188,7 +188,7 @@
 }
 
 /// Sends a booking whose intent is committed, and has its outcome recorded.
-async fn run(entry: &Rc<Entry>, mut booking: Booking, mut attempt: Handle) -> Answer {
+async fn run(entry: &Rc<Entry>, mut booking: Booking, mut attempt: AttemptHandle) -> Answer {
     let id = booking.job.facts().id.clone();
     let failed = match send(entry, &mut booking).await {
         SendResult::Answered(answer) => return finish(entry, &booking, &mut attempt, answer).await,
@@ -291,7 +291,7 @@
 async fn finish(
     entry: &Entry,
     booking: &Booking,
-    attempt: &mut Handle,
+    attempt: &mut AttemptHandle,
     answer: ServiceAnswer,
 ) -> Answer {
     let id = &booking.job.facts().id;
