--- a/src/coordination/entry/attempt.rs
+++ b/src/coordination/entry/attempt.rs
@@ -137,7 +137,7 @@
     home: RegionId,
     action: Action,
 ) -> Option<ProposalReply> {
-    match calls::act(&entry.node, &home, action, PROPOSAL_TIMEOUT).await {
+    match calls::submit_home_action(&entry.node, &home, action, PROPOSAL_TIMEOUT).await {
         Ok(reply) => Some(ProposalReply { step, reply }),
         Err(error) => {
             tracing::debug!(%error, "no reply to the proposal of a booking");
--- a/src/coordination/entry/mod.rs
+++ b/src/coordination/entry/mod.rs
@@ -66,8 +66,8 @@
 use crate::{
     coordination::{
         entry::{admission::ZoneAdmission, cooldown::Cooldowns, intake::Intake, journal::Journal},
-        node::{InForce, Node, Received},
-        operators::ProcessPart,
+        node::{ActiveConfiguration, Node, Received},
+        operators::ProcessDetails,
     },
     protocol::Message,
     settings::{EntrySettings, Peer},
@@ -139,7 +139,7 @@
         let limits = &self.settings.limits;
         ServerLimits {
             header_bytes: limits.header.0 as usize,
-            header_time: limits.sender,
+            header_time: limits.receive_timeout,
             connections: limits.connections as usize,
             requests: limits.requests,
         }
@@ -151,7 +151,7 @@
     }
 
     /// The configuration in effect at this instance; `None` until a first revision is known.
-    pub fn configuration(&self) -> Option<Rc<InForce>> {
+    pub fn configuration(&self) -> Option<Rc<ActiveConfiguration>> {
         self.node.configuration()
     }
 
@@ -286,7 +286,7 @@
 
     fn tick(&self) {
         self.set_gauges();
-        self.handle_notices(&self.node.report(self.status()));
+        self.handle_notices(&self.node.report_status(self.status()));
         self.handle_notices(&self.node.tick());
         self.update_limits();
         self.handle_suspect_event(suspects::Event::Tick);
@@ -327,7 +327,7 @@
                     }
                 }
                 limits::Effect::RequestResync(peer) => {
-                    self.node.send(&peer, Message::AskDemand);
+                    self.node.send(&peer, Message::DemandRequest);
                 }
                 limits::Effect::Send { to, report } => {
                     self.node.send(&to, Message::Demand { report });
@@ -347,7 +347,7 @@
 
     fn receive(self: &Rc<Self>, received: Received) {
         match received {
-            Received::Done => {}
+            Received::Handled => {}
             Received::Notices(notices) => self.handle_notices(&notices),
             Received::Other(from, message) => self.receive_from_entry(from, *message),
         }
@@ -359,7 +359,7 @@
                 let age = Duration::ZERO;
                 self.handle_limit_event(limits::Event::ReportReceived { report, age });
             }
-            Message::AskDemand => self.handle_limit_event(limits::Event::ResyncRequested(from)),
+            Message::DemandRequest => self.handle_limit_event(limits::Event::ResyncRequested(from)),
             Message::Fact(fact) => self.handle_suspect_event(suspects::Event::FactReceived(fact)),
             Message::Reserve { upstream, lifetime } => {
                 self.handle_suspect_event(suspects::Event::Reserved { upstream, lifetime });
@@ -367,8 +367,8 @@
             Message::Free { upstream } => {
                 self.handle_suspect_event(suspects::Event::ReservationReleased { upstream })
             }
-            Message::Questions { home, questions } => {
-                task::spawn_local(outcomes::resolve_all(self.clone(), home, questions));
+            Message::OutcomeQueries { home, queries } => {
+                task::spawn_local(outcomes::resolve_all(self.clone(), home, queries));
             }
             message => {
                 tracing::warn!(%from, ?message, "message for another kind of process");
@@ -390,9 +390,9 @@
         }
     }
 
-    fn process_part(&self) -> ProcessPart {
+    fn details(&self) -> ProcessDetails {
         let running = u64::from(self.intake.in_flight());
-        ProcessPart { leaving: self.intake.is_leaving(), running, groups: Vec::new() }
+        ProcessDetails { leaving: self.intake.is_leaving(), running, groups: Vec::new() }
     }
 
     fn dump(&self) -> serde_json::Value {
