--- a/src/coordination/entry/callers.rs
+++ b/src/coordination/entry/callers.rs
@@ -192,11 +192,11 @@
         Ok(content) => content,
         Err(answer) => return answer,
     };
-    let head = match InferenceParams::parse(&content) {
-        Ok(head) => head,
+    let params = match InferenceParams::parse(&content) {
+        Ok(params) => params,
         Err(error) => return refuse(400, "no-inference-request", &error.to_string()),
     };
-    let target = ItemKey::Model(head.model.clone());
+    let target = ItemKey::Model(params.model.clone());
     if caller.configuration.item(&target).is_none() {
         return refuse(404, "unknown-model", &format!("there is no {target}"));
     }
@@ -210,17 +210,17 @@
     let facts = RequestFacts {
         id: id.clone(),
         team: caller.team.id,
-        target: Target::Model(head.model.clone()),
-        adapter: head.adapter.clone(),
-        prompt: head.prompt_tokens,
-        prefixes: inference::prefixes_of(&head),
+        target: Target::Model(params.model.clone()),
+        adapter: params.adapter.clone(),
+        prompt: params.prompt_tokens,
+        prefixes: inference::prefixes_of(&params),
         priority: caller.team.priority,
         deadline,
         excluded: Vec::new(),
     };
     let head_timeout = inference::head_timeout(&facts);
-    let call = inference::call_of(path, content, head.stream, head_timeout);
-    let cost = inference::cost_of(&head);
+    let call = inference::call_of(path, content, params.stream, head_timeout);
+    let cost = inference::cost_of(&params);
     let job = Job { origin: JobOrigin::Caller(CallerRequest::new(facts)), call, cost };
     // The request continues to its recorded end if the caller's connection is lost.
     let task = task::spawn_local(inference::serve(entry.clone(), job));
--- a/src/coordination/entry/forward.rs
+++ b/src/coordination/entry/forward.rs
@@ -78,12 +78,12 @@
         body: call.body.to_vec(),
     };
     let body = Bytes::from(postcard::to_stdvec(&forwarded).ok()?);
-    let code = entry.node.keys.sign(&body);
+    let mac = entry.node.keys.sign(&body);
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = Method::POST;
     *request.uri_mut() = PATH.parse().ok()?;
     body::insert(request.headers_mut(), header::HOST.as_str(), &address.to_string());
-    body::insert(request.headers_mut(), headers::MAC, &code);
+    body::insert(request.headers_mut(), headers::MAC, &mac);
     Some(request)
 }
 
--- a/src/coordination/entry/inference/job.rs
+++ b/src/coordination/entry/inference/job.rs
@@ -1,4 +1,4 @@
-//! A request that is ready to be routed, and the values derived from its parsed head.
+//! A request that is ready to be routed, and the values derived from its parameters.
 
 use std::time::Duration;
 
@@ -82,8 +82,8 @@
 pub const DEFAULT_COST_TOKENS: u32 = 1_000;
 
 /// Size of an inference request for fair queueing, in tokens.
-pub fn cost_of(head: &InferenceParams) -> u32 {
-    let tokens = head.prompt_tokens.0.saturating_add(head.max_answer_tokens.0);
+pub fn cost_of(params: &InferenceParams) -> u32 {
+    let tokens = params.prompt_tokens.0.saturating_add(params.max_answer_tokens.0);
     u32::try_from(tokens).unwrap_or(u32::MAX)
 }
 
@@ -96,9 +96,9 @@
 const HEAD_TIMEOUT_MARGIN: Duration = Duration::from_secs(20);
 
 /// The prefixes of a prompt in the form that the router takes, the longest first.
-pub fn prefixes_of(head: &InferenceParams) -> Vec<Prefix> {
+pub fn prefixes_of(params: &InferenceParams) -> Vec<Prefix> {
     let block = medlarlug_core::fingerprint::PREFIX_BLOCK_BYTES as u64 / BYTES_PER_TOKEN;
-    let numbered = head.prefixes.iter().zip(1u64..);
+    let numbered = params.prefixes.iter().zip(1u64..);
     let mut prefixes: Vec<Prefix> = numbered
         .map(|(fingerprint, count)| Prefix {
             fingerprint: *fingerprint,
--- a/src/coordination/entry/inference/mod.rs
+++ b/src/coordination/entry/inference/mod.rs
@@ -1,6 +1,6 @@
 //! The lifecycle of an inference request, from its admission to its recorded end.
 //!
-//! * `job`: the request, and the values derived from its head.
+//! * `job`: the request, and the values derived from its parameters.
 //! * `choice`: the choice of a destination for an attempt, and the sending of the request.
 //! * `delivery`: the delivery of the answer to the caller.
 
--- a/src/coordination/entry/internal.rs
+++ b/src/coordination/entry/internal.rs
@@ -74,12 +74,12 @@
     request: Request<Incoming>,
     limit: usize,
 ) -> Result<Bytes, Answer> {
-    let code = request.headers().get(headers::MAC).and_then(|it| it.to_str().ok());
-    let code = code.unwrap_or_default().to_owned();
+    let mac = request.headers().get(headers::MAC).and_then(|it| it.to_str().ok());
+    let mac = mac.unwrap_or_default().to_owned();
     let content = body::read(request.into_body(), limit)
         .await
         .map_err(|error| refuse(413, "body-unreadable", &error.to_string()))?;
-    if !entry.node.keys.verify(&content, &code) {
+    if !entry.node.keys.verify(&content, &mac) {
         return Err(refuse(401, "unauthorized", "the deployment key does not authenticate it"));
     }
     Ok(content)
