--- a/src/coordination/keeper/duties/mod.rs
+++ b/src/coordination/keeper/duties/mod.rs
@@ -3,9 +3,9 @@
 //! * Every member of the configuration group passes new revisions to its own follower; the leader
 //!   also pushes them to every instance. The leader confirms the newest revision by a linearizable
 //!   read; the other members request the confirmation from the leader.
-//! * The leader of a home group founds it ([`founding`]), fetches the bookings of teams whose home
-//!   region moves here ([`moves`]), records which bookings have a dead owner ([`owners`]) and has
-//!   services queried about bookings of unknown outcome ([`outcomes`]).
+//! * The leader of a home group founds it (`founding`), fetches the bookings of teams whose home
+//!   region moves here (`moves`), records which bookings have a dead owner (`owners`) and has
+//!   services queried about bookings of unknown outcome (`outcomes`).
 //! * The leader of the configuration group tracks the rollout of revisions to the instances, and
 //!   removes items that have drained ([`confirmations`]).
 
