--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -1,11 +1,11 @@
-//! Failures of durable state.
+//! Errors of durable state.
 
 use std::{fmt, io, path::PathBuf};
 
 use medlarlug_core::ids::InstanceId;
 use thiserror::Error;
 
-/// What was attempted when the operating system failed.
+/// The operation that failed; its text completes the message `cannot OPERATION PATH`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Operation {
     /// Create a file or folder.
@@ -24,7 +24,7 @@
     Rename,
     /// Remove a file.
     Remove,
-    /// Start the writer's thread.
+    /// Start the thread of the writer.
     Start,
 }
 
@@ -44,18 +44,18 @@
     }
 }
 
-/// A failure of durable state. The process has to stop: after a failed sync nobody knows what is on
-/// the disk, so nothing is tried again.
+/// An error of durable state. The process has to stop: after a failed sync the content of the disk is
+/// unknown, so the operation is not retried.
 #[derive(Debug, Error)]
 pub enum StateError {
-    /// The operating system failed.
+    /// An operation of the operating system failed.
     #[error("cannot {operation} {path}")]
     Io {
-        /// What was attempted.
+        /// The failed operation.
         operation: Operation,
         /// The file or folder.
         path: PathBuf,
-        /// The failure.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The folder belongs to another instance.
@@ -63,43 +63,47 @@
     WrongOwner {
         /// The folder.
         path: PathBuf,
-        /// Its owner.
+        /// The instance that its owner file names.
         owner: InstanceId,
-        /// The instance that asked for it.
+        /// The instance that tried to open it.
         instance: InstanceId,
     },
-    /// Another process uses the folder.
+    /// Another process holds the lock of the folder.
     #[error("the data folder {path} is in use by another process")]
     InUse {
         /// The folder.
         path: PathBuf,
     },
-    /// A record that was synced does not read back.
-    #[error("{path} is corrupt at byte {offset}; bring the disk back or replace the keeper")]
+    /// A record that was synced can't be decoded.
+    #[error("{path} is corrupt at byte {offset}; restore the disk or replace the keeper")]
     Corrupt {
         /// The file.
         path: PathBuf,
-        /// Where the record begins.
+        /// Offset at which the record starts.
         offset: u64,
     },
-    /// The folder has an owner but no journal.
-    #[error("the data folder {path} has lost its journal; bring it back or empty the folder")]
+    /// The folder has an owner file but no journal.
+    #[error(
+        "the data folder {path} has an owner file but no journal; restore the journal or empty the folder"
+    )]
     MissingJournal {
         /// The folder.
         path: PathBuf,
     },
-    /// The folder has a journal but no owner.
-    #[error("the data folder {path} has lost its owner file; bring it back or empty the folder")]
+    /// The folder has a journal but no owner file.
+    #[error(
+        "the data folder {path} has a journal but no owner file; restore the owner file or empty the folder"
+    )]
     MissingOwner {
         /// The folder.
         path: PathBuf,
     },
-    /// A record is larger than a journal can hold.
-    #[error("a record of {bytes} bytes is larger than the limit of {limit}")]
+    /// A record is longer than a frame can hold.
+    #[error("a record of {bytes} bytes exceeds the limit of {limit} bytes")]
     TooLarge {
-        /// Length of the record.
+        /// Length of the record, in bytes.
         bytes: usize,
-        /// The limit.
+        /// The longest permitted record, in bytes.
         limit: usize,
     },
     /// A record cannot be encoded.
--- a/src/state/folder.rs
+++ b/src/state/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: its owner, its storage id and its lock.
+//! The data folder with its owner file, storage id and lock file.
 
 use std::{
     fs::{self, File, TryLockError},
@@ -25,13 +25,13 @@
 
 /// A folder that holds the durable state of one instance.
 ///
-/// Its [`StorageId`] is drawn when the folder is created and read back ever after, so a folder that
-/// was lost and created anew has another one.
+/// Its [`StorageId`] is generated at random when the folder is created and read back from then on. A
+/// folder that was lost and created again has a different one.
 #[derive(Debug)]
 pub struct DataFolder {
     path: PathBuf,
     storage: StorageId,
-    /// Held as long as the folder is in use.
+    /// Locked while the folder is in use.
     lock: File,
 }
 
@@ -58,7 +58,7 @@
         Ok(DataFolder { path: path.into(), storage: owner.storage, lock })
     }
 
-    /// Where the folder is.
+    /// The path under which the folder was opened.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -68,16 +68,16 @@
         &self.lock
     }
 
-    /// Names this storage of the instance.
+    /// Random id of this folder; a new one is generated when the folder is created again.
     pub fn storage(&self) -> StorageId {
         self.storage
     }
 }
 
 impl Drop for DataFolder {
-    /// Releases the lock also for copies of it that a child of the process may still hold.
+    /// Releases the lock explicitly: a child process may still hold a duplicate of its descriptor.
     fn drop(&mut self) {
-        // The lock ends with the process in any case.
+        // If this fails, the lock is released when the process exits.
         let _ = self.lock.unlock();
     }
 }
@@ -106,20 +106,25 @@
     }
 }
 
-/// Creates an empty journal, then the owner's file: a folder with an owner has a journal.
+/// Creates an empty journal and then the owner file, so that a folder with an owner file always has a
+/// journal.
 fn create(path: &Path, instance: &InstanceId) -> Result<Owner, StateError> {
     let owner = Owner { instance: instance.clone(), storage: StorageId(rand::random()) };
     journal::create_empty(path)?;
     let payload = postcard::to_stdvec(&owner).map_err(StateError::Encode)?;
-    replace(path, OWNER_FILE, &frame::encode(0, &payload)?)?;
+    write_atomically(path, OWNER_FILE, &frame::encode(0, &payload)?)?;
     if let Some(parent) = path.canonicalize().ok().as_deref().and_then(Path::parent) {
         sync_folder(parent)?;
     }
     Ok(owner)
 }
 
-/// Writes a file whole: it is there with this content, synced, or as it was before.
-pub(super) fn replace(folder: &Path, name: &str, content: &[u8]) -> Result<File, StateError> {
+/// Writes and syncs a file atomically: after a crash it has either the new content or the old one.
+pub(super) fn write_atomically(
+    folder: &Path,
+    name: &str,
+    content: &[u8],
+) -> Result<File, StateError> {
     let temporary = folder.join(format!("{name}.new"));
     let target = folder.join(name);
     let mut file =
--- a/src/state/frame.rs
+++ b/src/state/frame.rs
@@ -4,17 +4,16 @@
 //! magic (4) | length (4, little endian) | number (8, little endian) | checksum (16) | payload
 //! ```
 //!
-//! The checksum is the beginning of the BLAKE3 hash of length, number and payload. Frames are
-//! numbered without gaps.
+//! The checksum is the first 16 bytes of the BLAKE3 hash of length, number and payload. Frames are
+//! numbered consecutively.
 
 use super::error::StateError;
 
 const MAGIC: [u8; 4] = *b"mdlg";
 const CHECKSUM_BYTES: usize = 16;
-/// Bytes of a frame besides its payload.
+/// Length of everything before the payload.
 pub(super) const HEADER_BYTES: usize = 4 + 4 + 8 + CHECKSUM_BYTES;
-/// Largest payload of a frame, in bytes.
-pub(super) const MAX_PAYLOAD: usize = 1 << 30;
+pub(super) const MAX_PAYLOAD_BYTES: usize = 1 << 30;
 
 fn checksum(number: u64, payload: &[u8]) -> [u8; CHECKSUM_BYTES] {
     let mut hasher = blake3::Hasher::new();
@@ -26,10 +25,9 @@
     checksum
 }
 
-/// Encodes one frame.
 pub(super) fn encode(number: u64, payload: &[u8]) -> Result<Vec<u8>, StateError> {
-    if payload.len() > MAX_PAYLOAD {
-        return Err(StateError::TooLarge { bytes: payload.len(), limit: MAX_PAYLOAD });
+    if payload.len() > MAX_PAYLOAD_BYTES {
+        return Err(StateError::TooLarge { bytes: payload.len(), limit: MAX_PAYLOAD_BYTES });
     }
     let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
     frame.extend_from_slice(&MAGIC);
@@ -40,7 +38,7 @@
     Ok(frame)
 }
 
-/// The frame that begins with `bytes`: its number and payload; `None` if it is not intact.
+/// Number and payload of the frame at the start of `bytes`; `None` if it is not intact.
 pub(super) fn decode(bytes: &[u8]) -> Option<(u64, &[u8])> {
     let rest = bytes.strip_prefix(&MAGIC)?;
     let (length, rest) = rest.split_first_chunk::<4>()?;
@@ -51,8 +49,10 @@
     (checksum(number, payload) == *stored).then_some((number, payload))
 }
 
-/// Whether an intact frame begins anywhere in `bytes` after the first byte.
-pub(super) fn has_later(bytes: &[u8]) -> bool {
+/// Whether an intact frame starts anywhere in `bytes` after the first byte.
+pub(super) fn has_later_frame(bytes: &[u8]) -> bool {
     let starts = bytes.windows(MAGIC.len()).enumerate().skip(1);
-    starts.filter(|(_, window)| *window == MAGIC).any(|(at, _)| decode(&bytes[at..]).is_some())
+    starts
+        .filter(|(_, window)| *window == MAGIC)
+        .any(|(offset, _)| decode(&bytes[offset..]).is_some())
 }
--- a/src/state/group.rs
+++ b/src/state/group.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Names a replication group within a data folder; any text.
+/// Name of a replication group in the journal of a data folder; any text is valid.
 ///
 /// ```
 /// use medlarlug::state::GroupName;
--- a/src/state/journal.rs
+++ b/src/state/journal.rs
@@ -1,13 +1,14 @@
-//! The journal: one file of frames for all groups of a process.
+//! The journal: one file of frames for all replication groups of a process.
 //!
-//! The first frame is a checkpoint with the whole state of every group; each further frame holds
+//! The first frame is a checkpoint with the complete state of every group; each further frame holds
 //! the batches that were written and synced together. When the file has grown to a multiple of its
-//! checkpoint, a new file begins with a checkpoint of the present state and replaces it, so the
-//! space on disk follows what the groups keep rather than what they have ever written.
+//! checkpoint, it is replaced by a new file that starts with a checkpoint of the current state. Disk
+//! usage is therefore proportional to the current state and not to everything ever written.
 //!
-//! Exactly one frame is written between two syncs. A frame that is not intact and that no intact
-//! frame follows is therefore the one that was being written at a crash and was never
-//! acknowledged: it is cut off, as are the zeros that the file is allocated ahead with. Any other damage is an error.
+//! Exactly one frame is written between two syncs. A damaged frame that no intact frame follows is
+//! therefore the one that was being written during a crash and was never acknowledged. Opening the
+//! journal truncates it, together with the zeros that preallocate the file. Any other damage is an
+//! error.
 
 use std::{
     fs::{self, File, OpenOptions},
@@ -24,17 +25,17 @@
     group::GroupName,
 };
 
-const PREFIX: &str = "journal-";
-/// Growth of the file since its checkpoint, in bytes, below which no new file begins.
-const MIN_GROWTH: u64 = 4 << 20;
-/// Bytes by which the file is allocated ahead, so that a sync need not record its growth.
-const ALLOCATION: u64 = 1 << 20;
-/// Growth of the file since its checkpoint, as a multiple of the checkpoint.
+const FILE_NAME_PREFIX: &str = "journal-";
+/// Growth of the file since its checkpoint below which no new file is started.
+const MIN_GROWTH_BYTES: u64 = 4 << 20;
+/// Preallocated length: with it, a sync need not write a new file size.
+const PREALLOCATION_BYTES: u64 = 1 << 20;
+/// Growth of the file since its checkpoint, as a multiple of the checkpoint, that starts a new file.
 const GROWTH_FACTOR: u64 = 2;
 
-/// The state of each group, sorted by group.
+/// The stored state of each group, sorted by group name.
 pub type Groups = Vec<(GroupName, StoredState)>;
-/// Batches that are written together.
+/// Batches that one frame holds and one sync makes durable.
 pub type Batches = Vec<(GroupName, Persist)>;
 
 /// The journal of a data folder.
@@ -59,172 +60,171 @@
 pub struct Journal {
     folder: PathBuf,
     file: File,
-    /// Number of the file.
-    number: u64,
-    /// Number of the next frame in the file.
-    next: u64,
-    /// Length of the checkpoint, in bytes.
-    checkpoint: u64,
-    /// Length of the records, in bytes.
-    length: u64,
-    /// Length of the file, in bytes; zeros follow the records.
-    allocated: u64,
+    file_number: u64,
+    next_frame: u64,
+    checkpoint_bytes: u64,
+    /// Length of the checkpoint and all frames.
+    length_bytes: u64,
+    /// Length of the file; the part behind [`Self::length_bytes`] holds zeros.
+    allocated_bytes: u64,
     groups: Groups,
 }
 
 impl Journal {
-    /// Opens the journal of `folder` and cuts off a torn last frame.
+    /// Opens the journal of `folder` and truncates a torn last frame.
     ///
     /// # Errors
     ///
     /// The journal is missing or corrupt, or cannot be read or written.
     pub fn open(folder: &DataFolder) -> Result<Journal, StateError> {
         let path = folder.path();
-        let Some(number) = clean_up(path)? else {
+        let Some(file_number) = remove_stale_files(path)? else {
             return Err(StateError::MissingJournal { path: path.into() });
         };
-        let name = path.join(file_name(number));
+        let name = path.join(file_name(file_number));
         let bytes = fs::read(&name).map_err(StateError::io(Operation::Read, &name))?;
-        let content = read(&name, &bytes)?;
+        let content = parse(&name, &bytes)?;
         let file = OpenOptions::new()
             .write(true)
             .open(&name)
             .map_err(StateError::io(Operation::Open, &name))?;
-        if content.length < bytes.len() as u64 {
-            file.set_len(content.length).map_err(StateError::io(Operation::Write, &name))?;
+        if content.length_bytes < bytes.len() as u64 {
+            file.set_len(content.length_bytes).map_err(StateError::io(Operation::Write, &name))?;
             file.sync_all().map_err(StateError::io(Operation::Sync, &name))?;
         }
         Ok(Journal {
             folder: path.into(),
             file,
-            number,
-            next: content.next,
-            checkpoint: content.checkpoint,
-            length: content.length,
-            allocated: content.length,
+            file_number,
+            next_frame: content.next_frame,
+            checkpoint_bytes: content.checkpoint_bytes,
+            length_bytes: content.length_bytes,
+            allocated_bytes: content.length_bytes,
             groups: content.groups,
         })
     }
 
-    /// The state of each group, sorted by group.
+    /// The stored state of each group, sorted by group name.
     pub fn groups(&self) -> &[(GroupName, StoredState)] {
         &self.groups
     }
 
-    /// The state of one group; empty for a new group.
+    /// The stored state of one group; the default state for a group without entries.
     pub fn group(&self, group: &GroupName) -> StoredState {
-        let at = self.groups.binary_search_by(|(own, _)| own.cmp(group));
-        at.map(|at| self.groups[at].1.clone()).unwrap_or_default()
+        let index = self.groups.binary_search_by(|(name, _)| name.cmp(group));
+        index.map(|index| self.groups[index].1.clone()).unwrap_or_default()
     }
 
-    /// Length of the records, in bytes.
+    /// Length of the checkpoint and all frames, in bytes, without the preallocated part.
     pub fn length(&self) -> u64 {
-        self.length
+        self.length_bytes
     }
 
-    /// Writes the batches and syncs them with one sync.
+    /// Writes the batches, syncs them once and starts a new file when the current one has grown large.
     ///
     /// # Errors
     ///
-    /// The disk failed. What is on it is unknown then, so the journal must not be used further.
+    /// The write or sync failed. The content of the disk is then unknown, so the journal must not be
+    /// used any further.
     pub fn write(&mut self, batches: Batches) -> Result<(), StateError> {
         self.append(batches)?;
         self.rotate()
     }
 
-    /// Writes the batches and syncs them, without beginning a new file.
+    /// Writes the batches and syncs them, without starting a new file.
     ///
     /// # Errors
     ///
-    /// The disk failed; only [`Journal::recover`] may follow.
+    /// The write or sync failed; only [`Journal::recover`] may be called next.
     pub fn append(&mut self, batches: Batches) -> Result<(), StateError> {
         let payload = postcard::to_stdvec(&batches).map_err(StateError::Encode)?;
-        let frame = frame::encode(self.next, &payload)?;
-        let name = self.folder.join(file_name(self.number));
-        self.allocate(&name, self.length + frame.len() as u64)?;
-        let write = self.file.write_all_at(&frame, self.length);
+        let frame = frame::encode(self.next_frame, &payload)?;
+        let name = self.folder.join(file_name(self.file_number));
+        self.allocate(&name, self.length_bytes + frame.len() as u64)?;
+        let write = self.file.write_all_at(&frame, self.length_bytes);
         write.map_err(StateError::io(Operation::Write, &name))?;
         self.file.sync_data().map_err(StateError::io(Operation::Sync, &name))?;
-        self.next += 1;
-        self.length += frame.len() as u64;
+        self.next_frame += 1;
+        self.length_bytes += frame.len() as u64;
         apply(&mut self.groups, batches);
         Ok(())
     }
 
-    /// Begins a new file when the present one has grown large.
+    /// Starts a new file when the current one has grown large.
     ///
     /// # Errors
     ///
-    /// The disk failed. The present file holds everything that was written.
+    /// The new file could not be written. The current file still holds everything.
     pub fn rotate(&mut self) -> Result<(), StateError> {
-        let limit = MIN_GROWTH.max(GROWTH_FACTOR * self.checkpoint);
-        if self.length - self.checkpoint > limit {
-            self.begin_file()?;
+        let limit = MIN_GROWTH_BYTES.max(GROWTH_FACTOR * self.checkpoint_bytes);
+        if self.length_bytes - self.checkpoint_bytes > limit {
+            self.start_new_file()?;
         }
         Ok(())
     }
 
-    /// Writes the batches into a new file with the whole state, after [`Journal::append`]
-    /// has failed: what the failed write left in the old file is unknown and is never built upon.
+    /// Writes a new file with the complete state including `batches`, after [`Journal::append`] has
+    /// failed. The old file is not extended, because its content after the failed write is unknown.
     ///
     /// # Errors
     ///
-    /// The disk failed again. The batches are part of the state that the next call writes.
+    /// The disk failed again. The batches are kept in memory, and the next call writes them.
     pub fn recover(&mut self, batches: Batches) -> Result<(), StateError> {
         apply(&mut self.groups, batches);
-        self.begin_file()
+        self.start_new_file()
     }
 
-    /// Fills the file with zeros up to `end` and some way beyond.
+    /// Extends the file with zeros to [`PREALLOCATION_BYTES`] beyond `end`.
     fn allocate(&mut self, name: &Path, end: u64) -> Result<(), StateError> {
-        if end <= self.allocated {
+        if end <= self.allocated_bytes {
             return Ok(());
         }
-        let zeros = vec![0; (end - self.allocated + ALLOCATION) as usize];
-        let write = self.file.write_all_at(&zeros, self.allocated);
+        let zeros = vec![0; (end - self.allocated_bytes + PREALLOCATION_BYTES) as usize];
+        let write = self.file.write_all_at(&zeros, self.allocated_bytes);
         write.map_err(StateError::io(Operation::Write, name))?;
         self.file.sync_all().map_err(StateError::io(Operation::Sync, name))?;
-        self.allocated += zeros.len() as u64;
+        self.allocated_bytes += zeros.len() as u64;
         Ok(())
     }
 
-    /// Replaces the file by one that begins with a checkpoint of the present state.
-    fn begin_file(&mut self) -> Result<(), StateError> {
-        let old = self.folder.join(file_name(self.number));
-        let number = self.number + 1;
-        let length = create(&self.folder, number, &self.groups)?;
-        let name = self.folder.join(file_name(number));
+    /// Replaces the file by one that starts with a checkpoint of the current state.
+    fn start_new_file(&mut self) -> Result<(), StateError> {
+        let old = self.folder.join(file_name(self.file_number));
+        let file_number = self.file_number + 1;
+        let length_bytes = create(&self.folder, file_number, &self.groups)?;
+        let name = self.folder.join(file_name(file_number));
         self.file = OpenOptions::new()
             .write(true)
             .open(&name)
             .map_err(StateError::io(Operation::Open, &name))?;
-        self.number = number;
-        self.next = 1;
-        self.checkpoint = length;
-        self.length = length;
-        self.allocated = length;
+        self.file_number = file_number;
+        self.next_frame = 1;
+        self.checkpoint_bytes = length_bytes;
+        self.length_bytes = length_bytes;
+        self.allocated_bytes = length_bytes;
         fs::remove_file(&old).map_err(StateError::io(Operation::Remove, &old))
     }
 }
 
 fn file_name(number: u64) -> String {
-    format!("{PREFIX}{number:08}")
+    format!("{FILE_NAME_PREFIX}{number:08}")
 }
 
 fn encode(groups: &Groups) -> Result<Vec<u8>, StateError> {
     postcard::to_stdvec(groups).map_err(StateError::Encode)
 }
 
-/// Creates a journal file with a checkpoint and returns its length.
+/// Creates a journal file with a checkpoint and returns its length in bytes.
 fn create(folder: &Path, number: u64, groups: &Groups) -> Result<u64, StateError> {
     let frame = frame::encode(0, &encode(groups)?)?;
-    folder::replace(folder, &file_name(number), &frame)?;
+    folder::write_atomically(folder, &file_name(number), &frame)?;
     Ok(frame.len() as u64)
 }
 
-/// Creates the first journal of a new folder, which may hold one that was never written to.
+/// Creates the first journal of a new folder. A journal without an owner file is overwritten if
+/// nothing was ever written to it: it stems from a crash during an earlier creation.
 pub(super) fn create_empty(folder: &Path) -> Result<(), StateError> {
-    if let Some(number) = clean_up(folder)? {
+    if let Some(number) = remove_stale_files(folder)? {
         let name = folder.join(file_name(number));
         let bytes = fs::read(&name).map_err(StateError::io(Operation::Read, &name))?;
         let is_unused = number == 1 && bytes == frame::encode(0, &encode(&Groups::new())?)?;
@@ -236,14 +236,15 @@
     Ok(())
 }
 
-/// Removes replaced and unfinished files; returns the number of the file in force.
-fn clean_up(folder: &Path) -> Result<Option<u64>, StateError> {
+/// Removes replaced and incomplete files; returns the number of the current file.
+fn remove_stale_files(folder: &Path) -> Result<Option<u64>, StateError> {
     let list = fs::read_dir(folder).map_err(StateError::io(Operation::List, folder))?;
     let mut numbers = Vec::new();
     for item in list {
         let item = item.map_err(StateError::io(Operation::List, folder))?;
         let name = item.file_name();
-        let Some(suffix) = name.to_str().and_then(|name| name.strip_prefix(PREFIX)) else {
+        let Some(suffix) = name.to_str().and_then(|name| name.strip_prefix(FILE_NAME_PREFIX))
+        else {
             continue;
         };
         match suffix.parse::<u64>() {
@@ -264,48 +265,49 @@
 }
 
 #[derive(Debug)]
-struct Content {
+struct JournalContent {
     groups: Groups,
-    next: u64,
-    checkpoint: u64,
-    length: u64,
+    next_frame: u64,
+    checkpoint_bytes: u64,
+    length_bytes: u64,
 }
 
-fn read(path: &Path, bytes: &[u8]) -> Result<Content, StateError> {
+fn parse(path: &Path, bytes: &[u8]) -> Result<JournalContent, StateError> {
     let corrupt = |offset: u64| StateError::Corrupt { path: path.into(), offset };
     let checkpoint = frame::decode(bytes).filter(|(number, _)| *number == 0);
     let (_, payload) = checkpoint.ok_or_else(|| corrupt(0))?;
     let groups: Groups = postcard::from_bytes(payload).map_err(|_| corrupt(0))?;
     let start = (frame::HEADER_BYTES + payload.len()) as u64;
-    let mut content = Content { groups, next: 1, checkpoint: start, length: start };
-    while content.length < bytes.len() as u64 {
-        let rest = &bytes[content.length as usize..];
+    let mut content =
+        JournalContent { groups, next_frame: 1, checkpoint_bytes: start, length_bytes: start };
+    while content.length_bytes < bytes.len() as u64 {
+        let rest = &bytes[content.length_bytes as usize..];
         let Some((number, payload)) = frame::decode(rest) else {
-            if frame::has_later(rest) {
-                return Err(corrupt(content.length));
+            if frame::has_later_frame(rest) {
+                return Err(corrupt(content.length_bytes));
             }
             break;
         };
         let batches: Option<Batches> = postcard::from_bytes(payload).ok();
-        let Some(batches) = batches.filter(|_| number == content.next) else {
-            return Err(corrupt(content.length));
+        let Some(batches) = batches.filter(|_| number == content.next_frame) else {
+            return Err(corrupt(content.length_bytes));
         };
         apply(&mut content.groups, batches);
-        content.next += 1;
-        content.length += (frame::HEADER_BYTES + payload.len()) as u64;
+        content.next_frame += 1;
+        content.length_bytes += (frame::HEADER_BYTES + payload.len()) as u64;
     }
     Ok(content)
 }
 
 fn apply(groups: &mut Groups, batches: Batches) {
     for (group, batch) in batches {
-        let at = match groups.binary_search_by(|(own, _)| own.cmp(&group)) {
-            Ok(at) => at,
-            Err(at) => {
-                groups.insert(at, (group, StoredState::default()));
-                at
+        let index = match groups.binary_search_by(|(name, _)| name.cmp(&group)) {
+            Ok(index) => index,
+            Err(index) => {
+                groups.insert(index, (group, StoredState::default()));
+                index
             }
         };
-        groups[at].1.write(batch);
+        groups[index].1.write(batch);
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,8 +1,8 @@
 //! Durable state: the data folder, its journal and the thread that writes it.
 //!
-//! A [`DataFolder`] names the instance that owns it and the storage that it is. Its [`Journal`]
-//! holds, for every replication group of the process, term, vote, entries and snapshot. The
-//! [`Writer`] takes batches from the process's loop and reports each once it is synced.
+//! A [`DataFolder`] belongs to one instance and has a random storage id. Its [`Journal`] holds the
+//! term, vote, entries and snapshot of every replication group of the process. The [`Writer`] takes
+//! batches from the event loop and reports each one once it is synced.
 
 mod error;
 mod folder;
--- a/src/state/saved.rs
+++ b/src/state/saved.rs
@@ -1,4 +1,4 @@
-//! The configuration that an entry instance with a disk keeps over its restarts.
+//! The configuration that an entry instance with a disk keeps across restarts.
 
 use std::{fs, io::ErrorKind, path::PathBuf};
 
@@ -6,20 +6,20 @@
 
 use super::{
     error::{Operation, StateError},
-    folder::{DataFolder, replace},
+    folder::{DataFolder, write_atomically},
     frame,
 };
 
-const FILE: &str = "configuration";
+const FILE_NAME: &str = "configuration";
 
-/// The saved configuration in a data folder.
+/// The file in a data folder that holds the last saved configuration.
 #[derive(Debug, Clone)]
 pub struct SavedConfiguration {
     folder: PathBuf,
 }
 
 impl SavedConfiguration {
-    /// The saved configuration of `folder`, which has to stay open meanwhile.
+    /// The file in `folder`, which has to stay open while the file is used.
     pub fn new(folder: &DataFolder) -> SavedConfiguration {
         SavedConfiguration { folder: folder.path().to_owned() }
     }
@@ -30,7 +30,7 @@
     ///
     /// The file is corrupt or cannot be read.
     pub fn read(&self) -> Result<Option<Configuration>, StateError> {
-        let file = self.folder.join(FILE);
+        let file = self.folder.join(FILE_NAME);
         let bytes = match fs::read(&file) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
@@ -43,14 +43,14 @@
         }
     }
 
-    /// Saves a configuration in the place of the former one; returns once it is synced.
+    /// Replaces the saved configuration atomically; returns once the new one is synced.
     ///
     /// # Errors
     ///
     /// The file cannot be written.
     pub fn write(&self, configuration: &Configuration) -> Result<(), StateError> {
         let payload = postcard::to_stdvec(configuration).map_err(StateError::Encode)?;
-        replace(&self.folder, FILE, &frame::encode(0, &payload)?)?;
+        write_atomically(&self.folder, FILE_NAME, &frame::encode(0, &payload)?)?;
         Ok(())
     }
 }
--- a/src/state/writer.rs
+++ b/src/state/writer.rs
@@ -1,6 +1,7 @@
-//! The writer: a thread that writes and syncs, so that the process's loop never waits for a disk.
+//! The writer: a thread that writes and syncs, so that the event loop never waits for a disk.
 //!
-//! Whatever arrives during one sync is written together and shares the next one (group commit).
+//! All batches that arrive during one sync are written together and share the next sync (group
+//! commit).
 
 use std::{path::PathBuf, sync::mpsc, thread, time::Duration};
 
@@ -13,10 +14,9 @@
     journal::Journal,
 };
 
-/// Most batches that share one sync.
-const MAX_BATCHES: usize = 1_024;
+const MAX_BATCHES_PER_SYNC: usize = 1_024;
 
-/// Everything of `group` up to `sequence` is synced.
+/// All batches of `group` up to `sequence` are synced.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Synced {
     /// The group.
@@ -25,8 +25,8 @@
     pub sequence: u64,
 }
 
-/// What the writer reports. After an error it writes nothing more, unless it is a persistent one:
-/// then it goes on with a new file as soon as the disk takes it.
+/// A report of the writer. After an error a writer of [`Writer::start`] stops; a persistent one
+/// continues with a new file as soon as the disk accepts writes again.
 pub type SyncResult = Result<Synced, StateError>;
 
 #[derive(Debug)]
@@ -35,25 +35,26 @@
     Memory(UnboundedSender<SyncResult>),
 }
 
-/// Takes batches of all groups of a process and reports when they are synced.
+/// Accepts batches of all replication groups of a process and reports when they are synced.
 #[derive(Debug)]
 pub struct Writer {
     target: Target,
 }
 
 impl Writer {
-    /// Starts the thread that writes to `journal`. It ends when the writer is dropped and
-    /// everything handed over is synced.
+    /// Starts a thread that writes to `journal` and stops at the first error. It also ends when the
+    /// writer is dropped and all accepted batches are synced.
     ///
     /// # Errors
     ///
     /// The operating system starts no thread.
     pub fn start(journal: Journal) -> Result<(Writer, UnboundedReceiver<SyncResult>), StateError> {
-        Self::spawn(journal, write_all)
+        Self::spawn(journal, write_until_failure)
     }
 
-    /// The same with a writer that survives failures of the disk: it reports each, and goes on
-    /// with a new file once the disk takes it. Nothing is reported as synced meanwhile.
+    /// Starts a thread like [`Writer::start`] that survives disk errors: it reports each error, and
+    /// continues with a new file once the disk accepts writes. Until then it reports no batch as
+    /// synced.
     ///
     /// # Errors
     ///
@@ -61,12 +62,12 @@
     pub fn start_persistent(
         journal: Journal,
     ) -> Result<(Writer, UnboundedReceiver<SyncResult>), StateError> {
-        Self::spawn(journal, write_persistently)
+        Self::spawn(journal, write_with_retries)
     }
 
     fn spawn(
         mut journal: Journal,
-        write: Loop,
+        write: WriteLoop,
     ) -> Result<(Writer, UnboundedReceiver<SyncResult>), StateError> {
         let (sender, batches) = mpsc::channel();
         let (reports, receiver) = unbounded_channel();
@@ -77,13 +78,15 @@
         Ok((Writer { target: Target::Disk(sender) }, receiver))
     }
 
-    /// A writer for a process without a disk: it keeps nothing and reports at once.
+    /// A writer for a process without a disk: it stores nothing and reports every batch as synced at
+    /// once.
     pub fn volatile() -> (Writer, UnboundedReceiver<SyncResult>) {
         let (reports, receiver) = unbounded_channel();
         (Writer { target: Target::Memory(reports) }, receiver)
     }
 
-    /// Hands a batch over. After a failure of the disk it is dropped: the failure was reported.
+    /// Queues a batch. After the writer has stopped because of an error, which it has reported, the
+    /// batch is dropped.
     pub fn persist(&self, group: GroupName, batch: Persist) {
         match &self.target {
             Target::Disk(sender) => {
@@ -96,34 +99,35 @@
     }
 }
 
-/// The loop of the writer's thread.
-type Loop = fn(&mut Journal, &mpsc::Receiver<(GroupName, Persist)>, &UnboundedSender<SyncResult>);
+/// Main function of the writer's thread.
+type WriteLoop =
+    fn(&mut Journal, &mpsc::Receiver<(GroupName, Persist)>, &UnboundedSender<SyncResult>);
 
-/// Pause before the disk is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Time after a disk error until the next write is attempted.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-fn write_persistently(
+fn write_with_retries(
     journal: &mut Journal,
     batches: &mpsc::Receiver<(GroupName, Persist)>,
     reports: &UnboundedSender<SyncResult>,
 ) {
     while let Ok(first) = batches.recv() {
-        let mut together = vec![first];
-        together.extend(batches.try_iter().take(MAX_BATCHES - 1));
-        let synced = last_sequences(&together);
-        let mut result = journal.append(together.clone());
-        let mut missing = together;
+        let mut pending = vec![first];
+        pending.extend(batches.try_iter().take(MAX_BATCHES_PER_SYNC - 1));
+        let synced = last_sequences(&pending);
+        let mut result = journal.append(pending.clone());
+        let mut missing = pending;
         while let Err(error) = result {
-            // A closed channel means that the process is ending.
+            // A closed channel means that the process is shutting down.
             if reports.send(Err(error)).is_err() {
                 return;
             }
-            thread::sleep(RETRY_PAUSE);
+            thread::sleep(RETRY_DELAY);
             result = journal.recover(std::mem::take(&mut missing));
         }
         if let Err(error) = journal.rotate() {
-            // The present file holds everything; a smaller one is begun after a later write.
-            tracing::warn!(%error, "failed to begin a new journal file");
+            // The current file holds everything; the next write tries again to start a new file.
+            tracing::warn!(%error, "failed to start a new journal file");
         }
         for report in synced {
             let _ = reports.send(Ok(report));
@@ -131,16 +135,16 @@
     }
 }
 
-fn write_all(
+fn write_until_failure(
     journal: &mut Journal,
     batches: &mpsc::Receiver<(GroupName, Persist)>,
     reports: &UnboundedSender<SyncResult>,
 ) {
     while let Ok(first) = batches.recv() {
-        let mut together = vec![first];
-        together.extend(batches.try_iter().take(MAX_BATCHES - 1));
-        let synced = last_sequences(&together);
-        if let Err(error) = journal.write(together) {
+        let mut pending = vec![first];
+        pending.extend(batches.try_iter().take(MAX_BATCHES_PER_SYNC - 1));
+        let synced = last_sequences(&pending);
+        if let Err(error) = journal.write(pending) {
             let _ = reports.send(Err(error));
             return;
         }
@@ -150,13 +154,15 @@
     }
 }
 
-/// The last batch of each group.
+/// The last sequence number of each group, sorted by group name.
 fn last_sequences(batches: &[(GroupName, Persist)]) -> Vec<Synced> {
     let mut synced: Vec<Synced> = Vec::new();
     for (group, batch) in batches {
-        match synced.binary_search_by(|own| own.group.cmp(group)) {
-            Ok(at) => synced[at].sequence = batch.sequence,
-            Err(at) => synced.insert(at, Synced { group: group.clone(), sequence: batch.sequence }),
+        match synced.binary_search_by(|it| it.group.cmp(group)) {
+            Ok(index) => synced[index].sequence = batch.sequence,
+            Err(index) => {
+                synced.insert(index, Synced { group: group.clone(), sequence: batch.sequence })
+            }
         }
     }
     synced
