--- a/src/protocol/events.rs
+++ b/src/protocol/events.rs
@@ -1,4 +1,4 @@
-//! Server-sent events as they pass through: split into whole events, never changed.
+//! Splits a stream of server-sent events into events without changing their bytes.
 
 use std::fmt;
 
@@ -12,18 +12,18 @@
 /// Data of the event that ends a stream.
 const END_DATA: &[u8] = b"[DONE]";
 
-/// Longest event, in bytes.
+/// Longest permitted event.
 pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// One whole event, as received, with its terminating empty line.
+/// One complete event as received, including its terminating empty line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// The event's bytes.
+    /// The bytes of the event, unchanged.
     pub bytes: Bytes,
 }
 
 impl Event {
-    /// The content of the event's first `data` line.
+    /// The value of the first `data` line.
     pub fn data(&self) -> Option<&[u8]> {
         let lines = self.bytes.split(|byte| *byte == b'\n');
         lines
@@ -32,19 +32,19 @@
             .map(<[u8]>::trim_ascii)
     }
 
-    /// Whether this event ends the stream.
+    /// Whether this event ends the stream, that is, its data is `[DONE]`.
     pub fn is_end(&self) -> bool {
         self.data() == Some(END_DATA)
     }
 
-    /// The id of the answer that the event belongs to, if its data names one.
+    /// The field `id` of the event's JSON data, which identifies the answer; `None` if it has none.
     pub fn answer_id(&self) -> Option<SmolStr> {
         let head: ChunkHead = serde_json::from_slice(self.data()?).ok()?;
         head.id
     }
 }
 
-/// Collects bytes and gives out whole events.
+/// Buffers received bytes and returns complete events.
 ///
 /// ```
 /// use medlarlug::protocol::events::EventSplitter;
@@ -59,26 +59,26 @@
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes that were searched for the end of an event in vain.
-    searched: usize,
+    /// Length of the part of the buffer that holds no end of an event.
+    searched_bytes: usize,
 }
 
-/// Bytes before the searched ones in which the end of an event may have begun.
-const OVERLAP: usize = 3;
+/// An end of an event that was received in two parts starts up to this far within the searched part.
+const OVERLAP_BYTES: usize = 3;
 
 impl EventSplitter {
-    /// Takes further bytes in.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.find(end_of_event)?;
         Some(Event { bytes: self.buffer.split_to(end).freeze() })
     }
 
-    /// All whole events so far, as one piece.
+    /// Removes and returns all complete events as one buffer.
     ///
     /// ```
     /// use medlarlug::protocol::events::EventSplitter;
@@ -93,27 +93,28 @@
         Some(self.buffer.split_to(end).freeze())
     }
 
-    /// Searches what has come since the last search in vain, so that an event in many pieces is
-    /// searched once.
+    /// Searches only the bytes received since the last unsuccessful search, so that an event that
+    /// arrives in many parts is searched once.
     fn find(&mut self, search: impl Fn(&[u8]) -> Option<usize>) -> Option<usize> {
-        let from = self.searched.saturating_sub(OVERLAP);
+        let from = self.searched_bytes.saturating_sub(OVERLAP_BYTES);
         let found = search(&self.buffer[from..]).map(|end| from + end);
-        self.searched = if found.is_some() { 0 } else { self.buffer.len() };
+        self.searched_bytes = if found.is_some() { 0 } else { self.buffer.len() };
         found
     }
 
-    /// Whether bytes of an event wait that is not whole.
+    /// Whether the buffer holds bytes of an incomplete event.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Whether an event was begun that exceeds [`MAX_EVENT_BYTES`].
+    /// Whether the buffered bytes exceed [`MAX_EVENT_BYTES`]; after all complete events were removed,
+    /// this means that one event is too long.
     pub fn exceeds_limit(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
     }
 }
 
-/// The last event id in whole events, if they carry numbers as ids.
+/// The last numeric event id in complete events; `None` if there is none.
 ///
 /// ```
 /// assert_eq!(medlarlug::protocol::events::last_id(b"id: 1\n\nid: 12\ndata: a\n\n"), Some(12));
@@ -124,24 +125,25 @@
     ids.filter_map(|id| std::str::from_utf8(id.trim_ascii()).ok()?.parse().ok()).next()
 }
 
-/// Length of all whole events, with the empty line of the last one.
+/// Length of all complete events, including the empty line after the last one.
 fn end_of_events(buffer: &[u8]) -> Option<usize> {
-    let plain = buffer.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
-    let carriage = buffer.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| at + 4);
-    plain.max(carriage)
+    let lf = buffer.windows(2).rposition(|pair| pair == b"\n\n").map(|start| start + 2);
+    let crlf = buffer.windows(4).rposition(|four| four == b"\r\n\r\n").map(|start| start + 4);
+    lf.max(crlf)
 }
 
-/// Length of the first event, with its empty line.
+/// Length of the first event, including its empty line.
 fn end_of_event(buffer: &[u8]) -> Option<usize> {
-    let plain = buffer.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
-    let carriage = buffer.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4);
-    match (plain, carriage) {
-        (Some(plain), Some(carriage)) => Some(plain.min(carriage)),
-        (plain, carriage) => plain.or(carriage),
+    let lf = buffer.windows(2).position(|pair| pair == b"\n\n").map(|start| start + 2);
+    let crlf = buffer.windows(4).position(|four| four == b"\r\n\r\n").map(|start| start + 4);
+    match (lf, crlf) {
+        (Some(lf), Some(crlf)) => Some(lf.min(crlf)),
+        (lf, crlf) => lf.or(crlf),
     }
 }
 
-/// The one field of a streamed chunk that the gateway reads; decoded for every token.
+/// The only field of a streamed chunk that the gateway reads. Decoding skips all other fields
+/// without allocating, because it runs for every token.
 struct ChunkHead {
     id: Option<SmolStr>,
 }
--- a/src/protocol/frame.rs
+++ b/src/protocol/frame.rs
@@ -1,14 +1,14 @@
-//! Authenticated frames: postcard content after a truncated keyed hash of it.
+//! Authenticated frames: a truncated keyed hash followed by postcard content.
 //!
 //! ```text
-//! frame    = code (16 bytes) content
+//! frame    = MAC (16 bytes) content
 //! content  = postcard of (sender, message)
 //! ```
 //!
-//! The code covers the receiver as well, which is not sent: a frame that is reflected or redirected
-//! is not authenticated for whoever gets it. Every frame names its sender, because any process of
-//! the system may connect to the one socket that a receiver listens at.
-//! Replayed frames pass: every core tolerates duplicates and late messages.
+//! The MAC also covers the receiver, which is not sent, so a reflected or redirected frame fails
+//! authentication wherever it arrives. Every frame names its sender, because every process of the
+//! deployment may connect to the one socket on which a receiver listens.
+//! Replayed frames are accepted: every core tolerates duplicate and late messages.
 
 use medlarlug_core::ids::InstanceId;
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
 
 use crate::protocol::{DeploymentKeys, Message, deployment_key::FRAME_MAC_BYTES};
 
-/// Longest frame that is accepted, in bytes.
+/// Longest frame that is sent or accepted.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// A message with its sender and receiver.
@@ -30,34 +30,34 @@
     pub message: Message,
 }
 
-/// The sent part of an envelope.
+/// The transmitted part of an envelope.
 #[derive(Deserialize)]
 struct Content {
     from: InstanceId,
     message: Message,
 }
 
-/// The sent part of an envelope, borrowed.
+/// The transmitted part of an envelope, borrowed.
 #[derive(Serialize)]
 struct ContentRef<'a> {
     from: &'a InstanceId,
     message: &'a Message,
 }
 
-/// Why a frame is refused.
+/// Why a frame can't be sent or is rejected on receipt.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The frame is longer than [`MAX_FRAME_BYTES`] or shorter than its code.
-    #[error("a frame of {length} bytes; it has {FRAME_MAC_BYTES} to {MAX_FRAME_BYTES}")]
+    /// The frame is longer than [`MAX_FRAME_BYTES`] or shorter than its MAC.
+    #[error("the frame has {length} bytes; {FRAME_MAC_BYTES} to {MAX_FRAME_BYTES} are valid")]
     Length {
-        /// Its length in bytes.
+        /// Length of the frame, in bytes.
         length: usize,
     },
-    /// The code does not authenticate the content for this receiver.
+    /// The MAC does not authenticate the content for this receiver.
     #[error("the frame is not authenticated by the deployment key, or is for another instance")]
     Unauthenticated,
-    /// The content is no envelope.
-    #[error("the frame holds no message")]
+    /// The content can't be encoded, or can't be decoded as sender and message.
+    #[error("failed to encode or decode the content of a frame")]
     Codec(#[from] postcard::Error),
 }
 
@@ -79,7 +79,7 @@
     Ok(frame)
 }
 
-/// Verifies and decodes a frame that reached the instance `own`.
+/// Verifies and decodes a frame received by the instance `own`.
 ///
 /// ```
 /// use medlarlug::protocol::{
@@ -98,7 +98,8 @@
 ///
 /// # Errors
 ///
-/// Fails when the frame is too long or short, is not authenticated for `own`, or holds no message.
+/// Fails when the length is out of range, the frame is not authenticated for `own`, or the content
+/// can't be decoded.
 pub fn decode(
     keys: &DeploymentKeys,
     own: &InstanceId,
@@ -108,8 +109,8 @@
     if !(FRAME_MAC_BYTES..=MAX_FRAME_BYTES).contains(&length) {
         return Err(FrameError::Length { length });
     }
-    let (code, content) = frame.split_at(FRAME_MAC_BYTES);
-    if !keys.verify_frame(own, content, code) {
+    let (mac, content) = frame.split_at(FRAME_MAC_BYTES);
+    if !keys.verify_frame(own, content, mac) {
         return Err(FrameError::Unauthenticated);
     }
     let Content { from, message } = postcard::from_bytes(content)?;
--- a/src/protocol/headers.rs
+++ b/src/protocol/headers.rs
@@ -1,15 +1,15 @@
-//! Names of the headers that the gateway reads and writes.
+//! Names of the HTTP headers that the gateway reads and writes.
 
-/// Id of the request that a message belongs to.
+/// Id of the request that an HTTP request or answer belongs to.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// Authentication code of a message between processes, in hexadecimal.
+/// Message authentication code of the body of a request between processes, in hexadecimal.
 pub const MAC: &str = "x-medlarlug-mac";
 
-/// Time that is left until the deadline of a request, in milliseconds.
+/// Time remaining until the deadline of a request, in milliseconds.
 pub const DEADLINE: &str = "x-deadline-ms";
 
-/// Priority of a request; a higher one goes first.
+/// Priority of a request; a higher number is served first.
 pub const PRIORITY: &str = "x-priority";
 
 /// Team on whose behalf a request is forwarded.
@@ -18,11 +18,11 @@
 /// Availability zone that a forwarded request comes from.
 pub const ORIGIN: &str = "x-medlarlug-origin";
 
-/// Key under which a caller's call runs at most once.
+/// Key that a caller chooses; calls with the same key run at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Index of an adapter that the caller asks for, by name.
+/// Name of the adapter that the caller requests.
 pub const ADAPTER: &str = "x-adapter";
 
-/// How a refused request ended.
+/// Whether a refused request ran; see [`Outcome`](medlarlug_core::record::Outcome).
 pub const OUTCOME: &str = "x-medlarlug-outcome";
--- a/src/protocol/inference.rs
+++ b/src/protocol/inference.rs
@@ -1,7 +1,7 @@
-//! The fields of an inference request that decisions need.
+//! The fields of an inference request that routing needs.
 //!
-//! The body passes through unchanged; only these fields are read. A model is asked for by its id,
-//! or as `model:adapter`.
+//! The body is forwarded unchanged; only these fields are read. A request names its model as
+//! `model` or `model:adapter`.
 
 use medlarlug_core::{
     fingerprint::{Fingerprint, prefixes},
@@ -12,45 +12,45 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// Bytes of text that one token stands for, on average.
+/// Average length of a token; used to estimate the number of prompt tokens.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Tokens that an answer has when the caller sets no bound.
+/// Assumed length of the answer when the caller sets no limit.
 const DEFAULT_ANSWER_TOKENS: u64 = 256;
 
-/// Why a body is no inference request.
+/// Why a body is not a valid inference request.
 #[derive(Debug, Error)]
 pub enum InferenceError {
-    /// It is no JSON object with the fields that are needed.
-    #[error("the body is no inference request: {0}")]
+    /// The body is not a JSON object with the required fields.
+    #[error("the body is not a valid inference request: {0}")]
     Json(#[from] serde_json::Error),
-    /// The model's name is no id.
-    #[error("the field `model` names no model: {0}")]
+    /// The model or adapter is not a valid id.
+    #[error("the field `model` is not a valid model name: {0}")]
     Model(#[from] IdError),
-    /// It has neither messages nor a prompt.
+    /// The body has neither messages nor a prompt.
     #[error("the body has neither `messages` nor `prompt`")]
     NoPrompt,
 }
 
-/// What decisions need to know of an inference request.
+/// The parameters of an inference request that routing needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InferenceParams {
     /// The model.
     pub model: ModelId,
-    /// The adapter that is asked for beside it.
+    /// The requested adapter of the model, if any.
     pub adapter: Option<AdapterId>,
     /// Whether the answer is streamed as server-sent events.
     pub stream: bool,
-    /// Estimated length of the prompt.
+    /// Estimated number of tokens of the prompt.
     pub prompt_tokens: Tokens,
-    /// Longest answer.
+    /// Most tokens that the answer may have; the assumed length if the caller sets no limit.
     pub max_answer_tokens: Tokens,
     /// Fingerprints of the prompt's prefixes.
     pub prefixes: Vec<Fingerprint>,
 }
 
 #[derive(Deserialize)]
-struct RawHead {
+struct RawRequest {
     model: SmolStr,
     #[serde(default)]
     stream: bool,
@@ -82,41 +82,41 @@
 }
 
 impl InferenceParams {
-    /// Reads the fields out of a JSON body.
+    /// Parses a JSON body.
     ///
     /// ```
     /// use medlarlug::protocol::inference::InferenceParams;
     ///
     /// let body = br#"{"model": "net-scribe", "prompt": "mesh sizes", "max_tokens": 9}"#;
-    /// let head = InferenceParams::parse(body).unwrap();
-    /// assert_eq!(head.model.as_str(), "net-scribe");
-    /// assert_eq!(head.max_answer_tokens.0, 9);
+    /// let params = InferenceParams::parse(body).unwrap();
+    /// assert_eq!(params.model.as_str(), "net-scribe");
+    /// assert_eq!(params.max_answer_tokens.0, 9);
     /// ```
     ///
     /// # Errors
     ///
-    /// Fails when the body is no JSON object, names no model or has no prompt.
+    /// Fails when the body is not a JSON object, has no valid model name or has no prompt.
     pub fn parse(body: &[u8]) -> Result<InferenceParams, InferenceError> {
-        let raw: RawHead = serde_json::from_slice(body)?;
+        let raw: RawRequest = serde_json::from_slice(body)?;
         let (model, adapter) = match raw.model.split_once(':') {
             Some((model, adapter)) => (model.parse()?, Some(adapter.parse()?)),
             None => (raw.model.parse()?, None),
         };
         let text = prompt_text(&raw).ok_or(InferenceError::NoPrompt)?;
-        let answer = raw.max_completion_tokens.or(raw.max_tokens);
+        let max_answer_tokens = raw.max_completion_tokens.or(raw.max_tokens);
         Ok(InferenceParams {
             model,
             adapter,
             stream: raw.stream,
             prompt_tokens: Tokens(text.len() as u64 / BYTES_PER_TOKEN + 1),
-            max_answer_tokens: Tokens(answer.unwrap_or(DEFAULT_ANSWER_TOKENS)),
+            max_answer_tokens: Tokens(max_answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS)),
             prefixes: prefixes(&text),
         })
     }
 }
 
-/// The prompt as one text: every message's role and content on a line of its own.
-fn prompt_text(raw: &RawHead) -> Option<String> {
+/// The prompt as one text: the role and the content of every message, each on a line of its own.
+fn prompt_text(raw: &RawRequest) -> Option<String> {
     if let Some(prompt) = &raw.prompt {
         return Some(prompt.clone());
     }
--- a/src/protocol/message.rs
+++ b/src/protocol/message.rs
@@ -11,14 +11,14 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Names a replication group.
+/// Identifies a replication group.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum GroupId {
-    /// The group that accepts release notes.
+    /// The group that accepts release notes and holds the configuration.
     Configuration,
     /// The group that records the bookings and requests of a region.
     Home(RegionId),
-    /// The group that keeps the route table and the evacuated zones of a gateway.
+    /// The group that stores the route table and the evacuated zones of a gateway.
     Publication,
 }
 
@@ -35,70 +35,70 @@
 /// A message from one process to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A request to a replication group, to be answered by [`Message::Reply`].
+    /// A request to a replication group, answered by [`Message::Reply`].
     Call {
-        /// Number of the call at the sender.
+        /// Number of the call, chosen by the sender.
         call: u64,
-        /// The group.
+        /// The group that handles the request.
         group: GroupId,
         /// The request.
         request: GroupRequest,
     },
     /// The answer to a call.
     Reply {
-        /// Number of the call at the receiver of this reply.
+        /// Number of the call, as in [`Message::Call`].
         call: u64,
         /// The answer.
         reply: GroupReply,
     },
-    /// Between the members of a replication group.
+    /// A message between members of a replication group.
     Replication {
         /// The group.
         group: GroupId,
         /// The message.
         message: replication::Message,
     },
-    /// Between instances that watch each other.
+    /// A message of the membership protocol between instances.
     Membership(membership::Message),
-    /// Asks for the newest configuration.
+    /// Requests the newest configuration.
     #[serde(rename = "Ask")]
     UpdateRequest(follower::UpdateRequest),
-    /// The answer to [`Message::UpdateRequest`].
+    /// The response to [`Message::UpdateRequest`].
     #[serde(rename = "Answer")]
     UpdateResponse(Box<follower::UpdateResponse>),
-    /// Between entry instances of a region: the demand of teams.
+    /// The demand of teams, between entry instances of a region.
     Demand {
         /// The sender's demand.
         report: limits::DemandReport,
     },
-    /// Asks an entry instance for the demand of every team.
+    /// Requests the demand of every team from an entry instance.
     #[serde(rename = "AskDemand")]
     DemandRequest,
-    /// Between entry instances: a fact about a request that may crash upstreams.
+    /// A fact about a request that may crash upstreams, between entry instances.
     Fact(suspects::Fact),
-    /// Between entry instances of a zone: an upstream is kept for one suspect.
+    /// Reserves an upstream for a trial run of one suspect, between entry instances of a zone.
     Reserve {
         /// The upstream.
         upstream: UpstreamId,
-        /// Longest time of the reservation.
+        /// Time after which the reservation expires unless [`Message::Free`] ends it before.
         lifetime: Duration,
     },
-    /// The end of a reservation.
+    /// Ends a reservation.
     Free {
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// A new configuration, sent without being asked for.
+    /// A new configuration, sent without a request.
     Push(Box<follower::Update>),
-    /// The sender hears nothing of the receiver, whose connection may have gone silent.
+    /// The sender has received nothing from the receiver, whose connection to it may be unresponsive.
     #[serde(rename = "Unheard")]
     NothingReceived,
-    /// To an entry instance: services of its zone have to be asked about bookings.
+    /// Tells an entry instance to query services of its zone for the outcome of bookings.
     #[serde(rename = "Questions")]
     OutcomeQueries {
         /// Region of the home group that records the bookings.
         home: RegionId,
-        /// The bookings.
+        /// The queries, one for each booking.
         #[serde(rename = "questions")]
         queries: Vec<home::OutcomeQuery>,
     },
@@ -120,10 +120,10 @@
     /// Reads the revision at which a home group was founded.
     #[serde(rename = "Founding")]
     FoundingRevision,
-    /// Reads which teams are on their way to a new home region.
+    /// Reads the teams whose move to a new home region is in progress.
     #[serde(rename = "Moves")]
     HomeMoves,
-    /// Reads where a revision is in force; the newest one if none is named.
+    /// Reads which instances have a revision in effect; the newest one if it is `None`.
     #[serde(rename = "Force")]
     Rollout(Option<Revision>),
     /// A command for the state machine of the publication group.
@@ -139,7 +139,7 @@
     Configured(configuration_group::Reply),
     /// The reply of a home group's state machine.
     Acted(home::Reply),
-    /// What is known of a request.
+    /// The result of a lookup of a request record.
     #[serde(rename = "Known")]
     Record(home::RecordLookup),
     /// The accepted release notes, the newest last.
@@ -149,21 +149,21 @@
     /// The revision at which the home group was founded, if it was.
     #[serde(rename = "Founding")]
     FoundingRevision(Option<Revision>),
-    /// The teams that are on their way to a new home region.
+    /// The teams whose move to a new home region is in progress.
     #[serde(rename = "Moves")]
     HomeMoves(Vec<configuration_group::HomeMove>),
-    /// Where a revision is in force.
+    /// The instances that have a revision in effect.
     #[serde(rename = "Force")]
     Rollout(configuration_group::Rollout),
-    /// A command of the publication group is in force.
+    /// A command of the publication group was applied.
     Accepted,
     /// The newest route table and the evacuated zones.
     Published(Box<Publication>),
-    /// The receiver doesn't lead the group; the leader, if it knows it.
+    /// The replying instance doesn't lead the group; the leader, if it is known.
     NotLeader(Option<InstanceId>),
-    /// The request was taken in, and whether it is in force is not known.
+    /// The command was accepted, but it is unknown whether it was or will be applied.
     Uncertain,
-    /// The request doesn't fit the group.
+    /// The group doesn't support the request.
     #[serde(rename = "Unfit")]
     UnsupportedRequest,
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,8 +1,8 @@
 //! Typed messages between processes, their codec, and the JSON of the HTTP interfaces.
 //!
-//! Processes exchange [`Message`]s in authenticated [`frame`]s: postcard for the content and a
-//! keyed BLAKE3 hash under the [`DeploymentKey`] around it. HTTP requests between processes, and
-//! the announcements of upstreams, carry the same kind of code in a header.
+//! Processes exchange [`Message`]s in authenticated [`frame`]s: postcard content after a BLAKE3 hash
+//! keyed with the [`DeploymentKey`]. HTTP requests between processes, and the announcements of
+//! upstreams, carry such a message authentication code in a header.
 
 pub mod deployment_key;
 pub mod events;
--- a/src/protocol/operators.rs
+++ b/src/protocol/operators.rs
@@ -1,19 +1,19 @@
-//! JSON of the operators' port.
+//! JSON types of the operators' port.
 //!
-//! | request | answer |
+//! | request | response |
 //! | --- | --- |
 //! | `GET /status` | [`ProcessStatus`] |
 //! | `GET /upstreams` | list of [`UpstreamStatus`] |
 //! | `GET /requests/{id}` | [`RequestRecord`](medlarlug_core::record::RequestRecord) |
-//! | `GET /dump` | the state of the process, for reading only |
+//! | `GET /dump` | the complete state of the process, read-only |
 //! | `GET /release` | [`Configuration`](medlarlug_core::release::Configuration) |
 //! | `GET /release/history` | list of [`AcceptedNote`], the oldest first |
 //! | `GET /release/confirmations` | [`Confirmations`] |
-//! | `POST /release/check`, `POST /release/apply` | takes a [`RawNote`](medlarlug_core::release::RawNote), answers [`AcceptedNote`] |
+//! | `POST /release/check`, `POST /release/apply` | [`AcceptedNote`] for a [`RawNote`](medlarlug_core::release::RawNote) in the body |
 //! | `POST /drain` | empty object |
-//! | `PUT /log-level` | takes and answers [`LevelChange`] |
+//! | `PUT /log-level` | [`LevelChange`], as in the body |
 //!
-//! Whatever is refused is answered by a [`Problem`](crate::protocol::Problem).
+//! A refused request is answered with a [`Problem`](crate::protocol::Problem).
 
 use std::net::SocketAddr;
 
@@ -25,10 +25,10 @@
 
 use crate::telemetry::logs::LogLevel;
 
-/// What a process tells of itself.
+/// State of a process as it reports it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProcessStatus {
-    /// The instance.
+    /// The reporting instance.
     pub instance: InstanceId,
     /// `entry` or `keeper`.
     pub kind: SmolStr,
@@ -38,66 +38,66 @@
     pub region: RegionId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Configuration revision in force there.
+    /// Configuration revision in effect in the process.
     pub revision: Revision,
-    /// Whether it drains.
+    /// Whether it is draining.
     pub leaving: bool,
-    /// Requests that run there.
+    /// Requests in flight in the process.
     pub running: u64,
-    /// The instances that it knows, sorted by id.
+    /// The instances known to it, sorted by id.
     pub peers: Vec<PeerStatus>,
-    /// The replication groups in which it votes.
+    /// The replication groups of which it is a voter.
     pub groups: Vec<GroupStatus>,
 }
 
-/// What a process knows of another one.
+/// State of another instance as a process knows it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
     /// The instance.
     pub instance: InstanceId,
     /// `up`, `reconnecting`, `dead` or `unheard`.
     pub state: SmolStr,
-    /// Age of that knowledge in milliseconds, if there is any.
+    /// Age of this information in milliseconds; `None` if there is none.
     pub age_ms: Option<u64>,
 }
 
-/// What a voter knows of its replication group.
+/// State of a replication group as one of its voters knows it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GroupStatus {
     /// The group: `configuration` or `home-REGION`.
     pub group: SmolStr,
     /// `leader`, `follower` or `candidate`.
     pub role: SmolStr,
-    /// Its term.
+    /// Current term of this voter.
     pub term: u64,
-    /// The leader, if it knows one.
+    /// The leader, if it is known.
     pub leader: Option<InstanceId>,
-    /// The voters as this process knows them, as `instance@storage`.
+    /// The voters known to this process, each as `instance@storage`.
     pub voters: Vec<SmolStr>,
     /// Index of the last committed entry.
     pub committed: u64,
 }
 
-/// What an entry instance knows of an upstream.
+/// State of an upstream as an entry instance knows it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
     /// The upstream.
     pub id: UpstreamId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Its models with versions, or its service.
     pub serves: SmolStr,
-    /// Requests that it runs at once.
+    /// Requests that it can run at the same time.
     pub slots: u32,
-    /// Requests that run there, as last reported.
+    /// Running requests in the last load report.
     pub running: u32,
-    /// Requests that wait there, as last reported.
+    /// Queued requests in the last load report.
     pub waiting: u32,
-    /// Whether it leaves.
+    /// Whether it has announced that it is leaving.
     pub leaving: bool,
-    /// Age of the report in milliseconds.
+    /// Age of the load report in milliseconds.
     pub age_ms: u64,
 }
 
@@ -106,41 +106,41 @@
 pub struct AcceptedNote {
     /// Number of the note.
     pub number: ReleaseNumber,
-    /// Operator who applied it.
+    /// Operator who submitted the note.
     pub operator: OperatorId,
-    /// Revision that it produced, or would produce.
+    /// Revision that the note produced, or would produce.
     pub revision: Revision,
 }
 
-/// Where which revision is in force.
+/// Which revision is in effect in which zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmations {
-    /// The revision in question; the newest accepted one if none was named.
+    /// The requested revision; the newest accepted one if the request named none.
     pub revision: Revision,
-    /// Whether it is in force everywhere: confirmed by every instance, or the configuration leases
-    /// of the others have run out.
+    /// Whether it is in effect everywhere: every instance has confirmed it, or the configuration
+    /// leases of the others have expired.
     pub everywhere: bool,
-    /// Milliseconds until these leases have run out; `None` when the configuration group could
-    /// not be asked.
+    /// Milliseconds until these leases expire; `None` when the configuration group could not be
+    /// reached.
     pub leases_ms: Option<u64>,
     /// The zones, sorted by id.
     pub zones: Vec<ZoneConfirmation>,
 }
 
-/// Which revision is in force in one availability zone.
+/// Which revision is in effect in one availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneConfirmation {
     /// The zone.
     pub zone: ZoneId,
-    /// Lowest revision in force at an instance of the zone; `None` when none was heard of.
+    /// Lowest revision in effect at an instance of the zone; `None` when no instance has reported one.
     pub revision: Option<Revision>,
-    /// Instances of the zone that have not confirmed the revision in question.
+    /// Instances of the zone that have not confirmed the requested revision.
     pub missing: Vec<InstanceId>,
 }
 
-/// The level of a process's logs.
+/// The log level of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LevelChange {
-    /// Least severe events that are written.
+    /// Events of this level and above are logged.
     pub level: LogLevel,
 }
--- a/src/protocol/problem.rs
+++ b/src/protocol/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals and failures as problem documents (RFC 9457).
+//! Refusals and errors as problem documents (RFC 9457).
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 /// Media type of a problem document.
 pub const MEDIA_TYPE: &str = "application/problem+json";
 
-/// A refusal or failure, as the caller sees it.
+/// A refusal or error as it is sent to the caller.
 ///
 /// ```
 /// use medlarlug::protocol::Problem;
@@ -23,26 +23,26 @@
     /// Stable name of the kind of problem.
     #[serde(rename = "type")]
     pub kind: SmolStr,
-    /// What happened, for a person.
+    /// Human-readable description.
     pub title: SmolStr,
-    /// HTTP status.
+    /// HTTP status code of the answer.
     pub status: u16,
     /// Whether the request ran.
     pub outcome: Outcome,
-    /// The request, when it was taken in.
+    /// Id of the request, once it was accepted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
-    /// When to come back, in seconds, rounded up.
+    /// Time until a retry is worthwhile, in seconds, rounded up.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u64>,
-    /// What became of earlier requests under the same key: unknown, as the home group was not
-    /// asked. [`outcome`](Self::outcome) speaks of this request only.
+    /// Outcome of earlier requests with the same idempotency key: unknown, because the home group was
+    /// not asked. [`outcome`](Self::outcome) describes this request only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub earlier: Option<Outcome>,
 }
 
 impl Problem {
-    /// A problem without a request and without a time to come back.
+    /// A problem without a request id and without a retry time.
     pub fn new(status: u16, kind: &str, title: &str, outcome: Outcome) -> Problem {
         Problem {
             kind: kind.into(),
@@ -55,24 +55,24 @@
         }
     }
 
-    /// The problem that a refusal is told as.
+    /// The problem document for a refusal.
     pub fn from_refusal(refusal: &Refusal) -> Problem {
         let reason = refusal.reason;
         let problem = Problem::new(reason.status(), reason.slug(), reason.title(), refusal.outcome);
         problem.with_retry_after(refusal.retry_after)
     }
 
-    /// The same problem of the request `id`.
+    /// Sets the request id.
     pub fn for_request(self, id: &RequestId) -> Problem {
         Problem { request: Some(id.clone()), ..self }
     }
 
-    /// The same problem of a booking whose key may have been used before.
+    /// States that the outcome of earlier requests with the same idempotency key is unknown.
     pub fn with_unknown_earlier_outcome(self) -> Problem {
         Problem { earlier: Some(Outcome::Unknown), ..self }
     }
 
-    /// The same problem with the time after which another try is worth it.
+    /// Sets the time after which a retry is worthwhile, at least one second.
     pub fn with_retry_after(self, wait: Duration) -> Problem {
         let seconds = wait.as_millis().div_ceil(1000).max(1);
         Problem { retry_after: u64::try_from(seconds).ok(), ..self }
