--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -1,4 +1,5 @@
-//! Logs: one JSON object a line, on standard error or, without ever blocking, on standard output.
+//! Logs with one JSON object per line, on standard error or, through a buffer that never blocks, on
+//! standard output.
 //!
 //! Request events carry the fields `request`, `instance` and `zone`.
 
@@ -18,27 +19,27 @@
     util::SubscriberInitExt,
 };
 
-/// Least severe events that are written.
+/// Log level: events of this level and above are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Failures that need an operator.
+    /// Failures that need the attention of an operator.
     Error,
-    /// Conditions that may need one.
+    /// Conditions that may need the attention of an operator.
     Warn,
-    /// Starts, stops, ends of requests, changes of configuration and membership.
+    /// Starts, stops, completed requests, and changes of configuration and membership.
     Info,
-    /// Steps of requests and calls that need no operator.
+    /// Steps of requests, and failed calls that were handled.
     Debug,
-    /// Each message.
+    /// Every message between processes.
     Trace,
 }
 
-/// A text that names no log level.
+/// A text that is not a log level.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("`{text}` is no log level; valid are error, warn, info, debug and trace")]
+#[error("`{text}` is not a log level; valid are error, warn, info, debug and trace")]
 pub struct LogLevelError {
-    /// The refused text.
+    /// The rejected text.
     pub text: SmolStr,
 }
 
@@ -81,36 +82,36 @@
     }
 }
 
-/// Changes the level of the logs while the process runs.
+/// Changes the log level while the process runs.
 #[derive(Debug, Clone)]
 pub struct LevelHandle(reload::Handle<LevelFilter, Registry>);
 
-/// The logs can't be started or changed.
+/// Why logging could not be started, or the log level not be changed.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// The process has logs already.
-    #[error("logs are started already")]
+    /// The process has a global subscriber already.
+    #[error("logging was started already")]
     Started,
-    /// The thread that writes can't be started.
+    /// The thread that writes buffered lines can't be started.
     #[error("failed to start the thread that writes logs")]
     Thread(#[source] io::Error),
-    /// The subscriber is gone.
-    #[error("the level of the logs can't be changed")]
-    Gone(#[source] reload::Error),
+    /// The subscriber was dropped.
+    #[error("failed to change the log level")]
+    SubscriberDropped(#[source] reload::Error),
 }
 
 impl LevelHandle {
-    /// Writes events of `level` and above from now on.
+    /// Sets the log level.
     ///
     /// # Errors
     ///
-    /// Fails when the subscriber is gone.
+    /// Fails when the subscriber was dropped.
     pub fn set(&self, level: LogLevel) -> Result<(), LogError> {
-        self.0.reload(level.filter()).map_err(LogError::Gone)
+        self.0.reload(level.filter()).map_err(LogError::SubscriberDropped)
     }
 }
 
-/// Starts the logs of the process on standard error.
+/// Starts logging to standard error.
 ///
 /// ```
 /// use medlarlug::telemetry::logs::{self, LogLevel};
@@ -123,7 +124,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the process has logs already.
+/// Fails when logging was started already.
 pub fn start(level: LogLevel) -> Result<LevelHandle, LogError> {
     let (filter, handle) = reload::Layer::new(level.filter());
     let lines =
@@ -133,12 +134,12 @@
     Ok(LevelHandle(handle))
 }
 
-/// Starts the logs of the process on standard output, through a bounded buffer that a thread
-/// empties: a reader that stops reading costs lines, which are counted, and delays nothing.
+/// Starts logging to standard output through a bounded buffer that a thread empties. If the reader of
+/// standard output stops reading, lines are dropped and counted, and no other thread is delayed.
 ///
 /// # Errors
 ///
-/// Fails when the process has logs already, or no thread can be started.
+/// Fails when logging was started already, or the thread can't be started.
 pub fn start_buffered(level: LogLevel) -> Result<(LevelHandle, LineBuffer), LogError> {
     let (filter, handle) = reload::Layer::new(level.filter());
     let buffer = LineBuffer::default();
@@ -165,16 +166,16 @@
 /// Time between two writes of buffered lines.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Bytes of lines that wait to be written at most; more are dropped and counted.
+/// Capacity of the buffer; further lines are dropped and counted.
 const BUFFER_BYTES: usize = 1 << 20;
 
 #[derive(Debug, Default)]
 struct Buffered {
     bytes: Vec<u8>,
-    dropped: u64,
+    dropped_lines: u64,
 }
 
-/// Lines that wait to be written.
+/// A bounded buffer of log lines that wait to be written; clones share it.
 ///
 /// ```
 /// use std::io::Write;
@@ -191,13 +192,13 @@
 pub struct LineBuffer(Arc<Mutex<Buffered>>);
 
 impl LineBuffer {
-    /// Writes what waits to `out`, and a line that counts what was dropped. A failure of `out`
-    /// loses the lines: there is nowhere left to report it.
+    /// Writes the buffered lines to `out`, followed by a line with the number of dropped ones, if any.
+    /// If `out` fails, the lines are lost, because there is no other place to report the error.
     pub fn flush_to(&self, out: &mut impl io::Write) {
-        let waiting = std::mem::take(&mut *self.lock());
-        let _ = out.write_all(&waiting.bytes);
-        if waiting.dropped > 0 {
-            let dropped = waiting.dropped;
+        let buffered = std::mem::take(&mut *self.lock());
+        let _ = out.write_all(&buffered.bytes);
+        if buffered.dropped_lines > 0 {
+            let dropped = buffered.dropped_lines;
             let line = format!(
                 "{{\"level\":\"WARN\",\"message\":\"log lines dropped\",\"dropped\":{dropped}}}\n"
             );
@@ -215,7 +216,7 @@
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut buffered = self.lock();
         match buffered.bytes.len() + line.len() > BUFFER_BYTES {
-            true => buffered.dropped += 1,
+            true => buffered.dropped_lines += 1,
             false => buffered.bytes.extend_from_slice(line),
         }
         Ok(line.len())
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -1,53 +1,53 @@
-//! Metrics in Prometheus text.
+//! Metrics in the Prometheus text format.
 //!
-//! Names, units and labels are the constants of this module; [`start`] describes each to the
-//! recorder, so the rendered text carries the same words.
+//! The constants of this module are the names of the metrics; [`start`] registers a description of
+//! each one, which the rendered text includes.
 
 use metrics::{Unit, describe_counter, describe_gauge, describe_histogram};
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 use thiserror::Error;
 
-/// Counter: requests that ended. Label: `outcome`.
+/// Counter: completed requests. Label: `outcome`.
 pub const REQUESTS: &str = "medlarlug_requests_total";
 /// Histogram in seconds: from a request's arrival to the first byte of its answer.
 pub const FIRST_BYTE: &str = "medlarlug_first_byte_seconds";
 /// Histogram in seconds: from a request's arrival to the end of its answer.
 pub const DURATION: &str = "medlarlug_request_seconds";
-/// Counter: requests that were handed to another availability zone.
+/// Counter: requests that were forwarded to another availability zone.
 pub const FORWARDED: &str = "medlarlug_requests_forwarded_total";
-/// Counter: attempts after the first one.
+/// Counter: retries, which are the attempts of a request after its first one.
 pub const RETRIES: &str = "medlarlug_retries_total";
-/// Counter: answers that were dropped because they carry the id of another request.
+/// Counter: answers that were dropped because they carry the id of another request (misdelivered).
 pub const CROSSED: &str = "medlarlug_crossed_answers_total";
-/// Gauge: requests that run in this process.
+/// Gauge: requests in flight in this process.
 pub const RUNNING: &str = "medlarlug_requests_running";
-/// Gauge: upstreams of the own zone that take work.
+/// Gauge: upstreams of the process's own zone that accept requests.
 pub const UPSTREAMS: &str = "medlarlug_upstreams";
-/// Gauge: configuration revision in force.
+/// Gauge: configuration revision in effect.
 pub const REVISION: &str = "medlarlug_revision";
 
-/// Renders the metrics of the process.
+/// Handle to the metrics of the process.
 #[derive(Clone)]
 pub struct Metrics(PrometheusHandle);
 
-/// The metrics can't be started.
+/// The process has a global metrics recorder already.
 #[derive(Debug, Error)]
-#[error("metrics are started already")]
+#[error("metrics were started already")]
 pub struct MetricsError;
 
 impl Metrics {
-    /// The metrics as Prometheus text.
+    /// The metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         self.0.render()
     }
 
-    /// Work that has to be done now and then, so that histograms stay bounded.
+    /// Maintenance that has to run periodically, or histograms grow without bound.
     pub fn upkeep(&self) {
         self.0.run_upkeep();
     }
 }
 
-/// Starts the metrics of the process.
+/// Installs the global metrics recorder of the process.
 ///
 /// ```
 /// use medlarlug::telemetry::metrics;
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the process has metrics already.
+/// Fails when the process has a global recorder already.
 pub fn start() -> Result<Metrics, MetricsError> {
     let recorder = PrometheusBuilder::new().build_recorder();
     let handle = recorder.handle();
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,8 +1,8 @@
-//! Logs as JSON lines and metrics.
+//! Logs and metrics.
 //!
-//! [`logs`] writes one JSON object a line to standard error; its level can be changed while the
-//! process runs. [`metrics`] keeps counters, gauges and histograms and renders them as Prometheus
-//! text; the process serves that text on its operators' port.
+//! [`logs`] writes one JSON object per line; the log level can be changed while the process runs.
+//! [`metrics`] records counters, gauges and histograms and renders them in the Prometheus text format,
+//! which the process serves on its operators' port.
 
 pub mod logs;
 pub mod metrics;
--- a/src/transport/body.rs
+++ b/src/transport/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers: whole, or streamed through a channel.
+//! Bodies of requests and answers, either complete or streamed through a channel.
 
 use std::convert::Infallible;
 
@@ -14,20 +14,21 @@
 
 use crate::protocol::{Problem, headers, problem};
 
-/// The sender of a streamed body went away before its end.
+/// The sender of a streamed body was dropped before the body ended.
 ///
-/// The connection is then cut instead of ended, so that a truncated answer never looks whole.
+/// The server then aborts the connection, so that a truncated answer is never taken for a complete
+/// one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the answer was cut before its end")]
+#[error("the answer was truncated")]
 pub struct TruncatedBody;
 
 /// Body of every answer that a server sends.
 pub type AnswerBody = UnsyncBoxBody<Bytes, TruncatedBody>;
 
-/// An answer of a server.
+/// An HTTP response of a server.
 pub type Answer = Response<AnswerBody>;
 
-/// Chunks that wait for a slow reader at most.
+/// Chunks that are buffered for a slow reader; then the sender waits.
 const STREAM_QUEUE_CHUNKS: usize = 16;
 
 /// A part of a streamed body.
@@ -35,29 +36,29 @@
 pub enum Part {
     /// The next bytes.
     Chunk(Bytes),
-    /// The whole body was sent.
+    /// The end of the body.
     End,
 }
 
-/// Why a body can't be read.
+/// Why a body could not be read.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// It is longer than permitted.
+    /// The body is longer than permitted.
     #[error("the body is longer than {limit} bytes")]
     TooLong {
         /// Longest permitted body, in bytes.
         limit: usize,
     },
-    /// The connection failed before its end.
-    #[error("the body was cut before its end")]
+    /// The connection failed before the body ended.
+    #[error("the connection failed before the body ended")]
     Truncated,
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Fails when the body is longer or cut.
+/// Fails when the body is longer than `limit` or truncated.
 pub async fn read<B>(body: B, limit: usize) -> Result<Bytes, BodyError>
 where
     B: hyper::body::Body<Data = Bytes>,
@@ -70,12 +71,13 @@
     }
 }
 
-/// A body of known content.
+/// A body with complete content.
 pub fn full(content: impl Into<Bytes>) -> AnswerBody {
     Full::new(content.into()).map_err(|never: Infallible| match never {}).boxed_unsync()
 }
 
-/// A body that ends well only after [`Part::End`]; the sender's channel closing before is a cut.
+/// A body whose parts are sent through a channel. Dropping the sender before [`Part::End`] truncates
+/// the body and aborts the connection.
 pub fn channel() -> (mpsc::Sender<Part>, AnswerBody) {
     let (sender, receiver) = mpsc::channel(STREAM_QUEUE_CHUNKS);
     let parts = stream::unfold(Some(receiver), |receiver| async {
@@ -89,7 +91,7 @@
     (sender, StreamBody::new(parts).boxed_unsync())
 }
 
-/// An answer with a JSON document.
+/// An answer with `document` as JSON; the body is empty if it can't be serialized.
 pub fn json(status: StatusCode, document: &impl Serialize) -> Answer {
     let content = serde_json::to_vec(document).unwrap_or_default();
     let mut answer = Response::new(full(content));
@@ -99,7 +101,7 @@
     answer
 }
 
-/// An answer with a problem document, its outcome and the time to come back.
+/// An answer with a problem document and the headers for its outcome, request id and retry time.
 pub fn problem_answer(problem: &Problem) -> Answer {
     let status = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut answer = json(status, problem);
@@ -115,7 +117,7 @@
     answer
 }
 
-/// Puts a header in, when its name and value are valid ones.
+/// Sets a header; does nothing if the name or the value is not valid.
 pub fn insert(fields: &mut hyper::HeaderMap, name: &str, value: &str) {
     let name = header::HeaderName::from_bytes(name.as_bytes());
     if let (Ok(name), Ok(value)) = (name, header::HeaderValue::from_str(value)) {
@@ -123,7 +125,7 @@
     }
 }
 
-/// An answer of plain text.
+/// An answer with plain text, status 200.
 pub fn text(content: String) -> Answer {
     let mut answer = Response::new(full(content));
     let media = header::HeaderValue::from_static("text/plain; charset=utf-8");
--- a/src/transport/http_client.rs
+++ b/src/transport/http_client.rs
@@ -1,8 +1,8 @@
 //! HTTP/1 connections to upstreams and to other instances.
 //!
-//! Idle connections are kept for calls that may be repeated. A call that must not run twice takes
-//! a new connection: an idle one may have gone silent, and its failure would not tell whether the
-//! call began.
+//! Idle connections are kept for calls that may be retried. A call that must not run twice uses a new
+//! connection: an idle one may have become unresponsive, and its failure would not tell whether the
+//! call was started.
 
 use std::{
     cell::{Cell, RefCell},
@@ -34,21 +34,21 @@
     time::{error::Elapsed, timeout},
 };
 
-/// Idle connections that are kept for one address.
-const IDLE_CONNECTIONS: usize = 64;
+/// Idle connections that are kept for each address.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// New connections that a call tries, as long as not a byte of it has gone out.
-const NEW_CONNECTIONS: usize = 3;
+/// New connections that are tried for one call, as long as no byte of it was sent.
+const MAX_CONNECTION_ATTEMPTS: usize = 3;
 
-/// Time after which a connection ends whose data the other side does not acknowledge: several
-/// retransmissions between two regions.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_500);
+/// A connection is closed when the peer does not acknowledge sent data for this long, which covers
+/// several retransmissions between two regions.
+const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest head of an answer, in bytes: four times what the first deployments let callers send.
-const HEAD_BYTES: usize = 64 * 1024;
-/// Bytes that may come before the head of an answer is read, those of informational heads and of the
-/// part of the body that is read along included.
-const HEAD_ROOM: usize = 4 * HEAD_BYTES;
+/// Four times the longest request head that the first deployments permitted.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// Most bytes that are read until the head of an answer is complete, including informational heads
+/// and the part of the body that is read together with the head.
+const MAX_BYTES_BEFORE_HEAD: usize = 4 * MAX_HEAD_BYTES;
 
 /// Body of a request that a client sends.
 pub type RequestBody = Full<Bytes>;
@@ -56,92 +56,94 @@
 /// Why a call failed.
 #[derive(Debug, Error)]
 pub enum HttpCallError {
-    /// No connection: nothing was sent.
+    /// No connection was opened; nothing was sent.
     #[error("failed to connect to {address}")]
     Connect {
-        /// The other side.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The system's error; `None` when the time ran out.
+        /// Error of the operating system; `None` after a timeout, or when new connections were closed
+        /// before the request was sent.
         #[source]
         source: Option<std::io::Error>,
     },
-    /// The request was not wanted any more when its connection opened: nothing was sent.
-    #[error("withdrew the request when the connection to {address} opened")]
+    /// The request was no longer wanted when its connection opened; nothing was sent.
+    #[error("the request was withdrawn before the connection to {address} opened")]
     Withdrawn {
-        /// The other side.
+        /// Address of the peer.
         address: SocketAddr,
     },
-    /// The connection ended before the head of the answer; the request may have begun.
-    #[error("{address} ended the connection without an answer")]
+    /// The connection failed before the head of the answer; the request may have started.
+    #[error("the connection to {address} failed before an answer arrived")]
     Lost {
-        /// The other side.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The library's error.
+        /// Error of the HTTP library.
         #[source]
         source: hyper::Error,
     },
-    /// No answer came in time; the request may have begun.
-    #[error("{address} sent no answer for {}s", limit.as_secs_f32())]
+    /// No answer arrived in time; the request may have started.
+    #[error("{address} sent no answer within {} s", limit.as_secs_f32())]
     TimedOut {
-        /// The other side.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The time that it had.
+        /// The timeout.
         limit: Duration,
     },
 }
 
 impl HttpCallError {
-    /// Whether the other side can't have begun the call.
+    /// Whether no part of the request was sent, so that the peer can't have started it.
     pub fn is_unsent(&self) -> bool {
         matches!(self, HttpCallError::Connect { .. } | HttpCallError::Withdrawn { .. })
     }
 }
 
-/// Whether a call may go over a connection that was used before.
+/// Whether a call may use an idle connection of the pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reuse {
-    /// Any connection will do.
+    /// An idle connection is used if there is one.
     Allowed,
-    /// Only a new connection will do.
+    /// A new connection is opened.
     Never,
 }
 
-/// Time limits of one call.
+/// Timeouts of one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallLimits {
-    /// Time until the connection is open.
+    /// Longest time until a connection is open; applies to each connection that is tried.
     pub connect: Duration,
-    /// Time until the head of the answer.
+    /// Longest time from sending the request until the head of the answer arrives.
     pub head: Duration,
 }
 
-/// Bytes that may still come before the head of an answer; `None` once the head is there.
-type HeadRoom = Rc<Cell<Option<usize>>>;
+/// Bytes that may still be read before the head of the answer is complete; `None` while no answer is
+/// awaited.
+type HeadBudget = Rc<Cell<Option<usize>>>;
 
-/// One connection.
-struct Sender {
+/// An open connection.
+struct RequestSender {
     requests: SendRequest<RequestBody>,
-    room: HeadRoom,
+    head_budget: HeadBudget,
 }
 
-impl Sender {
+impl RequestSender {
     /// Sends a request and waits for the head of its answer.
-    async fn send(&mut self, request: Request<RequestBody>) -> Sent {
-        self.room.set(Some(HEAD_ROOM));
+    async fn send(&mut self, request: Request<RequestBody>) -> SendResult {
+        self.head_budget.set(Some(MAX_BYTES_BEFORE_HEAD));
         let sent = self.requests.try_send_request(request).await;
-        self.room.set(None);
+        self.head_budget.set(None);
         sent
     }
 }
 
-/// The reading side of a connection, which bounds what comes before the head of an answer: hyper
-/// reads informational heads, of which there may be any number, as long as some are there.
-struct Guarded {
+/// A stream that limits the bytes read before the head of an answer. hyper itself reads informational
+/// heads without a limit on their number.
+struct HeadLimitedStream {
     stream: TcpStream,
-    room: HeadRoom,
+    head_budget: HeadBudget,
 }
 
-impl AsyncRead for Guarded {
+impl AsyncRead for HeadLimitedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -149,19 +151,19 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buffer))?;
-        if let Some(room) = self.room.get() {
+        if let Some(budget) = self.head_budget.get() {
             let bytes = buffer.filled().len() - before;
-            let Some(left) = room.checked_sub(bytes) else {
+            let Some(remaining) = budget.checked_sub(bytes) else {
                 let text = "the head of the answer is too long";
                 return Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, text)));
             };
-            self.room.set(Some(left));
+            self.head_budget.set(Some(remaining));
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Guarded {
+impl AsyncWrite for HeadLimitedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -192,9 +194,9 @@
 }
 
 /// Idle connections, sorted by address.
-type IdleSenders = Vec<(SocketAddr, Vec<Sender>)>;
+type IdleSenders = Vec<(SocketAddr, Vec<RequestSender>)>;
 
-/// A pool of connections.
+/// An HTTP client with a pool of idle connections; clones share the pool.
 #[derive(Clone, Default)]
 pub struct HttpClient {
     idle: Rc<RefCell<IdleSenders>>,
@@ -203,12 +205,12 @@
 impl HttpClient {
     /// Sends a request and waits for the head of the answer.
     ///
-    /// The connection goes back to the pool by [`HttpClient::release`] once the answer's body
-    /// was read to its end.
+    /// After the body of the answer was read to its end, [`HttpClient::release`] returns the connection
+    /// to the pool.
     ///
     /// # Errors
     ///
-    /// Fails when no connection opens, or the answer's head does not arrive in time.
+    /// Fails when no connection opens, or when the head of the answer does not arrive in time.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -219,12 +221,13 @@
         self.call_if_wanted(address, request, reuse, limits, || true).await
     }
 
-    /// The same, but sends the request only if it `is_wanted` still when a new connection has opened,
-    /// which may be [`CallLimits::connect`] later, several times.
+    /// Like [`HttpClient::call`], but sends the request over a new connection only if `is_wanted`
+    /// still returns true when the connection has opened. Opening may take several times
+    /// [`CallLimits::connect`].
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::call`]; and when the request is not wanted any more.
+    /// As for [`HttpClient::call`], and when the request is no longer wanted.
     pub async fn call_if_wanted(
         &self,
         address: SocketAddr,
@@ -235,53 +238,53 @@
     ) -> Result<(Response<Incoming>, Connection), HttpCallError> {
         let mut request = request;
         while reuse == Reuse::Allowed
-            && let Some(mut sender) = self.take(address)
+            && let Some(mut sender) = self.take_idle(address)
         {
             match timeout(limits.head, sender.send(request)).await {
-                // The other side had closed the connection before the request went out.
+                // The peer had closed the idle connection before the request was sent.
                 Ok(Err(mut error)) if error.message().is_some() => {
                     request = error.take_message().expect("it was just seen");
                 }
-                result => return outcome(address, limits, sender, result),
+                result => return classify(address, limits, sender, result),
             }
         }
-        for _ in 0..NEW_CONNECTIONS {
+        for _ in 0..MAX_CONNECTION_ATTEMPTS {
             let mut sender = connect(address, limits.connect).await?;
             if !is_wanted() {
                 return Err(HttpCallError::Withdrawn { address });
             }
             match timeout(limits.head, sender.send(request)).await {
-                // The new connection was cut before the request went out.
+                // The new connection was closed before the request was sent.
                 Ok(Err(mut error)) if error.message().is_some() => {
                     request = error.take_message().expect("it was just seen");
                 }
-                result => return outcome(address, limits, sender, result),
+                result => return classify(address, limits, sender, result),
             }
         }
         Err(HttpCallError::Connect { address, source: None })
     }
 
-    /// Keeps a connection for further calls.
+    /// Returns a connection to the pool for further calls.
     pub fn release(&self, connection: Connection) {
-        self.release_bounded(connection, IDLE_CONNECTIONS);
+        self.release_bounded(connection, MAX_IDLE_CONNECTIONS);
     }
 
-    /// The same, with `most` idle connections to its address: what the other side accepts is shared
-    /// with other clients.
-    pub fn release_bounded(&self, connection: Connection, most: usize) {
+    /// Returns a connection to the pool unless the pool already holds `max_idle` connections to its
+    /// address. Other clients share the connections that the peer accepts.
+    pub fn release_bounded(&self, connection: Connection, max_idle: usize) {
         let Connection { address, sender } = connection;
         if sender.requests.is_closed() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
         match idle.binary_search_by(|it| it.0.cmp(&address)) {
-            Ok(found) if idle[found].1.len() >= most => {}
+            Ok(found) if idle[found].1.len() >= max_idle => {}
             Ok(found) => idle[found].1.push(sender),
-            Err(place) => idle.insert(place, (address, vec![sender])),
+            Err(index) => idle.insert(index, (address, vec![sender])),
         }
     }
 
-    /// Closes the idle connections to an address, after one of them went silent.
+    /// Closes all idle connections to an address; used after one of them became unresponsive.
     pub fn close_idle(&self, address: SocketAddr) {
         let mut idle = self.idle.borrow_mut();
         if let Ok(found) = idle.binary_search_by(|it| it.0.cmp(&address)) {
@@ -289,14 +292,14 @@
         }
     }
 
-    /// Idle connections to an address that the other side has not closed.
+    /// Number of idle connections to an address that the peer has not closed.
     pub fn idle_connections(&self, address: SocketAddr) -> usize {
         let idle = self.idle.borrow();
         let found = idle.binary_search_by(|it| it.0.cmp(&address));
         found.map_or(0, |found| idle[found].1.iter().filter(|it| !it.requests.is_closed()).count())
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Sender> {
+    fn take_idle(&self, address: SocketAddr) -> Option<RequestSender> {
         let mut idle = self.idle.borrow_mut();
         let found = idle.binary_search_by(|it| it.0.cmp(&address)).ok()?;
         let senders = &mut idle[found].1;
@@ -309,18 +312,18 @@
     }
 }
 
-type Sent = Result<Response<Incoming>, TrySendError<Request<RequestBody>>>;
+type SendResult = Result<Response<Incoming>, TrySendError<Request<RequestBody>>>;
 
-/// What became of a request that was handed to a connection.
-fn outcome(
+/// Converts the result of sending a request over a connection.
+fn classify(
     address: SocketAddr,
     limits: CallLimits,
-    sender: Sender,
-    result: Result<Sent, Elapsed>,
+    sender: RequestSender,
+    result: Result<SendResult, Elapsed>,
 ) -> Result<(Response<Incoming>, Connection), HttpCallError> {
     match result {
         Ok(Ok(answer)) => Ok((answer, Connection { address, sender })),
-        // The request came back, so not a byte of it went out.
+        // hyper returned the request, so no byte of it was sent.
         Ok(Err(error)) if error.message().is_some() => {
             Err(HttpCallError::Connect { address, source: None })
         }
@@ -329,7 +332,7 @@
     }
 }
 
-/// Whether nothing listens at `address` any more.
+/// Whether `address` refuses connections, which means that nothing listens there.
 pub async fn refuses_connections(address: SocketAddr, limit: Duration) -> bool {
     let connected = timeout(limit, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused)
@@ -338,10 +341,10 @@
 /// A connection whose answer is being read; dropping it closes it.
 pub struct Connection {
     address: SocketAddr,
-    sender: Sender,
+    sender: RequestSender,
 }
 
-async fn connect(address: SocketAddr, limit: Duration) -> Result<Sender, HttpCallError> {
+async fn connect(address: SocketAddr, limit: Duration) -> Result<RequestSender, HttpCallError> {
     let failed = |source| HttpCallError::Connect { address, source };
     let stream = match timeout(limit, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
@@ -349,21 +352,23 @@
         Err(_) => return Err(failed(None)),
     };
     let _ = stream.set_nodelay(true);
-    // Without it, a connection whose other side has vanished hangs until the call's time is up.
-    if let Err(error) = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT)) {
-        tracing::debug!(%error, %address, "no limit on unacknowledged data");
+    // Without this, a call over a connection to a vanished peer waits until its own timeout.
+    if let Err(error) =
+        SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_DATA_TIMEOUT))
+    {
+        tracing::debug!(%error, %address, "failed to set TCP_USER_TIMEOUT");
     }
-    let room = HeadRoom::default();
-    let guarded = Guarded { stream, room: room.clone() };
+    let head_budget = HeadBudget::default();
+    let limited = HeadLimitedStream { stream, head_budget: head_budget.clone() };
     let (requests, connection) = http1::Builder::new()
-        .max_buf_size(HEAD_BYTES)
-        .handshake(TokioIo::new(guarded))
+        .max_buf_size(MAX_HEAD_BYTES)
+        .handshake(TokioIo::new(limited))
         .await
         .map_err(|_| failed(None))?;
     task::spawn_local(async move {
         if let Err(error) = connection.await {
-            tracing::debug!(%error, %address, "connection ended early");
+            tracing::debug!(%error, %address, "connection closed with an error");
         }
     });
-    Ok(Sender { requests, room })
+    Ok(RequestSender { requests, head_budget })
 }
--- a/src/transport/http_server.rs
+++ b/src/transport/http_server.rs
@@ -1,4 +1,4 @@
-//! Bounded HTTP/1 servers that run on the process's one loop.
+//! HTTP/1 servers with limits on clients; they run on the single-threaded event loop of the process.
 
 use std::{cell::Cell, future::Future, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -19,49 +19,49 @@
 
 use crate::transport::body::Answer;
 
-/// Bounds on what a client can send to a server.
+/// Limits that a server imposes on its clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerLimits {
-    /// Longest head of a request, in bytes.
+    /// Longest head of a request; at least 8,192 bytes are permitted.
     pub header_bytes: usize,
-    /// Time in which a client has to send the head of a request.
+    /// Longest time in which a client sends the head of a request.
     pub header_time: Duration,
-    /// Connections that are open at once.
+    /// Most open connections; further ones are closed at once.
     pub connections: usize,
     /// Requests that one connection carries before it is closed.
     pub requests: u32,
 }
 
-/// A failure to start a server.
+/// Why a server could not be started.
 #[derive(Debug, Error)]
 pub enum ServerError {
-    /// The address can't be listened at.
+    /// The address can't be bound.
     #[error("failed to listen for {role} at {address}")]
     Listen {
-        /// Whom the server is for.
+        /// The clients that the server is for.
         role: &'static str,
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// Error of the operating system.
         #[source]
         source: std::io::Error,
     },
 }
 
-/// Opens the listening socket of a server.
+/// Binds the listening socket of a server for the clients named by `role`.
 ///
 /// # Errors
 ///
-/// Fails when the address can't be listened at.
+/// Fails when the address can't be bound.
 pub async fn listen(role: &'static str, address: SocketAddr) -> Result<TcpListener, ServerError> {
     TcpListener::bind(address).await.map_err(|source| ServerError::Listen { role, address, source })
 }
 
-/// Serves connections until `stop` turns true; returns once every connection has ended.
+/// Serves connections until `stop` becomes true; returns once every connection is closed.
 ///
-/// After the stop, connections that wait to be accepted are still answered, and open ones end
-/// their request and close. A connection above the limit is closed at once. `handler` answers every
-/// request and never fails; it is called on the current thread.
+/// After that, connections that were waiting to be accepted are still served, and open connections
+/// finish their request and close. A connection above the limit is closed at once. `handler` answers
+/// every request and never fails; it is called on the current thread.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: ServerLimits,
@@ -98,7 +98,7 @@
         });
     }
     drop(listener);
-    // Every permit is back once the last connection has ended.
+    // All permits are available once the last connection is closed.
     let _ = permits.acquire_many(u32::try_from(limits.connections).unwrap_or(u32::MAX)).await;
 }
 
@@ -113,10 +113,10 @@
     F: Future<Output = Answer> + 'static,
 {
     let _ = stream.set_nodelay(true);
-    let left = Cell::new(limits.requests);
+    let remaining_requests = Cell::new(limits.requests);
     let service = service_fn(move |request| {
-        left.set(left.get().saturating_sub(1));
-        let is_last = left.get() == 0;
+        remaining_requests.set(remaining_requests.get().saturating_sub(1));
+        let is_last = remaining_requests.get() == 0;
         let answer = handler(request, peer);
         async move {
             let mut answer = answer.await;
@@ -134,17 +134,17 @@
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
-        result = connection.as_mut() => return log_end(result),
+        result = connection.as_mut() => return log_connection_error(result),
         _ = stop.wait_for(|stop| *stop) => connection.as_mut().graceful_shutdown(),
     }
-    log_end(connection.await);
+    log_connection_error(connection.await);
 }
 
-/// Smallest buffer that hyper takes, in bytes.
+/// Smallest buffer that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8192;
 
-fn log_end(result: Result<(), hyper::Error>) {
+fn log_connection_error(result: Result<(), hyper::Error>) {
     if let Err(error) = result {
-        tracing::debug!(%error, "connection ended early");
+        tracing::debug!(%error, "connection closed with an error");
     }
 }
--- a/src/transport/links.rs
+++ b/src/transport/links.rs
@@ -1,10 +1,10 @@
-//! Links between the system's own processes: one-way messages over nng.
+//! Links between the processes of a deployment: one-way messages over nng.
 //!
-//! A process receives everything on one `Pull` socket and sends to each peer over a `Push` socket
-//! of its own, which is made with the first message to the peer. Sending never blocks: when a peer does not take messages, the queue of its socket
-//! fills and further messages are dropped, which every core tolerates. nng does not notice a
-//! connection that has gone silent, so a core that misses a peer's heartbeats asks for
-//! [`Links::reconnect`].
+//! A process receives all messages on one `Pull` socket and sends to each peer over a separate `Push`
+//! socket, which is opened for the first message to the peer. Sending never blocks: when a peer does
+//! not accept messages, the queue of its socket fills and further messages are dropped, which every
+//! core tolerates. nng does not detect an unresponsive connection, so a core that misses the heartbeats
+//! of a peer requests [`Links::reconnect`].
 
 use std::{
     net::SocketAddr,
@@ -24,64 +24,64 @@
     frame::{self, Envelope, FrameError, MAX_FRAME_BYTES},
 };
 
-/// Messages that wait for a peer at most; further ones are dropped.
+/// Capacity of the send queue of each peer; further messages are dropped.
 const SEND_QUEUE_MESSAGES: i32 = 256;
 
-/// Received messages that wait for the loop at most; further ones are dropped.
+/// Capacity of the queue between nng and the event loop; further messages are dropped.
 const RECEIVE_QUEUE_MESSAGES: usize = 4096;
 
-/// Shortest and longest pause before another try to connect.
-const RECONNECT_PAUSES: [Duration; 2] = [Duration::from_millis(50), Duration::from_secs(1)];
+/// Shortest and longest delay between two attempts to connect.
+const RECONNECT_DELAYS: [Duration; 2] = [Duration::from_millis(50), Duration::from_secs(1)];
 
-/// A failure of the links.
+/// An error of the links.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// The own address can't be listened at.
+    /// The own address can't be bound.
     #[error("failed to listen for peers at {address}")]
     Listen {
         /// The own address.
         address: SocketAddr,
-        /// The library's error.
+        /// Error of nng.
         #[source]
         source: nng::Error,
     },
     /// The receiver is not among the peers.
-    #[error("{peer} is no known peer")]
+    #[error("{peer} is not a known peer")]
     UnknownPeer {
         /// The receiver.
         peer: InstanceId,
     },
-    /// The queue towards the peer is full.
-    #[error("{peer} takes no messages at the moment")]
+    /// The send queue of the peer is full.
+    #[error("the send queue to {peer} is full")]
     Full {
         /// The receiver.
         peer: InstanceId,
     },
-    /// The message makes no frame.
+    /// The message can't be encoded as a frame.
     #[error("failed to encode a message")]
     Frame(#[from] FrameError),
-    /// The library failed.
-    #[error("failed to set a link up")]
+    /// nng failed to open or configure a socket.
+    #[error("failed to set up a link")]
     Library(#[from] nng::Error),
 }
 
 struct Peer {
     address: SocketAddr,
-    /// `None` until something is sent.
+    /// `None` until the first message is sent.
     link: Option<Link>,
 }
 
 struct Link {
     socket: Socket,
-    since: Instant,
+    opened: Instant,
 }
 
 impl Peer {
-    /// The link, made now if there is none yet; it connects in the background.
+    /// Returns the link and opens it if there is none; it connects in the background.
     fn link(&mut self) -> Result<&mut Link, nng::Error> {
         let link = match self.link.take() {
             Some(link) => link,
-            None => Link { socket: dial(self.address)?, since: Instant::now() },
+            None => Link { socket: dial(self.address)?, opened: Instant::now() },
         };
         Ok(self.link.insert(link))
     }
@@ -92,7 +92,7 @@
     own: InstanceId,
     keys: DeploymentKeys,
     peers: Vec<(InstanceId, Peer)>,
-    // Held so that both live as long as the links.
+    // Never read, but has to live as long as the links: dropping it ends receiving.
     _receiver: (Socket, Aio),
 }
 
@@ -104,11 +104,11 @@
 }
 
 impl Links {
-    /// Listens at `address` for messages to `own`.
+    /// Listens on `address` for messages to `own`.
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be listened at.
+    /// Fails when the address can't be bound or nng can't open a socket.
     pub fn listen(
         own: InstanceId,
         keys: DeploymentKeys,
@@ -138,26 +138,26 @@
         Ok((Links { own, keys, peers: Vec::new(), _receiver: (socket, aio) }, incoming))
     }
 
-    /// Notes where a peer listens; a peer at a new address replaces the former one.
+    /// Adds a peer, or changes its address, which closes the connection to the old one.
     ///
-    /// The connection is made with the first message: most processes of a large deployment never
-    /// send to most others.
+    /// The connection is opened for the first message, because most processes of a large deployment
+    /// never send to most others.
     pub fn add_peer(&mut self, peer: InstanceId, address: SocketAddr) {
         let added = Peer { address, link: None };
         match self.peers.binary_search_by(|it| it.0.cmp(&peer)) {
             Ok(found) if self.peers[found].1.address == address => {}
             Ok(found) => self.peers[found].1 = added,
-            Err(place) => self.peers.insert(place, (peer, added)),
+            Err(index) => self.peers.insert(index, (peer, added)),
         }
     }
 
-    /// Replaces the connection to a peer by a new one; messages that wait in its queue are lost.
+    /// Replaces the connection to a peer by a new one; messages in its send queue are lost.
     ///
     /// # Errors
     ///
-    /// Fails when the peer is not known or the library can't make a socket.
+    /// Fails when the peer is unknown or nng can't open a socket.
     pub fn reconnect(&mut self, peer: &InstanceId) -> Result<(), LinkError> {
-        let peer = find(&mut self.peers, peer)?;
+        let peer = find_peer(&mut self.peers, peer)?;
         if let Some(link) = peer.link.take() {
             link.socket.close();
         }
@@ -165,22 +165,22 @@
         Ok(())
     }
 
-    /// Time since the connection to a peer was made or replaced; `None` when there is none.
+    /// Time since the connection to a peer was opened or replaced; `None` when there is none.
     pub fn connection_age(&self, peer: &InstanceId) -> Option<Duration> {
         let found = self.peers.binary_search_by(|it| it.0.cmp(peer)).ok()?;
-        Some(self.peers[found].1.link.as_ref()?.since.elapsed())
+        Some(self.peers[found].1.link.as_ref()?.opened.elapsed())
     }
 
-    /// Sends `message` to `peer` without waiting.
+    /// Queues `message` for `peer` without waiting.
     ///
     /// # Errors
     ///
-    /// Fails when the peer is not known, its queue is full, or the message is too long.
+    /// Fails when the peer is unknown, its queue is full, or the message is too long.
     pub fn send(&mut self, peer: &InstanceId, message: Message) -> Result<(), LinkError> {
         let envelope = Envelope { from: self.own.clone(), to: peer.clone(), message };
         let bytes = frame::encode(&self.keys, &envelope)?;
         metrics::counter!(crate::transport::SENT_BYTES).increment(bytes.len() as u64);
-        let link = find(&mut self.peers, peer)?.link()?;
+        let link = find_peer(&mut self.peers, peer)?.link()?;
         link.socket
             .try_send(nng::Message::from(&bytes[..]))
             .map_err(|_| LinkError::Full { peer: peer.clone() })
@@ -188,7 +188,7 @@
 }
 
 impl Incoming {
-    /// The next authenticated message to this instance.
+    /// Waits for the next authenticated message to this instance; `None` once the links are dropped.
     ///
     /// Frames that are not authenticated, or are for another instance, are counted and dropped.
     pub async fn receive(&mut self) -> Option<(InstanceId, Message)> {
@@ -204,7 +204,7 @@
     }
 }
 
-fn find<'a>(
+fn find_peer<'a>(
     peers: &'a mut [(InstanceId, Peer)],
     peer: &InstanceId,
 ) -> Result<&'a mut Peer, LinkError> {
@@ -216,10 +216,10 @@
 
 fn dial(address: SocketAddr) -> Result<Socket, nng::Error> {
     let socket = Socket::new(Protocol::Push0)?;
-    let [shortest, longest] = RECONNECT_PAUSES;
+    let [min_delay, max_delay] = RECONNECT_DELAYS;
     socket.set_opt::<SendBufferSize>(SEND_QUEUE_MESSAGES)?;
-    socket.set_opt::<ReconnectMinTime>(Some(shortest))?;
-    socket.set_opt::<ReconnectMaxTime>(Some(longest))?;
+    socket.set_opt::<ReconnectMinTime>(Some(min_delay))?;
+    socket.set_opt::<ReconnectMaxTime>(Some(max_delay))?;
     socket.dial_async(&format!("tcp://{address}"))?;
     Ok(socket)
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,9 +1,10 @@
 //! Transport: HTTP towards callers, upstreams and operators; nng between processes.
 //!
 //! * [`links`]: one nng socket for each peer, and one that receives from all of them.
-//! * [`http_server`]: bounded HTTP/1 servers on the one loop.
-//! * [`http_client`]: HTTP/1 connections to upstreams and other instances.
+//! * [`http_server`]: HTTP/1 servers with limits on clients.
+//! * [`http_client`]: pooled HTTP/1 connections to upstreams and other instances.
 //! * [`body`]: the bodies of requests and answers.
+//! * [`signals`]: graceful shutdown on SIGTERM and SIGINT.
 
 pub mod body;
 pub mod http_client;
@@ -11,14 +12,14 @@
 pub mod links;
 pub mod signals;
 
-/// Counter: messages between processes that were dropped because the loop was behind.
+/// Counter: received messages that were dropped because the queue to the event loop was full.
 pub const DROPPED_MESSAGES: &str = "medlarlug_link_dropped_messages_total";
 
-/// Counter: frames that were not authenticated or were for another instance.
+/// Counter: received frames that were not authenticated or were for another instance.
 pub const REFUSED_FRAMES: &str = "medlarlug_link_refused_frames_total";
 
-/// Counter: bytes of messages sent to other processes.
+/// Counter: bytes of frames queued for other processes.
 pub const SENT_BYTES: &str = "medlarlug_link_sent_bytes_total";
 
-/// Counter: bytes of messages received from other processes.
+/// Counter: bytes of frames received from other processes.
 pub const RECEIVED_BYTES: &str = "medlarlug_link_received_bytes_total";
--- a/src/transport/signals.rs
+++ b/src/transport/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that stop a process.
+//! Shutdown of a process by signals.
 
 use tokio::{
     signal::unix::{SignalKind, signal},
@@ -6,14 +6,14 @@
     task,
 };
 
-/// Exit status after a second signal, which stops the process at once.
+/// Exit status after a second signal.
 const FORCED_EXIT: i32 = 130;
 
-/// Raises `drain` at the first SIGTERM or SIGINT; the second one stops the process at once.
+/// Sets `drain` to true on the first SIGTERM or SIGINT; the second one exits the process immediately.
 ///
 /// # Errors
 ///
-/// Fails when the signals can't be watched.
+/// Fails when the signal handlers can't be installed.
 pub fn watch(drain: watch::Sender<bool>) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -24,7 +24,7 @@
                 _ = interrupt.recv() => {}
             }
             if drain.send_replace(true) {
-                tracing::warn!("second signal, stopping at once");
+                tracing::warn!("second signal received, exiting immediately");
                 std::process::exit(FORCED_EXIT);
             }
             tracing::info!("signal received, draining");
