--- a/src/coordination/entry/internal.rs
+++ b/src/coordination/entry/internal.rs
@@ -50,12 +50,12 @@
     let limits = ServerLimits { connections: MAX_CONNECTIONS, requests: u32::MAX, ..callers };
     let handler = move |request, _| {
         let entry = entry.clone();
-        async move { answer(entry, request).await }
+        async move { handle_request(entry, request).await }
     };
     http_server::serve(listener, limits, stop, handler).await;
 }
 
-async fn answer(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
+async fn handle_request(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::POST, "/v1/announce") => announce(&entry, request).await,
@@ -74,12 +74,12 @@
     request: Request<Incoming>,
     limit: usize,
 ) -> Result<Bytes, Answer> {
-    let code = request.headers().get(headers::MAC).and_then(|it| it.to_str().ok());
-    let code = code.unwrap_or_default().to_owned();
+    let mac = request.headers().get(headers::MAC).and_then(|it| it.to_str().ok());
+    let mac = mac.unwrap_or_default().to_owned();
     let content = body::read(request.into_body(), limit)
         .await
         .map_err(|error| refuse(413, "body-unreadable", &error.to_string()))?;
-    if !entry.node.keys.verify(&content, &code) {
+    if !entry.node.keys.verify(&content, &mac) {
         return Err(refuse(401, "unauthorized", "the deployment key does not authenticate it"));
     }
     Ok(content)
