--- a/src/settings/cluster.rs
+++ b/src/settings/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster file: zones, instances and replication groups.
+//! The cluster file: availability zones, instances and replication groups.
 //!
 //! ```yaml
 //! zones:
@@ -37,23 +37,23 @@
 /// Most voters of the configuration group.
 pub const MAX_CONFIGURATION_VOTERS: usize = 9;
 
-/// Most voters of a home group.
+/// Most voters of the home group of a region.
 pub const MAX_HOME_VOTERS: usize = 5;
 
-/// What all processes of a deployment know of each other; every list is sorted by id.
+/// The cluster file, which is the same for all processes of a deployment; every list is sorted by id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClusterSettings {
     /// Availability zones and their regions.
     pub zones: Vec<Zone>,
     /// Entry instances and keepers.
     pub instances: Vec<Peer>,
-    /// Voters of the configuration group.
+    /// Voters of the configuration group, all of them durable keepers.
     pub configuration: Vec<InstanceId>,
     /// The home group of each region.
-    pub homes: Vec<Home>,
+    pub homes: Vec<HomeGroupSettings>,
 }
 
-/// An availability zone.
+/// An availability zone and its region.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Zone {
     /// The zone.
@@ -62,48 +62,48 @@
     pub region: RegionId,
 }
 
-/// What a process of the system does.
+/// The kind of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerKind {
-    /// It takes callers' requests.
+    /// Accepts requests of callers.
     Entry,
-    /// It votes in replication groups.
+    /// Votes in replication groups.
     Keeper,
 }
 
-/// A process of the system and its addresses.
+/// A process of the deployment and its addresses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// The instance.
     pub id: InstanceId,
-    /// What it does.
+    /// Whether it is an entry instance or a keeper.
     pub kind: PeerKind,
     /// Availability zone in which it runs.
     pub zone: ZoneId,
-    /// HTTP between processes, and announcements of upstreams.
+    /// Address for HTTP between processes and for announcements of upstreams.
     pub internal: SocketAddr,
-    /// Messages between processes over nng.
+    /// Address for messages between processes over nng.
     pub peers: SocketAddr,
-    /// HTTP for operators.
+    /// Address for HTTP of operators.
     pub operators: SocketAddr,
-    /// HTTP for callers; entry instances only.
+    /// Address for HTTP of callers; entry instances only.
     pub callers: Option<SocketAddr>,
-    /// Whether it has a disk; keepers only.
+    /// Whether it stores its state on a disk; keepers only.
     pub durable: bool,
 }
 
 /// The home group of a region.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Home {
+pub struct HomeGroupSettings {
     /// The region.
     pub region: RegionId,
-    /// Its voters.
+    /// Voters of the group; volatile keepers are permitted.
     pub voters: Vec<InstanceId>,
 }
 
 impl PeerKind {
-    /// The role as the settings write it.
+    /// The kind as it is written in the cluster file.
     pub fn name(self) -> &'static str {
         match self {
             PeerKind::Entry => "entry",
@@ -117,25 +117,25 @@
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be read, or at the first value that is not valid.
+    /// Fails when the file can't be read or a value is not valid; reports the first such value.
     pub fn load(file: &Path) -> Result<ClusterSettings, SettingsError> {
         source::load::<RawCluster, ClusterSettings>(file)
     }
 
-    /// The instance with this id.
+    /// The instance with this id, if the file lists it.
     pub fn peer(&self, id: &InstanceId) -> Option<&Peer> {
         let found = self.instances.binary_search_by(|it| it.id.cmp(id)).ok()?;
         Some(&self.instances[found])
     }
 
-    /// The region to which `zone` belongs.
+    /// The region to which `zone` belongs, if the file lists the zone.
     pub fn region_of(&self, zone: &ZoneId) -> Option<&RegionId> {
         let found = self.zones.binary_search_by(|it| it.id.cmp(zone)).ok()?;
         Some(&self.zones[found].region)
     }
 
-    /// The home group of `region`.
-    pub fn home(&self, region: &RegionId) -> Option<&Home> {
+    /// The home group of `region`, if it has one.
+    pub fn home(&self, region: &RegionId) -> Option<&HomeGroupSettings> {
         let found = self.homes.binary_search_by(|it| it.region.cmp(region)).ok()?;
         Some(&self.homes[found])
     }
@@ -150,7 +150,7 @@
         self.instances.iter().filter(|it| it.kind == PeerKind::Keeper)
     }
 
-    /// The regions, sorted and without repetition.
+    /// The regions of all zones, sorted and without duplicates.
     pub fn regions(&self) -> Vec<&RegionId> {
         let mut regions: Vec<&RegionId> = self.zones.iter().map(|it| &it.region).collect();
         regions.sort();
@@ -220,7 +220,7 @@
         let zone = Zone { id: id("zones.id", &it.id)?, region: id("zones.region", &it.region)? };
         match zones.binary_search_by(|other| other.id.cmp(&zone.id)) {
             Ok(_) => return Err(duplicate("zones.id", &it.id)),
-            Err(place) => zones.insert(place, zone),
+            Err(index) => zones.insert(index, zone),
         }
     }
     Ok(zones)
@@ -233,7 +233,7 @@
         let peer = check_peer(it, zones, &mut used)?;
         match peers.binary_search_by(|other| other.id.cmp(&peer.id)) {
             Ok(_) => return Err(duplicate("instances.id", &it.id)),
-            Err(place) => peers.insert(place, peer),
+            Err(index) => peers.insert(index, peer),
         }
     }
     Ok(peers)
@@ -248,11 +248,11 @@
         id: id("instances.id", &raw.id)?,
         kind: raw.kind,
         zone: known_zone("instances.zone", &raw.zone, zones)?,
-        internal: own_address("instances.internal", &raw.internal, used)?,
-        peers: own_address("instances.peers", &raw.peers, used)?,
-        operators: own_address("instances.operators", &raw.operators, used)?,
+        internal: unique_address("instances.internal", &raw.internal, used)?,
+        peers: unique_address("instances.peers", &raw.peers, used)?,
+        operators: unique_address("instances.operators", &raw.operators, used)?,
         callers: match &raw.callers {
-            Some(text) => Some(own_address("instances.callers", text, used)?),
+            Some(text) => Some(unique_address("instances.callers", text, used)?),
             None => None,
         },
         durable: raw.durable.as_ref().is_some_and(|it| it.value),
@@ -271,8 +271,8 @@
     }
 }
 
-/// Checks an address that no other port of the deployment uses.
-fn own_address(
+/// Parses an address and checks that no other port of the deployment uses it.
+fn unique_address(
     field: &str,
     text: &Text,
     used: &mut Vec<SocketAddr>,
@@ -299,7 +299,7 @@
 fn check_voters(
     field: &str,
     raw: &Lined<Vec<Text>>,
-    most: usize,
+    max_voters: usize,
     instances: &[Peer],
     durable: bool,
 ) -> Result<Vec<InstanceId>, LineFault> {
@@ -317,12 +317,12 @@
         }
         match voters.binary_search(&voter) {
             Ok(_) => return Err(duplicate(field, text)),
-            Err(place) => voters.insert(place, voter),
+            Err(index) => voters.insert(index, voter),
         }
     }
-    if voters.is_empty() || voters.len() > most {
+    if voters.is_empty() || voters.len() > max_voters {
         let text = voters.len().to_smolstr();
-        let valid = smol_str::format_smolstr!("1 to {most} voters");
+        let valid = smol_str::format_smolstr!("1 to {max_voters} voters");
         return Err(fault(
             raw,
             crate::settings::Fault::Invalid { field: field.into(), text, valid },
@@ -335,8 +335,8 @@
     raw: &Lined<Vec<RawHome>>,
     zones: &[Zone],
     instances: &[Peer],
-) -> Result<Vec<Home>, LineFault> {
-    let mut homes: Vec<Home> = Vec::with_capacity(raw.value.len());
+) -> Result<Vec<HomeGroupSettings>, LineFault> {
+    let mut homes: Vec<HomeGroupSettings> = Vec::with_capacity(raw.value.len());
     for it in &raw.value {
         let region: RegionId = id("homes.region", &it.region)?;
         if !zones.iter().any(|zone| zone.region == region) {
@@ -348,7 +348,7 @@
         let voters = check_voters("homes.voters", &it.voters, MAX_HOME_VOTERS, instances, false)?;
         match homes.binary_search_by(|home| home.region.cmp(&region)) {
             Ok(_) => return Err(duplicate("homes.region", &it.region)),
-            Err(place) => homes.insert(place, Home { region, voters }),
+            Err(index) => homes.insert(index, HomeGroupSettings { region, voters }),
         }
     }
     Ok(homes)
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,19 +1,19 @@
-//! Why settings are refused.
+//! Errors of settings files.
 
 use std::{io, path::PathBuf};
 
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// A fault in a settings file and its place.
+/// A fault in a settings file with its location.
 #[derive(Debug, Error)]
 #[error("{}:{line}: {fault}", .file.display())]
 pub struct SettingsError {
     /// The file.
     pub file: PathBuf,
-    /// Line of the fault, from 1; 0 when the file could not be read at all.
+    /// Line of the fault, counted from 1; 0 when the file could not be read.
     pub line: u64,
-    /// The fault.
+    /// What is wrong on that line.
     pub fault: Fault,
 }
 
@@ -25,10 +25,10 @@
     Read(#[source] io::Error),
     /// The YAML is malformed, or a field is unknown, missing or of another type.
     #[error("{field}: {detail}")]
-    Shape {
-        /// The field that stands on the line.
+    Malformed {
+        /// The field on that line, or `settings` if the line has none.
         field: SmolStr,
-        /// What the YAML reader found and expected.
+        /// Message of the YAML parser.
         detail: SmolStr,
     },
     /// A value is outside its permitted range.
@@ -36,12 +36,12 @@
     Invalid {
         /// The field.
         field: SmolStr,
-        /// The refused value.
+        /// The rejected value.
         text: SmolStr,
-        /// What would be valid.
+        /// Description of the valid values; completes `give ...`.
         valid: SmolStr,
     },
-    /// An id or address stands twice where it must be unique.
+    /// An id or address that must be unique occurs more than once.
     #[error("{field}: `{text}` is used more than once; give each its own")]
     Duplicate {
         /// The field.
@@ -49,30 +49,30 @@
         /// The repeated value.
         text: SmolStr,
     },
-    /// An id refers to nothing in the settings.
+    /// An id refers to nothing that the settings define.
     #[error("{field}: `{text}` is unknown; valid are {known}")]
     Unknown {
         /// The field.
         field: SmolStr,
-        /// The refused id.
+        /// The rejected id.
         text: SmolStr,
         /// The ids that exist, separated by commas.
         known: SmolStr,
     },
 }
 
-/// A fault and its line, before the file is known.
+/// A fault with its line; the file is added by [`LineFault::in_file`].
 #[derive(Debug, Error)]
 #[error("line {line}: {fault}")]
 pub struct LineFault {
-    /// Line of the fault, from 1.
+    /// Line of the fault, counted from 1.
     pub line: u64,
-    /// The fault.
+    /// What is wrong on that line.
     pub fault: Fault,
 }
 
 impl LineFault {
-    /// Adds the file.
+    /// Adds the path of the file.
     pub fn in_file(self, file: PathBuf) -> SettingsError {
         SettingsError { file, line: self.line, fault: self.fault }
     }
--- a/src/settings/key.rs
+++ b/src/settings/key.rs
@@ -1,6 +1,6 @@
-//! The files of the deployment key.
+//! Files with deployment keys.
 //!
-//! A key file holds any text of [`MIN_KEY_CHARS`] characters or more.
+//! A key file contains any text of at least [`MIN_KEY_CHARS`] characters.
 
 use std::{fs, path::Path};
 
@@ -11,10 +11,10 @@
 
 pub use crate::protocol::{DeploymentKeys, deployment_key::MAX_KEYS, headers::MAC as MAC_HEADER};
 
-/// Fewest characters of a key file, without white space around.
+/// Fewest characters of a key file, not counting leading and trailing white space.
 pub const MIN_KEY_CHARS: usize = 16;
 
-/// Reads one key file.
+/// Reads a key file and derives the key; errors never show the text of the file.
 pub(super) fn load(file: &Path) -> Result<DeploymentKey, SettingsError> {
     let error = |line, fault| SettingsError { file: file.to_owned(), line, fault };
     let text = fs::read_to_string(file).map_err(|cause| error(0, Fault::Read(cause)))?;
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on what a caller can send.
+//! Limits on requests and connections of callers.
 
 use std::time::Duration;
 
@@ -13,20 +13,21 @@
 const KIB: u64 = 1024;
 const MIB: u64 = 1024 * KIB;
 
-/// Bounds on what a caller can send.
+/// Limits on requests and connections of callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest request head; a larger one gets status 431.
+    /// Largest request head; a larger one is refused with status 431.
     pub header: ByteSize,
-    /// Largest request body; a larger one gets status 413.
+    /// Largest request body; a larger one is refused with status 413.
     pub body: ByteSize,
     /// Most open connections of callers; further ones are closed at once.
     pub connections: u32,
-    /// Requests that one connection may carry before it is closed.
+    /// Requests after which a connection is closed.
     pub requests: u32,
-    /// Longest time in which a request's head and body arrive; then status 408.
+    /// Longest time until the head and the body of a request have arrived; then the request is
+    /// refused with status 408.
     pub receive_timeout: Duration,
-    /// Longest `Idempotency-Key`, in bytes; a longer one gets status 400.
+    /// Longest `Idempotency-Key`; a longer one is refused with status 400.
     pub idempotency_key_bytes: usize,
 }
 
@@ -43,7 +44,7 @@
     }
 }
 
-/// [`Limits`] as written; what is left out has its default.
+/// [`Limits`] as written in the settings file; absent fields have their default.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct RawLimits {
@@ -59,20 +60,32 @@
     type Error = LineFault;
 
     fn try_from(raw: RawLimits) -> Result<Limits, LineFault> {
-        let base = Limits::default();
-        let pick = |field, value: Option<Lined<u64>>, default: u64, min, max| {
+        let defaults = Limits::default();
+        let checked = |field, value: Option<Lined<u64>>, default: u64, min, max| {
             value.map_or(Ok(default), |value| bounded(field, &value, min, max))
         };
-        let receive_seconds =
-            pick("sender_seconds", raw.sender_seconds, base.receive_timeout.as_secs(), 1, 600)?;
+        let receive_seconds = checked(
+            "sender_seconds",
+            raw.sender_seconds,
+            defaults.receive_timeout.as_secs(),
+            1,
+            600,
+        )?;
         let connections =
-            pick("connections", raw.connections, base.connections.into(), 1, 1_000_000)?;
-        let requests = pick("requests", raw.requests, base.requests.into(), 1, 1_000_000_000)?;
+            checked("connections", raw.connections, defaults.connections.into(), 1, 1_000_000)?;
+        let requests =
+            checked("requests", raw.requests, defaults.requests.into(), 1, 1_000_000_000)?;
         let idempotency_key_bytes =
-            pick("key_bytes", raw.key_bytes, base.idempotency_key_bytes as u64, 1, 4 * KIB)?;
+            checked("key_bytes", raw.key_bytes, defaults.idempotency_key_bytes as u64, 1, 4 * KIB)?;
         Ok(Limits {
-            header: ByteSize(pick("header_bytes", raw.header_bytes, base.header.0, KIB * 8, MIB)?),
-            body: ByteSize(pick("body_bytes", raw.body_bytes, base.body.0, KIB, 256 * MIB)?),
+            header: ByteSize(checked(
+                "header_bytes",
+                raw.header_bytes,
+                defaults.header.0,
+                KIB * 8,
+                MIB,
+            )?),
+            body: ByteSize(checked("body_bytes", raw.body_bytes, defaults.body.0, KIB, 256 * MIB)?),
             connections: connections as u32,
             requests: requests as u32,
             receive_timeout: Duration::from_secs(receive_seconds),
--- a/src/settings/process.rs
+++ b/src/settings/process.rs
@@ -1,9 +1,9 @@
-//! Settings of one entry instance or one keeper.
+//! Settings of an entry instance or a keeper.
 //!
 //! ```yaml
 //! instance: entry-1
 //! cluster: cluster.yaml          # relative to this file
-//! key: [deployment.key]          # the first signs, both verify
+//! key: [deployment.key]          # the first key signs, all keys verify
 //! operators:
 //!   - { id: anna, key: 00112233445566778899aabbccddeeff }
 //! limits: { body_bytes: 1048576 }
@@ -30,15 +30,15 @@
         error::{Fault, LineFault, SettingsError},
         key::{self, DeploymentKeys, MAX_KEYS},
         limits::{Limits, RawLimits},
-        source::{self, Lined, Text, beside, bounded, duplicate, id, invalid, unknown},
+        source::{self, Lined, Text, bounded, duplicate, id, invalid, resolve_beside, unknown},
     },
     telemetry::logs::LogLevel,
 };
 
-/// Time for requests to end during a graceful shutdown, unless the settings give another.
-pub const DRAIN: Duration = Duration::from_secs(30);
+/// Default of `drain_seconds`.
+pub const DEFAULT_DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest such time.
+/// Largest permitted value of `drain_seconds`.
 pub const MAX_DRAIN_SECONDS: u64 = 3_600;
 
 /// Settings of an entry instance.
@@ -52,13 +52,13 @@
     pub keys: DeploymentKeys,
     /// Who may use the operators' port, sorted by id.
     pub operators: Vec<Operator>,
-    /// Bounds on what a caller can send.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
-    /// Time for requests to end during a graceful shutdown.
+    /// Longest time that requests in flight have to finish during a graceful shutdown.
     pub drain_timeout: Duration,
     /// Level of the logs at the start.
     pub log: LogLevel,
-    /// Folder for its own files, if it has one.
+    /// Data folder; `None` if the instance has no disk.
     pub data: Option<PathBuf>,
 }
 
@@ -73,17 +73,17 @@
     pub keys: DeploymentKeys,
     /// Who may use the operators' port, sorted by id.
     pub operators: Vec<Operator>,
-    /// Time for messages to end during a graceful shutdown.
+    /// Longest time that pending messages have during a graceful shutdown.
     pub drain_timeout: Duration,
     /// Level of the logs at the start.
     pub log: LogLevel,
-    /// Folder of the durable state; `None` for a volatile voter.
+    /// Data folder with the durable state; `None` for a volatile voter.
     pub data: Option<PathBuf>,
-    /// Whether its groups may be formed when every voter comes with new storage.
+    /// Whether a group may be formed when all its voters start with new storage.
     pub may_form: bool,
 }
 
-/// An operator and the fingerprint of the bearer key.
+/// An operator who may use the operators' port.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Operator {
     /// The operator.
@@ -93,12 +93,12 @@
 }
 
 impl EntrySettings {
-    /// Reads and checks the settings of an entry instance, and the files that they point to.
+    /// Reads and checks the settings of an entry instance and the files that they refer to.
     ///
     /// # Errors
     ///
-    /// Fails when a file can't be read, at the first value that is not valid, or when the
-    /// cluster file has no such entry instance.
+    /// Fails when a file can't be read, when a value is not valid, or when the cluster file has no
+    /// such entry instance.
     pub fn load(file: &Path) -> Result<EntrySettings, SettingsError> {
         let mut raw: RawProcess = source::read(file)?;
         if let Some(may_form) = &raw.may_form {
@@ -107,7 +107,7 @@
         }
         let limits = raw.limits.take().map_or_else(RawLimits::default, |it| it.value);
         let limits = Limits::try_from(limits).map_err(|it| it.in_file(file.to_owned()))?;
-        let common = Common::load(file, raw, PeerKind::Entry)?;
+        let common = CommonSettings::load(file, raw, PeerKind::Entry)?;
         Ok(EntrySettings {
             instance: common.instance,
             cluster: common.cluster,
@@ -120,7 +120,7 @@
         })
     }
 
-    /// This instance in the cluster file.
+    /// The entry of this instance in the cluster file.
     pub fn peer(&self) -> &Peer {
         self.cluster.peer(&self.instance).expect("the settings were checked")
     }
@@ -132,12 +132,12 @@
 }
 
 impl KeeperSettings {
-    /// Reads and checks the settings of a keeper, and the files that they point to.
+    /// Reads and checks the settings of a keeper and the files that they refer to.
     ///
     /// # Errors
     ///
-    /// Fails when a file can't be read, at the first value that is not valid, when the cluster
-    /// file has no such keeper, or when `data` and the cluster file's `durable` disagree.
+    /// Fails when a file can't be read, when a value is not valid, when the cluster file has no such
+    /// keeper, or when `data` contradicts `durable` in the cluster file.
     pub fn load(file: &Path) -> Result<KeeperSettings, SettingsError> {
         let raw: RawProcess = source::read(file)?;
         if let Some(limits) = &raw.limits {
@@ -149,8 +149,8 @@
             return Err(source::fault(limits, fault).in_file(file.to_owned()));
         }
         let may_form = raw.may_form.as_ref().is_none_or(|it| it.value);
-        let place = raw.data.clone().unwrap_or_else(|| raw.instance.clone());
-        let common = Common::load(file, raw, PeerKind::Keeper)?;
+        let location = raw.data.clone().unwrap_or_else(|| raw.instance.clone());
+        let common = CommonSettings::load(file, raw, PeerKind::Keeper)?;
         let durable = common.cluster.peer(&common.instance).is_some_and(|it| it.durable);
         if durable != common.data.is_some() {
             let valid = if durable {
@@ -158,7 +158,7 @@
             } else {
                 "no folder, or call this keeper durable in the cluster file"
             };
-            return Err(invalid("data", &place, valid).in_file(file.to_owned()));
+            return Err(invalid("data", &location, valid).in_file(file.to_owned()));
         }
         Ok(KeeperSettings {
             instance: common.instance,
@@ -172,7 +172,7 @@
         })
     }
 
-    /// This instance in the cluster file.
+    /// The entry of this instance in the cluster file.
     pub fn peer(&self) -> &Peer {
         self.cluster.peer(&self.instance).expect("the settings were checked")
     }
@@ -209,8 +209,8 @@
     key: Text,
 }
 
-/// What entry instances and keepers have in common.
-struct Common {
+/// Settings that entry instances and keepers share.
+struct CommonSettings {
     instance: InstanceId,
     cluster: ClusterSettings,
     keys: DeploymentKeys,
@@ -220,19 +220,19 @@
     data: Option<PathBuf>,
 }
 
-impl Common {
-    fn load(file: &Path, raw: RawProcess, kind: PeerKind) -> Result<Common, SettingsError> {
-        let cluster = ClusterSettings::load(&beside(file, &raw.cluster.value))?;
+impl CommonSettings {
+    fn load(file: &Path, raw: RawProcess, kind: PeerKind) -> Result<CommonSettings, SettingsError> {
+        let cluster = ClusterSettings::load(&resolve_beside(file, &raw.cluster.value))?;
         let keys = load_keys(file, &raw.key)?;
         let in_file = |fault: LineFault| fault.in_file(file.to_owned());
-        Ok(Common {
+        Ok(CommonSettings {
             instance: own_instance(&raw.instance, &cluster, kind).map_err(in_file)?,
             cluster,
             keys,
             operators: check_operators(&raw.operators).map_err(in_file)?,
             drain_timeout: check_drain_timeout(raw.drain_seconds.as_ref()).map_err(in_file)?,
-            log: check_log(raw.log.as_ref()).map_err(in_file)?,
-            data: raw.data.map(|it| beside(file, &it.value)),
+            log: check_log_level(raw.log.as_ref()).map_err(in_file)?,
+            data: raw.data.map(|it| resolve_beside(file, &it.value)),
         })
     }
 }
@@ -251,13 +251,13 @@
     Err(unknown("instance", text, &known))
 }
 
-/// Reads the key files.
+/// Reads the key files listed in `raw`, relative to `file`.
 pub(super) fn load_keys(
     file: &Path,
     raw: &Lined<Vec<Text>>,
 ) -> Result<DeploymentKeys, SettingsError> {
     let keys: Result<Vec<_>, _> =
-        raw.value.iter().map(|it| key::load(&beside(file, &it.value))).collect();
+        raw.value.iter().map(|it| key::load(&resolve_beside(file, &it.value))).collect();
     DeploymentKeys::new(keys?).ok_or_else(|| {
         let fault = Fault::Invalid {
             field: "key".into(),
@@ -272,13 +272,13 @@
     let mut operators: Vec<Operator> = Vec::with_capacity(raw.len());
     for it in raw {
         let valid = "32 hexadecimal digits as `medlarlug key hash` prints them";
-        let is_whole = it.key.value.len() == 32;
-        let key = it.key.value.parse().ok().filter(|_| is_whole);
+        let has_full_length = it.key.value.len() == 32;
+        let key = it.key.value.parse().ok().filter(|_| has_full_length);
         let key = key.ok_or_else(|| invalid("operators.key", &it.key, valid))?;
         let operator = Operator { id: id("operators.id", &it.id)?, key };
         match operators.binary_search_by(|other| other.id.cmp(&operator.id)) {
             Ok(_) => return Err(duplicate("operators.id", &it.id)),
-            Err(place) => operators.insert(place, operator),
+            Err(index) => operators.insert(index, operator),
         }
     }
     Ok(operators)
@@ -286,13 +286,13 @@
 
 fn check_drain_timeout(raw: Option<&Lined<u64>>) -> Result<Duration, LineFault> {
     let Some(seconds) = raw else {
-        return Ok(DRAIN);
+        return Ok(DEFAULT_DRAIN_TIMEOUT);
     };
     let seconds = bounded("drain_seconds", seconds, 1, MAX_DRAIN_SECONDS)?;
     Ok(Duration::from_secs(seconds))
 }
 
-fn check_log(raw: Option<&Text>) -> Result<LogLevel, LineFault> {
+fn check_log_level(raw: Option<&Text>) -> Result<LogLevel, LineFault> {
     let Some(text) = raw else {
         return Ok(LogLevel::Info);
     };
--- a/src/settings/source.rs
+++ b/src/settings/source.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file and checking single values.
+//! Parses settings files and checks single values.
 
 use std::{
     fmt::Display,
@@ -15,13 +15,13 @@
 
 use crate::settings::error::{Fault, LineFault, SettingsError};
 
-/// A value and its line in the file.
+/// A value with its line in the file.
 pub(super) type Lined<T> = Spanned<T>;
 
-/// A text and its line in the file.
+/// A text with its line in the file.
 pub(super) type Text = Spanned<SmolStr>;
 
-/// Reads `file` into the raw struct `R` and checks it into `T`.
+/// Parses `file` as the raw struct `R` and converts it to the checked type `T`.
 pub(super) fn load<R, T>(file: &Path) -> Result<T, SettingsError>
 where
     R: DeserializeOwned,
@@ -31,24 +31,24 @@
     T::try_from(raw).map_err(|fault| fault.in_file(file.to_owned()))
 }
 
-/// Reads `file` into the raw struct `R`.
+/// Parses `file` as the raw struct `R`.
 pub(super) fn read<R: DeserializeOwned>(file: &Path) -> Result<R, SettingsError> {
     let text = fs::read_to_string(file).map_err(|error| SettingsError {
         file: file.to_owned(),
         line: 0,
         fault: Fault::Read(error),
     })?;
-    serde_saphyr::from_str(&text).map_err(|error| shape(&error, &text).in_file(file.to_owned()))
+    serde_saphyr::from_str(&text).map_err(|error| malformed(&error, &text).in_file(file.to_owned()))
 }
 
-fn shape(error: &serde_saphyr::Error, text: &str) -> LineFault {
+fn malformed(error: &serde_saphyr::Error, text: &str) -> LineFault {
     let error = error.without_snippet();
-    let line = error.location().map_or(1, |place| place.line());
+    let line = error.location().map_or(1, |location| location.line());
     let field = field_at(text, line);
-    LineFault { line, fault: Fault::Shape { field, detail: error.to_smolstr() } }
+    LineFault { line, fault: Fault::Malformed { field, detail: error.to_smolstr() } }
 }
 
-/// The key that stands on `line` of `text`.
+/// The YAML key on `line` of `text`; `settings` if there is none.
 fn field_at(text: &str, line: u64) -> SmolStr {
     let index = usize::try_from(line.saturating_sub(1)).unwrap_or(usize::MAX);
     let content = text.lines().nth(index).unwrap_or_default();
@@ -62,30 +62,30 @@
     LineFault { line: value.referenced.line(), fault }
 }
 
-/// Refuses `value`, telling what would be valid.
+/// The fault that `value` is not valid; `valid` describes the valid values.
 pub(super) fn invalid<T: Display>(field: &str, value: &Lined<T>, valid: &str) -> LineFault {
     let text = value.value.to_smolstr();
     fault(value, Fault::Invalid { field: field.into(), text, valid: valid.into() })
 }
 
-/// Refuses the second use of `value`.
+/// The fault that `value` is used more than once.
 pub(super) fn duplicate<T: Display>(field: &str, value: &Lined<T>) -> LineFault {
     fault(value, Fault::Duplicate { field: field.into(), text: value.value.to_smolstr() })
 }
 
-/// Refuses a reference to something that is not among `known`.
+/// The fault that `value` is not among the ids in `known`.
 pub(super) fn unknown(field: &str, value: &Text, known: &[SmolStr]) -> LineFault {
     let known = if known.is_empty() { "none".into() } else { known.join(", ").into() };
     fault(value, Fault::Unknown { field: field.into(), text: value.value.clone(), known })
 }
 
-/// Checks an id.
+/// Parses an id.
 pub(super) fn id<T: FromStr>(field: &str, text: &Text) -> Result<T, LineFault> {
     let valid = "1 to 63 characters out of a-z, 0-9, `-` and `_`, beginning with a letter or digit";
     text.value.parse().map_err(|_| invalid(field, text, valid))
 }
 
-/// Checks an address that others can dial.
+/// Parses an address to which other processes can connect.
 pub(super) fn address(field: &str, text: &Text) -> Result<SocketAddr, LineFault> {
     let valid = "IP:PORT with an address that others can reach and a port from 1 to 65535";
     let error = || invalid(field, text, valid);
@@ -109,13 +109,13 @@
     Err(invalid(field, value, &format_smolstr!("a whole number from {min} to {max}")))
 }
 
-/// Checks a rate a second.
+/// Checks a rate per second.
 pub(super) fn rate(field: &str, value: &Lined<f64>) -> Result<Rate, LineFault> {
-    let valid = "a number above zero, in events a second";
+    let valid = "a number above zero, in events per second";
     Rate::try_from(value.value).map_err(|_| invalid(field, value, valid))
 }
 
-/// Resolves `path` against the folder that holds `file`.
-pub(super) fn beside(file: &Path, path: &str) -> PathBuf {
+/// Resolves `path` relative to the folder that contains `file`.
+pub(super) fn resolve_beside(file: &Path, path: &str) -> PathBuf {
     file.parent().unwrap_or(Path::new("")).join(path)
 }
--- a/src/settings/standin.rs
+++ b/src/settings/standin.rs
@@ -1,4 +1,4 @@
-//! Settings of emulated upstreams; one process runs all that its file lists.
+//! Settings of emulated upstreams; one process runs all upstreams that its file lists.
 //!
 //! ```yaml
 //! key: [deployment.key]
@@ -12,9 +12,9 @@
 //!       engine:
 //!         models: [{ model: medlar, version: v1 }]
 //!     slots: 8
-//!     speed: 200             # tokens a second of one stream that runs alone
-//!     prefill: 20000         # prompt tokens a second
-//!     cache: 100000          # tokens of prompt prefixes
+//!     speed: 200             # generated tokens per second of a single stream
+//!     prefill: 20000         # prompt tokens per second
+//!     cache: 100000          # size of the prefix cache, in tokens
 //!     fencing: true
 //!     lag_ms: 300            # age of load reports
 //! ```
@@ -36,12 +36,12 @@
     source::{self, Lined, Text, address, bounded, duplicate, id, invalid, rate},
 };
 
-/// Most upstreams that one item of the list can stand for.
+/// Largest permitted value of `count`.
 pub const MAX_COUNT: u64 = 1_000;
 
 const MAX_SLOTS: u64 = 4_096;
 const MAX_CACHE_TOKENS: u64 = 1 << 40;
-const MAX_LAG_MS: u64 = 60_000;
+const MAX_DELAY_MS: u64 = 60_000;
 
 /// Settings of a stand-in process.
 #[derive(Debug, Clone)]
@@ -57,32 +57,32 @@
 pub struct UpstreamSettings {
     /// The upstream.
     pub id: UpstreamId,
-    /// Availability zone in which it says that it runs.
+    /// Availability zone that it announces.
     pub zone: ZoneId,
-    /// Address at which it takes requests and orders.
+    /// Address at which it accepts requests and orders.
     pub address: SocketAddr,
-    /// Address at which it takes faults and tells what ran.
+    /// Address of the control port, which injects faults and reports what ran.
     pub control: SocketAddr,
-    /// Internal addresses of the entry instances that it announces itself to.
-    pub entries: Vec<SocketAddr>,
+    /// Internal addresses of the entry instances to which it sends announcements.
+    pub announce_to: Vec<SocketAddr>,
     /// What it serves.
     pub kind: UpstreamKind,
-    /// Requests that it runs at once.
+    /// Requests that it runs at the same time.
     pub slots: Slots,
-    /// Tokens a second of one stream that runs alone.
-    pub speed: Rate,
-    /// Prompt tokens a second.
-    pub prefill: Rate,
+    /// Generated tokens per second of a stream that runs alone.
+    pub decode_rate: Rate,
+    /// Prompt tokens per second.
+    pub prefill_rate: Rate,
     /// Size of the prefix cache.
     pub cache: Tokens,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with an outdated fencing token.
     pub fencing: bool,
-    /// Age of its load reports.
-    pub lag: Duration,
+    /// Age of the load reports that it sends.
+    pub report_lag: Duration,
     /// Whether a prompt that holds [`CRASH_MARKER`](crate::standin::CRASH_MARKER) crashes it.
-    pub crashes: bool,
+    pub has_crash_marker: bool,
     /// Time that a call to a plain service takes.
-    pub work: Duration,
+    pub service_time: Duration,
 }
 
 impl StandinSettings {
@@ -90,11 +90,12 @@
     ///
     /// # Errors
     ///
-    /// Fails when a file can't be read or at the first value that is not valid.
+    /// Fails when a file can't be read or a value is not valid; reports the first such value.
     pub fn load(file: &Path) -> Result<StandinSettings, SettingsError> {
         let raw: RawStandin = source::read(file)?;
         let keys = load_keys(file, &raw.key)?;
-        let upstreams = check_all(&raw.upstreams).map_err(|it| it.in_file(file.to_owned()))?;
+        let upstreams =
+            check_upstreams(&raw.upstreams).map_err(|it| it.in_file(file.to_owned()))?;
         Ok(StandinSettings { keys, upstreams })
     }
 }
@@ -125,34 +126,35 @@
     #[serde(default)]
     crash_marker: bool,
     work_ms: Option<Lined<u64>>,
-    /// Stands for that many upstreams: their ids get `-0`, `-1`, ..., their ports rise by one.
+    /// Expands the entry to this many upstreams; the ids get the suffixes `-0`, `-1`, ..., and the
+    /// ports count up.
     count: Option<Lined<u64>>,
 }
 
-const SPEED: f64 = 50.0;
-const PREFILL: f64 = 20_000.0;
-const CACHE: Tokens = Tokens(100_000);
-const LAG_MS: u64 = 300;
-const WORK_MS: u64 = 20;
+const DEFAULT_DECODE_TOKENS_PER_S: f64 = 50.0;
+const DEFAULT_PREFILL_TOKENS_PER_S: f64 = 20_000.0;
+const DEFAULT_CACHE: Tokens = Tokens(100_000);
+const DEFAULT_LAG_MS: u64 = 300;
+const DEFAULT_WORK_MS: u64 = 20;
 
-fn check_all(raw: &[RawUpstream]) -> Result<Vec<UpstreamSettings>, LineFault> {
+fn check_upstreams(raw: &[RawUpstream]) -> Result<Vec<UpstreamSettings>, LineFault> {
     let mut upstreams: Vec<UpstreamSettings> = Vec::new();
     let mut used: Vec<SocketAddr> = Vec::new();
     for it in raw {
-        for upstream in expand(it, &check_one(it)?)? {
-            claim("upstreams.address", upstream.address, &it.address, &mut used)?;
-            claim("upstreams.control", upstream.control, &it.control, &mut used)?;
+        for upstream in expand(it, &check_upstream(it)?)? {
+            reserve_address("upstreams.address", upstream.address, &it.address, &mut used)?;
+            reserve_address("upstreams.control", upstream.control, &it.control, &mut used)?;
             match upstreams.binary_search_by(|other| other.id.cmp(&upstream.id)) {
                 Ok(_) => return Err(duplicate("upstreams.id", &it.id)),
-                Err(place) => upstreams.insert(place, upstream),
+                Err(index) => upstreams.insert(index, upstream),
             }
         }
     }
     Ok(upstreams)
 }
 
-/// Notes that `address`, which stems from `text`, is used.
-fn claim(
+/// Adds `address` to the `used` ones, which stay sorted; fails if it is among them already.
+fn reserve_address(
     field: &str,
     address: SocketAddr,
     text: &Text,
@@ -160,19 +162,19 @@
 ) -> Result<(), LineFault> {
     match used.binary_search(&address) {
         Ok(_) => Err(duplicate(field, &Text { value: address.to_smolstr(), ..text.clone() })),
-        Err(place) => {
-            used.insert(place, address);
+        Err(index) => {
+            used.insert(index, address);
             Ok(())
         }
     }
 }
 
-fn check_one(raw: &RawUpstream) -> Result<UpstreamSettings, LineFault> {
-    let entries: Result<Vec<SocketAddr>, LineFault> =
+fn check_upstream(raw: &RawUpstream) -> Result<UpstreamSettings, LineFault> {
+    let announce_to: Result<Vec<SocketAddr>, LineFault> =
         raw.announce_to.iter().map(|it| address("upstreams.announce_to", it)).collect();
-    let speed = raw.speed.as_ref().map(|it| rate("upstreams.speed", it)).transpose()?;
-    let prefill = raw.prefill.as_ref().map(|it| rate("upstreams.prefill", it)).transpose()?;
-    let pick = |field, value: &Option<Lined<u64>>, default, max| {
+    let decode_rate = raw.speed.as_ref().map(|it| rate("upstreams.speed", it)).transpose()?;
+    let prefill_rate = raw.prefill.as_ref().map(|it| rate("upstreams.prefill", it)).transpose()?;
+    let checked = |field, value: &Option<Lined<u64>>, default, max| {
         value.as_ref().map_or(Ok(default), |it| bounded(field, it, 0, max))
     };
     Ok(UpstreamSettings {
@@ -180,24 +182,34 @@
         zone: id("upstreams.zone", &raw.zone)?,
         address: address("upstreams.address", &raw.address)?,
         control: address("upstreams.control", &raw.control)?,
-        entries: entries?,
-        kind: sorted(raw.kind.clone()),
+        announce_to: announce_to?,
+        kind: with_sorted_models(raw.kind.clone()),
         slots: Slots(bounded("upstreams.slots", &raw.slots, 1, MAX_SLOTS)? as u32),
-        speed: speed.unwrap_or(fixed_rate(SPEED)),
-        prefill: prefill.unwrap_or(fixed_rate(PREFILL)),
-        cache: Tokens(pick("upstreams.cache", &raw.cache, CACHE.0, MAX_CACHE_TOKENS)?),
+        decode_rate: decode_rate.unwrap_or(constant_rate(DEFAULT_DECODE_TOKENS_PER_S)),
+        prefill_rate: prefill_rate.unwrap_or(constant_rate(DEFAULT_PREFILL_TOKENS_PER_S)),
+        cache: Tokens(checked("upstreams.cache", &raw.cache, DEFAULT_CACHE.0, MAX_CACHE_TOKENS)?),
         fencing: raw.fencing,
-        lag: Duration::from_millis(pick("upstreams.lag_ms", &raw.lag_ms, LAG_MS, MAX_LAG_MS)?),
-        crashes: raw.crash_marker,
-        work: Duration::from_millis(pick("upstreams.work_ms", &raw.work_ms, WORK_MS, MAX_LAG_MS)?),
+        report_lag: Duration::from_millis(checked(
+            "upstreams.lag_ms",
+            &raw.lag_ms,
+            DEFAULT_LAG_MS,
+            MAX_DELAY_MS,
+        )?),
+        has_crash_marker: raw.crash_marker,
+        service_time: Duration::from_millis(checked(
+            "upstreams.work_ms",
+            &raw.work_ms,
+            DEFAULT_WORK_MS,
+            MAX_DELAY_MS,
+        )?),
     })
 }
 
-fn fixed_rate(value: f64) -> Rate {
+fn constant_rate(value: f64) -> Rate {
     Rate::try_from(value).expect("the constant is above zero")
 }
 
-fn sorted(kind: UpstreamKind) -> UpstreamKind {
+fn with_sorted_models(kind: UpstreamKind) -> UpstreamKind {
     let UpstreamKind::Engine { mut models } = kind else {
         return kind;
     };
@@ -206,28 +218,31 @@
     UpstreamKind::Engine { models }
 }
 
-/// The upstreams that one item of the list stands for.
-fn expand(raw: &RawUpstream, one: &UpstreamSettings) -> Result<Vec<UpstreamSettings>, LineFault> {
+/// The upstreams that an entry with `count` defines, or `template` if it has none.
+fn expand(
+    raw: &RawUpstream,
+    template: &UpstreamSettings,
+) -> Result<Vec<UpstreamSettings>, LineFault> {
     let Some(count) = &raw.count else {
-        return Ok(vec![one.clone()]);
+        return Ok(vec![template.clone()]);
     };
     let count = bounded("upstreams.count", count, 1, MAX_COUNT)?;
     (0..count as u16)
         .map(|index| {
-            let name = Text { value: format_smolstr!("{}-{index}", one.id), ..raw.id.clone() };
+            let name = Text { value: format_smolstr!("{}-{index}", template.id), ..raw.id.clone() };
             Ok(UpstreamSettings {
                 id: id("upstreams.id", &name)?,
-                address: shift(one.address, index, &raw.address)?,
-                control: shift(one.control, index, &raw.control)?,
-                ..one.clone()
+                address: offset_port(template.address, index, &raw.address)?,
+                control: offset_port(template.control, index, &raw.control)?,
+                ..template.clone()
             })
         })
         .collect()
 }
 
-fn shift(address: SocketAddr, by: u16, text: &Text) -> Result<SocketAddr, LineFault> {
+fn offset_port(address: SocketAddr, offset: u16, text: &Text) -> Result<SocketAddr, LineFault> {
     let valid: SmolStr = "a port that leaves room for `count` ports above it".into();
-    let port = address.port().checked_add(by);
+    let port = address.port().checked_add(offset);
     let port = port.ok_or_else(|| invalid("upstreams.address", text, &valid))?;
     Ok(SocketAddr::new(address.ip(), port))
 }
--- a/src/standin/announcer.rs
+++ b/src/standin/announcer.rs
@@ -49,7 +49,7 @@
     let mut readings: VecDeque<Reading> = VecDeque::new();
     let mut read_at = Instant::now();
     let mut sequence = 0;
-    let lag = upstream.settings.lag;
+    let lag = upstream.settings.report_lag;
     let offset = Duration::from_nanos((lag.as_nanos() % PERIOD.as_nanos()) as u64);
     loop {
         upstream.thaw().await;
@@ -110,7 +110,7 @@
 
 async fn send_all(upstream: &Upstream, client: &HttpClient, body: &Bytes) {
     let mac = upstream.keys.sign(body);
-    let entries = upstream.settings.entries.iter();
+    let entries = upstream.settings.announce_to.iter();
     let sends = entries.map(|address| send(client, *address, body.clone(), &mac));
     for result in join_all(sends).await {
         if let Err(error) = result {
--- a/src/standin/completions.rs
+++ b/src/standin/completions.rs
@@ -142,7 +142,7 @@
 ) -> Option<Rc<Stream>> {
     let mut prompt = if chat { chat_text(&completion.messages) } else { text(&completion.prompt) };
     upstream.ledger.borrow_mut().begin(id);
-    if upstream.settings.crashes && prompt.contains(CRASH_MARKER) {
+    if upstream.settings.has_crash_marker && prompt.contains(CRASH_MARKER) {
         upstream.crash(None);
         return None;
     }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -72,7 +72,7 @@
 async fn run(upstream: Rc<Upstream>, call: Call) -> Value {
     let count = upstream.ledger.borrow_mut().begin(&call.key);
     upstream.calls.set(upstream.calls.get() + 1);
-    sleep(upstream.settings.work.mul_f64(upstream.slowdown())).await;
+    sleep(upstream.settings.service_time.mul_f64(upstream.slowdown())).await;
     upstream.thaw().await;
     upstream.calls.set(upstream.calls.get().saturating_sub(1));
     let answer = json!({
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -81,7 +81,11 @@
             UpstreamKind::Service { .. } => Vec::new(),
         };
         Rc::new(Upstream {
-            batch: RefCell::new(Batch::new(settings.slots, settings.speed, settings.prefill)),
+            batch: RefCell::new(Batch::new(
+                settings.slots,
+                settings.decode_rate,
+                settings.prefill_rate,
+            )),
             cache: RefCell::new(PrefixCache::new(settings.cache)),
             orders: RefCell::new(OrderBook::new(settings.fencing, models)),
             streams: Streams::default(),
@@ -138,7 +142,8 @@
         self.stop();
         self.streams.clear();
         let settings = &self.settings;
-        *self.batch.borrow_mut() = Batch::new(settings.slots, settings.speed, settings.prefill);
+        *self.batch.borrow_mut() =
+            Batch::new(settings.slots, settings.decode_rate, settings.prefill_rate);
         *self.cache.borrow_mut() = PrefixCache::new(settings.cache);
         self.calls.set(0);
         match restart {
