--- a/src/bin/medlarlug-entry.rs
+++ b/src/bin/medlarlug-entry.rs
@@ -1,4 +1,4 @@
-//! An entry instance: takes callers' requests in.
+//! An entry instance, which accepts and routes requests of callers.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -8,7 +8,7 @@
     settings::EntrySettings,
 };
 
-/// Takes callers' requests in.
+/// Accepts requests of callers and routes them to upstreams.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 struct Options {
--- a/src/bin/medlarlug-keeper.rs
+++ b/src/bin/medlarlug-keeper.rs
@@ -1,4 +1,4 @@
-//! A keeper: replicates the configuration, bookings and request records.
+//! A keeper, which replicates the configuration, bookings and request records.
 
 use std::{path::PathBuf, process::ExitCode};
 
--- a/src/bin/medlarlug-standin.rs
+++ b/src/bin/medlarlug-standin.rs
@@ -1,4 +1,4 @@
-//! Emulated upstreams for tests, the demo and measurements.
+//! Emulated upstreams for tests, demos and measurements.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -19,7 +19,7 @@
     settings: PathBuf,
     /// Validate the settings without starting
     check: bool,
-    /// Level of the logs: error, warn, info, debug or trace
+    /// Log level: error, warn, info, debug or trace
     #[bpaf(argument("LEVEL"), fallback(LogLevel::Info), display_fallback)]
     log: LogLevel,
 }
--- a/src/commands/client.rs
+++ b/src/commands/client.rs
@@ -1,4 +1,4 @@
-//! Client of the operators' port.
+//! Client for the operators' port.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,62 +18,61 @@
     transport::http_client::{CallLimits, HttpClient, Reuse},
 };
 
-/// Largest answer that is read.
-const MAX_ANSWER: usize = 256 << 20;
+const MAX_ANSWER_BYTES: usize = 256 << 20;
 
-/// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Talks to the first of several processes that can be reached.
+/// Sends requests to the first reachable process of a list.
 pub struct OperatorClient {
     addresses: Vec<SocketAddr>,
     authorization: Option<HeaderValue>,
-    limit: Duration,
+    timeout: Duration,
     http: HttpClient,
 }
 
 impl OperatorClient {
-    /// A client of `addresses` that sends the bearer key `key` and waits `limit` for an answer.
+    /// A client for the processes at `addresses`, which are tried in this order. It authenticates with
+    /// the bearer key `key`; `timeout` applies to each answer's head and again to its body.
     ///
     /// # Errors
     ///
-    /// Fails when no address is given, or when the key can't stand in a header.
+    /// Fails when no address is given, or when the key is not a valid header value.
     pub fn new(
         addresses: Vec<SocketAddr>,
         key: Option<&str>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<OperatorClient, CommandError> {
         if addresses.is_empty() {
             return Err(CommandError::NoAddress);
         }
-        let authorization = key.map(bearer).transpose()?;
-        Ok(OperatorClient { addresses, authorization, limit, http: HttpClient::default() })
+        let authorization = key.map(bearer_header).transpose()?;
+        Ok(OperatorClient { addresses, authorization, timeout, http: HttpClient::default() })
     }
 
-    /// Refuses more than one address, for commands that act on one process.
+    /// Checks that only one address was given, for commands that change one process.
     ///
     /// # Errors
     ///
     /// Fails when several addresses were given.
     pub fn require_one(&self) -> Result<(), CommandError> {
-        if self.addresses.len() > 1 { Err(CommandError::ManyAddresses) } else { Ok(()) }
+        if self.addresses.len() > 1 { Err(CommandError::SeveralAddresses) } else { Ok(()) }
     }
 
-    /// Reads the JSON at `path`.
+    /// Sends a GET request to `path` and parses the JSON answer.
     ///
     /// # Errors
     ///
-    /// Fails when no process answers, or when the one that does refuses.
+    /// Fails when no process answers, or when the answering one refuses the request.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CommandError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 
-    /// Sends `body` as JSON and reads the answer. Only bodies whose repetition is harmless may be
-    /// sent, because the next address is tried when an answer is lost.
+    /// Sends `body` as JSON and parses the JSON answer. The request has to be idempotent, because it is
+    /// sent to the next address when an answer is lost.
     ///
     /// # Errors
     ///
-    /// Fails when no process answers, or when the one that does refuses.
+    /// Fails when no process answers, or when the answering one refuses the request.
     pub async fn send<B: Serialize, T: DeserializeOwned>(
         &self,
         method: Method,
@@ -126,22 +125,22 @@
         address: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<T, CommandError> {
-        let limits = CallLimits { connect: CONNECT.min(self.limit), head: self.limit };
+        let limits = CallLimits { connect: CONNECT_TIMEOUT.min(self.timeout), head: self.timeout };
         let called = self.http.call(address, request, Reuse::Never, limits).await;
         let (answer, _connection) = called
             .map_err(|error| CommandError::Unreachable { address, source: Box::new(error) })?;
         let status = answer.status().as_u16();
         let body = self.read(address, answer).await?;
         if (200..300).contains(&status) {
-            return serde_json::from_slice(&body).map_err(|source| CommandError::Answer {
-                address,
-                status,
-                source: Some(source),
+            return serde_json::from_slice(&body).map_err(|source| {
+                CommandError::UnexpectedAnswer { address, status, source: Some(source) }
             });
         }
         match serde_json::from_slice::<Problem>(&body) {
             Ok(problem) => Err(CommandError::Refused { address, problem: Box::new(problem) }),
-            Err(source) => Err(CommandError::Answer { address, status, source: Some(source) }),
+            Err(source) => {
+                Err(CommandError::UnexpectedAnswer { address, status, source: Some(source) })
+            }
         }
     }
 
@@ -150,19 +149,19 @@
         address: SocketAddr,
         answer: Response<Incoming>,
     ) -> Result<Bytes, CommandError> {
-        let body = Limited::new(answer.into_body(), MAX_ANSWER).collect();
-        match timeout(self.limit, body).await {
+        let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect();
+        match timeout(self.timeout, body).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(source)) => Err(CommandError::Unreachable { address, source }),
-            Err(late) => Err(CommandError::Unreachable { address, source: Box::new(late) }),
+            Err(elapsed) => Err(CommandError::Unreachable { address, source: Box::new(elapsed) }),
         }
     }
 }
 
-fn bearer(key: &str) -> Result<HeaderValue, CommandError> {
-    let is_plain = !key.is_empty() && key.chars().all(|c| c.is_ascii_graphic());
-    let value = is_plain.then(|| HeaderValue::try_from(format!("Bearer {key}")).ok()).flatten();
-    let mut value = value.ok_or(CommandError::Key)?;
+fn bearer_header(key: &str) -> Result<HeaderValue, CommandError> {
+    let is_valid = !key.is_empty() && key.chars().all(|c| c.is_ascii_graphic());
+    let value = is_valid.then(|| HeaderValue::try_from(format!("Bearer {key}")).ok()).flatten();
+    let mut value = value.ok_or(CommandError::InvalidKey)?;
     value.set_sensitive(true);
     Ok(value)
 }
--- a/src/commands/context.rs
+++ b/src/commands/context.rs
@@ -1,4 +1,4 @@
-//! What every command gets: a client and the way to print.
+//! Common options of commands, and the client and output format made from them.
 
 use std::{fs, net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -11,29 +11,29 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct Common {
-    /// Operators' address (IP:PORT) of a process; may repeat, the first that answers is used
+    /// Operators' address (IP:PORT) of a process; may be repeated, the first one that answers is used
     #[bpaf(argument("ADDR"), env("MEDLARLUG_AT"), many)]
     pub at: Vec<SocketAddr>,
     /// File with the operator's bearer key
     #[bpaf(argument("FILE"), env("MEDLARLUG_KEY_FILE"), optional)]
     pub key_file: Option<PathBuf>,
-    /// Longest wait for an answer, in seconds
+    /// Timeout for an answer, in seconds
     #[bpaf(argument("SECONDS"), fallback(10), display_fallback)]
     pub timeout: u64,
     /// Print JSON instead of a table
     pub json: bool,
 }
 
-/// A client and the way to print.
+/// Client and output format of a command.
 pub struct Context {
-    /// Talks to a process.
+    /// Client for the processes given by `--at`.
     pub client: OperatorClient,
-    /// Whether JSON is printed instead of a table.
+    /// Whether the output is JSON instead of text.
     pub json: bool,
 }
 
 impl Common {
-    /// Reads the bearer key and prepares the client.
+    /// Reads the bearer key and creates the client.
     ///
     /// # Errors
     ///
@@ -41,18 +41,19 @@
     pub fn context(self) -> Result<Context, CommandError> {
         let key = match self.key_file {
             Some(file) => Some(
-                fs::read_to_string(&file).map_err(|source| CommandError::Read { file, source })?,
+                fs::read_to_string(&file)
+                    .map_err(|source| CommandError::ReadFile { file, source })?,
             ),
             None => None,
         };
-        let limit = Duration::from_secs(self.timeout.max(1));
-        let client = OperatorClient::new(self.at, key.as_deref().map(str::trim), limit)?;
+        let timeout = Duration::from_secs(self.timeout.max(1));
+        let client = OperatorClient::new(self.at, key.as_deref().map(str::trim), timeout)?;
         Ok(Context { client, json: self.json })
     }
 }
 
 impl Context {
-    /// Prints `value` as JSON if that was asked for, else what `table` makes of it.
+    /// Prints `value` as JSON with `--json`, otherwise the text that `table` returns for it.
     pub fn print<T: Serialize>(&self, value: &T, table: impl FnOnce(&T) -> String) {
         if self.json {
             print_json(value);
--- a/src/commands/drain.rs
+++ b/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `medlarlug drain`: lets a process end its requests and stop.
+//! `medlarlug drain`: starts the graceful shutdown of a process.
 
 use bpaf::Bpaf;
 use hyper::Method;
@@ -18,7 +18,7 @@
 }
 
 impl Drain {
-    /// Runs the command.
+    /// Runs the command and prints its result to standard output.
     pub async fn exec(self) -> Result<(), CommandError> {
         let context = self.common.context()?;
         context.client.require_one()?;
--- a/src/commands/dump.rs
+++ b/src/commands/dump.rs
@@ -1,4 +1,4 @@
-//! `medlarlug dump`: the whole state of a process.
+//! `medlarlug dump`: prints the complete state of a process.
 
 use bpaf::Bpaf;
 use serde_json::Value;
@@ -17,7 +17,7 @@
 }
 
 impl Dump {
-    /// Runs the command.
+    /// Runs the command and prints its result to standard output.
     pub async fn exec(self) -> Result<(), CommandError> {
         let context = self.common.context()?;
         let dump: Value = context.client.get("/dump").await?;
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails, and the exit code that tells it to scripts.
+//! Errors of commands and the exit codes that report them to scripts.
 
 use std::{error::Error, io, net::SocketAddr, path::PathBuf, process::ExitCode};
 
@@ -8,83 +8,83 @@
 
 use crate::protocol::Problem;
 
-/// An answer that can't be read, or a failure of the local machine.
+/// An answer could not be read, or a local operation failed.
 pub const UNEXPECTED: u8 = 1;
-/// Unknown flags, missing or malformed arguments.
+/// A flag is unknown, or an argument is missing or malformed.
 pub const BAD_ARGUMENTS: u8 = 2;
 /// No process could be reached.
 pub const UNREACHABLE: u8 = 3;
-/// The process refused.
+/// The process refused the request.
 pub const REFUSED: u8 = 4;
-/// There is no such request or item.
+/// The request or item does not exist.
 pub const NOT_FOUND: u8 = 5;
-/// The release note conflicts with what is in force.
+/// The release note conflicts with the configuration in effect.
 pub const CONFLICT: u8 = 6;
 /// The accepted revision was not confirmed everywhere in time.
 pub const NOT_CONFIRMED: u8 = 7;
 /// A file can't be read or is not valid.
 pub const BAD_INPUT: u8 = 8;
-/// The process could not tell whether the change is in force.
+/// It is unknown whether the change took effect.
 pub const UNKNOWN: u8 = 9;
 
 /// Why a command fails.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The machine gives no event loop.
+    /// The tokio runtime can't be built.
     #[error("the event loop can't be started")]
     Runtime(#[source] io::Error),
-    /// No address was given.
-    #[error("no process to ask; give --at ADDR or set MEDLARLUG_AT")]
+    /// No address of a process was given.
+    #[error("no address of a process; give --at ADDR or set MEDLARLUG_AT")]
     NoAddress,
     /// A command that acts on one process was given several.
     #[error("give one --at ADDR: the command acts on that process alone")]
-    ManyAddresses,
+    SeveralAddresses,
     /// A file can't be read.
     #[error("{} can't be read", .file.display())]
-    Read {
+    ReadFile {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// Standard input can't be read.
     #[error("standard input can't be read")]
-    Input(#[source] io::Error),
+    ReadStdin(#[source] io::Error),
     /// A file is not valid.
     #[error("{}: {detail}", .file.display())]
-    Invalid {
+    InvalidFile {
         /// The file.
         file: PathBuf,
-        /// What is wrong, and where.
+        /// Message of the YAML parser with the location.
         detail: SmolStr,
     },
-    /// The bearer key is empty or holds characters that a header can't carry.
-    #[error("the bearer key is empty or holds white space or control characters")]
-    Key,
+    /// The bearer key is empty or contains characters that a header value can't contain.
+    #[error("the bearer key is empty or contains characters other than visible ASCII")]
+    InvalidKey,
     /// No process answered.
     #[error("no answer from {address}")]
     Unreachable {
         /// The last address that was tried.
         address: SocketAddr,
-        /// Why.
+        /// Why there was no answer.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// The process refused.
+    /// The process refused the request.
     #[error("{address} refused: {} ({})", .problem.title, .problem.kind)]
     Refused {
         /// The process.
         address: SocketAddr,
-        /// Its reason.
+        /// The problem document of the answer.
         problem: Box<Problem>,
     },
-    /// The answer is no such JSON.
+    /// The body of the answer is not the expected JSON.
     #[error("{address} answered status {status} with an unexpected body")]
-    Answer {
+    UnexpectedAnswer {
         /// The process.
         address: SocketAddr,
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16,
-        /// What is wrong with the body.
+        /// Error of the JSON parser.
         source: Option<serde_json::Error>,
     },
     /// The revision was accepted but not confirmed everywhere in time.
@@ -98,12 +98,12 @@
 }
 
 impl CommandError {
-    /// The exit code.
+    /// The exit code that the process returns for this error.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(self.code())
     }
 
-    /// The failure and its causes in one line.
+    /// The error and all its sources in one line.
     pub fn line(&self) -> String {
         let mut line = self.to_string();
         let mut cause = self.source();
@@ -115,24 +115,24 @@
         line.replace('\n', " ")
     }
 
-    /// The number of the exit code.
+    /// The exit code as a number; one of the constants of this module.
     pub fn code(&self) -> u8 {
         match self {
-            CommandError::Runtime(_) | CommandError::Input(_) | CommandError::Answer { .. } => {
-                UNEXPECTED
-            }
-            CommandError::NoAddress | CommandError::ManyAddresses => BAD_ARGUMENTS,
-            CommandError::Read { .. } | CommandError::Invalid { .. } | CommandError::Key => {
-                BAD_INPUT
-            }
+            CommandError::Runtime(_)
+            | CommandError::ReadStdin(_)
+            | CommandError::UnexpectedAnswer { .. } => UNEXPECTED,
+            CommandError::NoAddress | CommandError::SeveralAddresses => BAD_ARGUMENTS,
+            CommandError::ReadFile { .. }
+            | CommandError::InvalidFile { .. }
+            | CommandError::InvalidKey => BAD_INPUT,
             CommandError::Unreachable { .. } => UNREACHABLE,
             CommandError::NotConfirmed { .. } => NOT_CONFIRMED,
-            CommandError::Refused { problem, .. } => problem_code(problem),
+            CommandError::Refused { problem, .. } => code_of_problem(problem),
         }
     }
 }
 
-fn problem_code(problem: &Problem) -> u8 {
+fn code_of_problem(problem: &Problem) -> u8 {
     match (problem.outcome, problem.status) {
         (Outcome::Unknown, _) => UNKNOWN,
         (_, 404 | 410) => NOT_FOUND,
--- a/src/commands/key.rs
+++ b/src/commands/key.rs
@@ -1,4 +1,4 @@
-//! `medlarlug key`: works with bearer keys.
+//! `medlarlug key`: handles bearer keys.
 
 use std::io;
 
@@ -16,12 +16,12 @@
 }
 
 impl Key {
-    /// Runs the command.
+    /// Runs the command and prints its result to standard output.
     pub fn exec(self) -> Result<(), CommandError> {
-        let key = io::read_to_string(io::stdin()).map_err(CommandError::Input)?;
+        let key = io::read_to_string(io::stdin()).map_err(CommandError::ReadStdin)?;
         let key = key.trim();
         if key.is_empty() || !key.chars().all(|c| c.is_ascii_graphic()) {
-            return Err(CommandError::Key);
+            return Err(CommandError::InvalidKey);
         }
         println!("{}", Fingerprint::of(key.as_bytes()));
         Ok(())
--- a/src/commands/log_level.rs
+++ b/src/commands/log_level.rs
@@ -1,4 +1,4 @@
-//! `medlarlug log-level`: changes the level of a process's logs.
+//! `medlarlug log-level`: changes the log level of a process.
 
 use bpaf::Bpaf;
 use hyper::Method;
@@ -24,7 +24,7 @@
 }
 
 impl LogLevelArgs {
-    /// Runs the command.
+    /// Runs the command and prints its result to standard output.
     pub async fn exec(self) -> Result<(), CommandError> {
         let context = self.common.context()?;
         context.client.require_one()?;
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,8 +1,8 @@
 //! The operators' command line: one module for each command.
 //!
-//! A command's module holds its arguments and its `exec`. `exec` gets a [`Context`], which
-//! talks to the operators' port of a process and knows how to print. Failures are
-//! [`CommandError`]s, each with a distinct [exit code](error).
+//! The module of a command defines its arguments and its function `exec`. `exec` creates a
+//! [`Context`] with a client for the operators' port of a process and the output format. Errors are
+//! [`CommandError`]s, each of which has an [exit code](error).
 
 pub mod client;
 mod context;
@@ -29,38 +29,37 @@
      3 process unreachable, 4 refused, 5 not found, 6 conflict, 7 not in force everywhere in time, \
      8 bad input file, 9 outcome unknown";
 
-/// Width of help texts, in characters.
-const HELP_WIDTH: usize = 100;
+const HELP_WIDTH_CHARS: usize = 100;
 
-/// Width that keeps an error in one line.
-const ERROR_WIDTH: usize = 10_000;
+/// Large enough to print an error in one line.
+const ERROR_WIDTH_CHARS: usize = 10_000;
 
-/// Drives and inspects a medlarlug deployment
+/// Operates and inspects a medlarlug deployment
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version, footer(EXIT_CODES))]
 enum Command {
     /// Checks, applies and shows release notes
     #[bpaf(command)]
     Release(#[bpaf(external(release::release))] release::Release),
-    /// Shows what a process knows of itself and of others
+    /// Shows the status of a process and of the peers that it knows
     #[bpaf(command)]
     Status(#[bpaf(external(status::status))] status::Status),
-    /// Tells what became of a request
+    /// Shows the record of a request
     #[bpaf(command)]
     Request(#[bpaf(external(request::request))] request::Request),
     /// Lists the upstreams that an entry instance knows
     #[bpaf(command)]
     Upstreams(#[bpaf(external(upstreams::upstreams))] upstreams::Upstreams),
-    /// Prints the whole state of a process as JSON
+    /// Prints the complete state of a process as JSON
     #[bpaf(command)]
     Dump(#[bpaf(external(dump::dump))] dump::Dump),
-    /// Lets a process end its requests and stop
+    /// Lets a process finish its requests and stop
     #[bpaf(command)]
     Drain(#[bpaf(external(drain::drain))] drain::Drain),
-    /// Changes the level of a process's logs
+    /// Changes the log level of a process
     #[bpaf(command("log-level"))]
     LogLevel(#[bpaf(external(log_level::log_level))] log_level::LogLevelArgs),
-    /// Works with bearer keys
+    /// Handles bearer keys
     #[bpaf(command)]
     Key(#[bpaf(external(key::key))] key::Key),
 }
@@ -80,11 +79,12 @@
     }
 }
 
-/// Parses the process's arguments, runs the command and prints its failure, if it fails.
+/// Parses the arguments of the process and runs the command; prints an error to standard error and
+/// returns its exit code.
 pub fn main() -> ExitCode {
     let command = match command().run_inner(bpaf::Args::current_args()) {
         Ok(command) => command,
-        Err(failure) => return report(&failure),
+        Err(failure) => return print_parse_failure(&failure),
     };
     match run(command) {
         Ok(()) => ExitCode::SUCCESS,
@@ -95,14 +95,14 @@
     }
 }
 
-fn report(failure: &ParseFailure) -> ExitCode {
+fn print_parse_failure(failure: &ParseFailure) -> ExitCode {
     match failure {
         ParseFailure::Stderr(_) => {
-            failure.print_message(ERROR_WIDTH);
+            failure.print_message(ERROR_WIDTH_CHARS);
             ExitCode::from(error::BAD_ARGUMENTS)
         }
         _ => {
-            failure.print_message(HELP_WIDTH);
+            failure.print_message(HELP_WIDTH_CHARS);
             ExitCode::SUCCESS
         }
     }
--- a/src/commands/release.rs
+++ b/src/commands/release.rs
@@ -25,12 +25,12 @@
     protocol::operators::{AcceptedNote, Confirmations, ZoneConfirmation},
 };
 
-const POLL: Duration = Duration::from_millis(200);
+const CONFIRMATION_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Commands on release notes.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Release {
-    /// Tells whether a release note would be accepted, without applying it
+    /// Checks whether a release note would be accepted, without applying it
     #[bpaf(command)]
     Check {
         #[bpaf(external)]
@@ -39,14 +39,14 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Applies a release note; the same note applied again has the same answer
+    /// Applies a release note; applying the same note again gives the same answer
     #[bpaf(command)]
     Apply {
         #[bpaf(external)]
         common: Common,
         /// Wait until the revision is in force in every zone
         wait: bool,
-        /// Longest such wait, in seconds
+        /// Timeout of --wait, in seconds
         #[bpaf(argument("SECONDS"), fallback(30), display_fallback)]
         wait_limit: u64,
         /// The release note (YAML)
@@ -68,7 +68,7 @@
 }
 
 impl Release {
-    /// Runs the command.
+    /// Runs the command and prints its result to standard output.
     pub async fn exec(self) -> Result<(), CommandError> {
         match self {
             Release::Check { common, file } => check(&common.context()?, &file).await,
@@ -82,11 +82,10 @@
     }
 }
 
-/// Reads a release note.
 fn read_note(file: &Path) -> Result<RawNote, CommandError> {
     let text = fs::read_to_string(file)
-        .map_err(|source| CommandError::Read { file: file.to_owned(), source })?;
-    serde_saphyr::from_str(&text).map_err(|error| CommandError::Invalid {
+        .map_err(|source| CommandError::ReadFile { file: file.to_owned(), source })?;
+    serde_saphyr::from_str(&text).map_err(|error| CommandError::InvalidFile {
         file: file.to_owned(),
         detail: error.without_snippet().to_smolstr(),
     })
@@ -94,8 +93,9 @@
 
 async fn check(context: &Context, file: &Path) -> Result<(), CommandError> {
     let note = read_note(file)?;
-    let found: AcceptedNote = context.client.send(Method::POST, "/release/check", &note).await?;
-    context.print(&found, |it| {
+    let acceptable: AcceptedNote =
+        context.client.send(Method::POST, "/release/check", &note).await?;
+    context.print(&acceptable, |it| {
         format!("note {} of {} would become revision {}\n", it.number, it.operator, it.revision)
     });
     Ok(())
@@ -107,19 +107,20 @@
     let line = |it: &AcceptedNote| {
         format!("note {} of {} is revision {}\n", it.number, it.operator, it.revision)
     };
-    let Some(limit) = wait else {
+    let Some(timeout) = wait else {
         context.print(&accepted, line);
         return Ok(());
     };
-    let seen = wait_for(context, accepted.revision, limit).await?;
-    context.print(&json!({"accepted": accepted, "zones": seen.zones}), |_| {
-        let zones: String = seen.zones.iter().map(|it| zone_line(it, accepted.revision)).collect();
+    let confirmations = wait_until_in_effect(context, accepted.revision, timeout).await?;
+    context.print(&json!({"accepted": accepted, "zones": confirmations.zones}), |_| {
+        let zones: String =
+            confirmations.zones.iter().map(|it| zone_line(it, accepted.revision)).collect();
         format!("{}{zones}in force everywhere\n", line(&accepted))
     });
     Ok(())
 }
 
-/// One zone's line in the answer of `apply --wait`.
+/// The line of one zone in the output of `apply --wait`.
 fn zone_line(zone: &ZoneConfirmation, revision: Revision) -> String {
     if zone.revision.is_some_and(|it| it >= revision) {
         return format!("{}: in force\n", zone.zone);
@@ -128,45 +129,46 @@
     format!("{}: not confirmed by {}; lease run out\n", zone.zone, missing.join(", "))
 }
 
-/// Waits until `revision` is in force in every zone, or the leases of the others have run out.
-async fn wait_for(
+/// Waits until `revision` is in effect in every zone, which it also is once the configuration leases
+/// of the instances that have not confirmed it have expired.
+async fn wait_until_in_effect(
     context: &Context,
     revision: Revision,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<Confirmations, CommandError> {
-    let begun = Instant::now();
+    let start = Instant::now();
     let path = format!("/release/confirmations?revision={revision}");
     loop {
-        let seen: Confirmations = context.client.get(&path).await?;
+        let confirmations: Confirmations = context.client.get(&path).await?;
         let is_behind = |it: &Option<Revision>| it.is_none_or(|known| known < revision);
-        let behind: Vec<&str> = seen
+        let behind: Vec<&str> = confirmations
             .zones
             .iter()
             .filter(|it| is_behind(&it.revision))
             .map(|it| it.zone.as_str())
             .collect();
-        if seen.everywhere || behind.is_empty() {
-            return Ok(seen);
+        if confirmations.everywhere || behind.is_empty() {
+            return Ok(confirmations);
         }
-        if begun.elapsed() >= limit {
+        if start.elapsed() >= timeout {
             let zones = behind.join(", ").into();
             return Err(CommandError::NotConfirmed { revision, zones });
         }
-        sleep(POLL).await;
+        sleep(CONFIRMATION_POLL_INTERVAL).await;
     }
 }
 
 async fn show(context: &Context) -> Result<(), CommandError> {
     let configuration: Configuration = context.client.get("/release").await?;
     context.print(&configuration, |it| {
-        let rows: Vec<[String; 2]> = it.items().iter().map(item).collect();
+        let rows: Vec<[String; 2]> = it.items().iter().map(item_row).collect();
         format!("revision {}\n{}", it.revision, table(["ITEM", "CONTENT"], &rows))
     });
     Ok(())
 }
 
-/// The key of an item, and its fields as JSON.
-fn item(item: &Item) -> [String; 2] {
+/// The key of an item and its fields as JSON.
+fn item_row(item: &Item) -> [String; 2] {
     let json = serde_json::to_value(item).unwrap_or_default();
     let fields = json.as_object().and_then(|it| it.values().next()).cloned();
     [item.key().to_string(), fields.unwrap_or_default().to_string()]
--- a/src/commands/request.rs
+++ b/src/commands/request.rs
@@ -1,4 +1,4 @@
-//! `medlarlug request ID`: what became of a request.
+//! `medlarlug request ID`: shows the record of a request.
 
 use bpaf::Bpaf;
 use medlarlug_core::{
@@ -17,13 +17,13 @@
 pub struct Request {
     #[bpaf(external)]
     common: Common,
-    /// Id of the request, as the answer's `x-request-id` gives it
+    /// Id of the request, from the header `x-request-id` of its answer
     #[bpaf(positional("ID"))]
     id: RequestId,
 }
 
 impl Request {
-    /// Runs the command.
+    /// Runs the command and prints its result to standard output.
     pub async fn exec(self) -> Result<(), CommandError> {
         let context = self.common.context()?;
         let path = format!("/requests/{}", self.id);
@@ -36,14 +36,14 @@
 fn show(record: &RequestRecord) -> String {
     let outcome = record.outcome.map_or("running".into(), |it| it.to_string());
     let mut text = format!("{}  team {}  {}  {outcome}\n", record.id, record.team, record.target);
-    for step in &record.timeline {
-        text.push_str(&line(step));
+    for entry in &record.timeline {
+        text.push_str(&line(entry));
     }
     text
 }
 
-fn line(step: &TimelineEntry) -> String {
-    let what = match &step.stage {
+fn line(entry: &TimelineEntry) -> String {
+    let description = match &entry.stage {
         Stage::Received { instance } => format!("received by {instance}"),
         Stage::Forwarded { zone } => format!("forwarded to {zone}"),
         Stage::Sent { upstream } => format!("sent to {upstream}"),
@@ -51,5 +51,5 @@
         Stage::Retried { reason } => format!("retried: {reason}"),
         Stage::Ended { outcome, reason } => format!("ended {outcome}: {reason}"),
     };
-    format!("  {:>9.3} ms  {what}\n", step.after.as_secs_f64() * 1_000.0)
+    format!("  {:>9.3} ms  {description}\n", entry.after.as_secs_f64() * 1_000.0)
 }
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `medlarlug status`: what a process knows of itself and of others.
+//! `medlarlug status`: shows the status of a process and of the peers that it knows.
 
 use bpaf::Bpaf;
 
@@ -20,7 +20,7 @@
 }
 
 impl Status {
-    /// Runs the command.
+    /// Runs the command and prints its result to standard output.
     pub async fn exec(self) -> Result<(), CommandError> {
         let context = self.common.context()?;
         let status: ProcessStatus = context.client.get("/status").await?;
--- a/src/commands/table.rs
+++ b/src/commands/table.rs
@@ -1,14 +1,14 @@
-//! Tables for people: columns padded to their longest cell.
+//! Text tables whose columns are as wide as their longest cell.
 
-/// Lays rows out under a head line.
-pub fn table<const N: usize>(head: [&str; N], rows: &[[String; N]]) -> String {
-    let mut widths = head.map(str::len);
+/// Formats rows as text under a header line.
+pub fn table<const N: usize>(header: [&str; N], rows: &[[String; N]]) -> String {
+    let mut widths = header.map(str::len);
     for row in rows {
         for (width, cell) in widths.iter_mut().zip(row) {
             *width = (*width).max(cell.chars().count());
         }
     }
-    let mut text = line(&head.map(String::from), &widths);
+    let mut text = line(&header.map(String::from), &widths);
     for row in rows {
         text.push_str(&line(row, &widths));
     }
--- a/src/commands/upstreams.rs
+++ b/src/commands/upstreams.rs
@@ -1,4 +1,4 @@
-//! `medlarlug upstreams`: the upstreams that an entry instance knows.
+//! `medlarlug upstreams`: lists the upstreams that an entry instance knows.
 
 use bpaf::Bpaf;
 
@@ -20,14 +20,14 @@
 }
 
 impl Upstreams {
-    /// Runs the command.
+    /// Runs the command and prints its result to standard output.
     pub async fn exec(self) -> Result<(), CommandError> {
         let context = self.common.context()?;
         let upstreams: Vec<UpstreamStatus> = context.client.get("/upstreams").await?;
         context.print(&upstreams, |all| {
             let rows: Vec<[String; 8]> = all.iter().map(row).collect();
-            let head = ["UPSTREAM", "ZONE", "SERVES", "ADDRESS", "SLOTS", "RUN", "WAIT", "STATE"];
-            table(head, &rows)
+            let header = ["UPSTREAM", "ZONE", "SERVES", "ADDRESS", "SLOTS", "RUN", "WAIT", "STATE"];
+            table(header, &rows)
         });
         Ok(())
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,16 @@
-//! An inference gateway for several regions.
+//! A multi-region inference gateway.
 //!
-//! The decisions are cores without I/O in the crate [`medlarlug_core`]; this crate is the shell
-//! around them. Its layers, from the outside in; an inner layer never imports an outer one:
+//! The crate [`medlarlug_core`] contains the decision logic as state machines without I/O; this crate
+//! embeds them and performs their I/O. Its layers, from the outermost to the innermost; an inner layer
+//! never imports an outer one:
 //!
-//! * [`transport`]: HTTP towards callers, upstreams and operators; nng between processes.
-//! * [`protocol`]: typed messages between processes and their codec, and the JSON of the HTTP
+//! * [`transport`]: HTTP for callers, upstreams and operators; nng between processes.
+//! * [`protocol`]: typed messages between processes and their codec, and the JSON types of the HTTP
 //!   interfaces.
-//! * [`coordination`]: the loops that drive the cores.
-//! * [`state`]: the durable log, snapshots and the data folder.
+//! * [`coordination`]: the event loops that drive the cores.
+//! * [`state`]: the data folder with its journal and snapshots.
 //!
-//! Beside the layers stand [`settings`] (checked YAML), [`telemetry`] (logs and metrics),
+//! Outside the layers are [`settings`] (validated YAML files), [`telemetry`] (logs and metrics),
 //! [`commands`] (the operators' command line) and [`standin`] (an emulator of upstreams).
 
 pub mod commands;
