--- a/src/coordination/entry/callers.rs
+++ b/src/coordination/entry/callers.rs
@@ -62,7 +62,7 @@
     let limits = entry.server_limits();
     let handler = move |request, _| {
         let entry = entry.clone();
-        async move { answer(entry, request).await }
+        async move { handle_request(entry, request).await }
     };
     http_server::serve(listener, limits, stop, handler).await;
 }
@@ -73,7 +73,7 @@
     configuration: Rc<ActiveConfiguration>,
 }
 
-async fn answer(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
+async fn handle_request(entry: Rc<Entry>, request: Request<Incoming>) -> Answer {
     let caller = match authenticate(&entry, &request) {
         Ok(caller) => caller,
         Err(answer) => return answer,
@@ -192,11 +192,11 @@
         Ok(content) => content,
         Err(answer) => return answer,
     };
-    let head = match InferenceParams::parse(&content) {
-        Ok(head) => head,
+    let params = match InferenceParams::parse(&content) {
+        Ok(params) => params,
         Err(error) => return refuse(400, "no-inference-request", &error.to_string()),
     };
-    let target = ItemKey::Model(head.model.clone());
+    let target = ItemKey::Model(params.model.clone());
     if caller.configuration.item(&target).is_none() {
         return refuse(404, "unknown-model", &format!("there is no {target}"));
     }
@@ -210,25 +210,25 @@
     let facts = RequestFacts {
         id: id.clone(),
         team: caller.team.id,
-        target: Target::Model(head.model.clone()),
-        adapter: head.adapter.clone(),
-        prompt: head.prompt_tokens,
-        prefixes: inference::prefixes_of(&head),
+        target: Target::Model(params.model.clone()),
+        adapter: params.adapter.clone(),
+        prompt: params.prompt_tokens,
+        prefixes: inference::prefixes_of(&params),
         priority: caller.team.priority,
         deadline,
         excluded: Vec::new(),
     };
     let head_timeout = inference::head_timeout(&facts);
-    let call = inference::call_of(path, content, head.stream, head_timeout);
-    let cost = inference::cost_of(&head);
+    let call = inference::call_of(path, content, params.stream, head_timeout);
+    let cost = inference::cost_of(&params);
     let job = Job { origin: JobOrigin::Caller(CallerRequest::new(facts)), call, cost };
     // The request continues to its recorded end if the caller's connection is lost.
     let task = task::spawn_local(inference::serve(entry.clone(), job));
-    finish(&entry, &id, task, Outcome::Failed).await
+    wait_for_answer(&entry, &id, task, Outcome::Failed).await
 }
 
 /// Waits for the answer; aborts the request with `outcome` at the drain deadline.
-async fn finish(
+async fn wait_for_answer(
     entry: &Entry,
     id: &RequestId,
     mut task: task::JoinHandle<Answer>,
@@ -237,7 +237,7 @@
     tokio::select! {
         answer = &mut task => answer.unwrap_or_else(|_| {
             entry.end_request(id, Outcome::Unknown, "the request failed");
-            failed(id)
+            internal_error(id)
         }),
         () = entry.intake.wait_for_abort() => {
             task.abort();
@@ -246,7 +246,7 @@
     }
 }
 
-fn failed(id: &RequestId) -> Answer {
+fn internal_error(id: &RequestId) -> Answer {
     let problem = Problem::new(500, "failed", "the request failed", Outcome::Unknown);
     body::problem_answer(&problem.for_request(id))
 }
@@ -359,7 +359,7 @@
             },
         )),
     };
-    finish(&entry, &request_id, task, outcome).await
+    wait_for_answer(&entry, &request_id, task, outcome).await
 }
 
 fn booking_key(entry: &Entry, request: &Request<Incoming>) -> Result<Option<BookingKey>, Answer> {
--- a/src/coordination/entry/inference/mod.rs
+++ b/src/coordination/entry/inference/mod.rs
@@ -1,6 +1,6 @@
 //! The lifecycle of an inference request, from its admission to its recorded end.
 //!
-//! * `job`: the request, and the values derived from its head.
+//! * `job`: the request, and the values derived from its parameters.
 //! * `choice`: the choice of a destination for an attempt, and the sending of the request.
 //! * `delivery`: the delivery of the answer to the caller.
 
@@ -125,9 +125,9 @@
     let exchange = send(entry, job).await?;
     let status = exchange.answer.status();
     if job.call.stream && status.is_success() {
-        return delivery::stream(entry, job, exchange, slot).await;
+        return delivery::deliver_stream(entry, job, exchange, slot).await;
     }
-    delivery::whole(entry, job, exchange).await
+    delivery::deliver_complete(entry, job, exchange).await
 }
 
 /// Ends a request with a refusal, and returns the answer for the caller.
