--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -18,7 +18,7 @@
 
 use fit::Slope;
 use medlarlug_core::follower::VOTER_REQUEST_INTERVAL;
-use test_support::scale::{GOAL, Scale};
+use test_support::scale::{Scale, TARGET_SCALE};
 
 use crate::membership::Traffic;
 
@@ -65,13 +65,15 @@
 }
 
 fn measure_membership() -> Vec<Slope> {
-    let nodes = [87, 174, 340].map(|nodes| (nodes as f64, Scale { nodes, ..GOAL }));
-    let engines = [150, 300, 600].map(|engines| (engines as f64, Scale { engines, ..GOAL }));
+    let nodes = [87, 174, 340].map(|nodes| (nodes as f64, Scale { nodes, ..TARGET_SCALE }));
+    let engines =
+        [150, 300, 600].map(|engines| (engines as f64, Scale { engines, ..TARGET_SCALE }));
     let zones = [8, 16, 29].map(|zones| {
-        let scale = Scale { zones, nodes: 340 * zones / 29, engines: 600 * zones / 29, ..GOAL };
+        let scale =
+            Scale { zones, nodes: 340 * zones / 29, engines: 600 * zones / 29, ..TARGET_SCALE };
         (zones as f64, scale)
     });
-    let models = [3, 6, 12].map(|models| (models as f64, Scale { models, ..GOAL }));
+    let models = [3, 6, 12].map(|models| (models as f64, Scale { models, ..TARGET_SCALE }));
     let mut slopes = Vec::new();
     for (over, sizes) in
         [("nodes", nodes), ("engines", engines), ("zones", zones), ("models", models)]
@@ -112,7 +114,7 @@
     let mut sent = Slope::new("demand reports, entry, sent + received", "instances", "B/s");
     let mut processor = Slope::new("demand reports, entry", "instances", "% core");
     for instances in [12, 24, REGION] {
-        let sample = demand::measure(&GOAL, instances, REGION_RATE);
+        let sample = demand::measure(&TARGET_SCALE, instances, REGION_RATE);
         report.points.push((instances as f64, sample.report));
         sent.points.push((instances as f64, 2.0 * sample.sent));
         processor.points.push((instances as f64, sample.processor * 100.0));
@@ -120,7 +122,7 @@
     let mut teams = Slope::new("demand report", "teams", "B");
     let mut shares = Slope::new("demand reports, entry", "teams", "% core");
     for count in [675, 1_350, 2_700] {
-        let scale = Scale { teams: count, ..GOAL };
+        let scale = Scale { teams: count, ..TARGET_SCALE };
         let sample = demand::measure(&scale, REGION, REGION_RATE);
         teams.points.push((count as f64, sample.report));
         shares.points.push((count as f64, sample.processor * 100.0));
@@ -134,7 +136,7 @@
     let mut decode = Slope::new("whole configuration, decoding", "teams", "ms");
     let mut change = Slope::new("change of one team, applied", "teams", "ms");
     for teams in [675, 1_350, 2_700] {
-        let sample = configuration::measure(&Scale { teams, ..GOAL });
+        let sample = configuration::measure(&Scale { teams, ..TARGET_SCALE });
         bytes.points.push((teams as f64, sample.bytes));
         memory.points.push((teams as f64, sample.memory));
         decode.points.push((teams as f64, sample.decode * 1_000.0));
@@ -142,7 +144,7 @@
     }
     let mut push = Slope::new("pushed change, a frame", "teams", "B");
     for teams in [1, 5, 50] {
-        push.points.push((teams as f64, configuration::push_bytes(&GOAL, teams) as f64));
+        push.points.push((teams as f64, configuration::push_bytes(&TARGET_SCALE, teams) as f64));
     }
     let (ask, answer) = configuration::ask_bytes();
     let mut asked = Slope::new("questions of followers, voter of 5", "nodes", "B/s");
--- a/benches/capacity/membership.rs
+++ b/benches/capacity/membership.rs
@@ -154,7 +154,7 @@
                 continue;
             }
             engine.sequence = tick + 1;
-            engine.load = scale::load(tick * 1_000 + number as u64);
+            engine.load = scale::load_report(tick * 1_000 + number as u64);
             engine.load.cached.truncate(prefixes);
             engine.load.evicted.truncate(prefixes);
             for step in 0..ANNOUNCED_TO.min(targets[number].len()) {
--- a/benches/failover.rs
+++ b/benches/failover.rs
@@ -25,7 +25,7 @@
 use test_support::{
     booking_service,
     deployment::{Deployment, wait_for},
-    id, idempotent_service, note, policy, region, survey,
+    id, idempotent_service, note, policy, region, survey_team,
 };
 
 const KEEPERS: [&str; 3] = ["keeper-1", "keeper-2", "keeper-3"];
@@ -45,7 +45,7 @@
         .entry("bench", "riga-a")
         .entry("entry-1", "riga-a")
         .entry("entry-2", "riga-a")
-        .relayed()
+        .with_relays()
         .service("desk", "riga-a", "jobdesk")
         .start();
     deployment.configure(items());
@@ -58,7 +58,7 @@
         region("riga", &["riga-a"]),
         booking_service("jobdesk"),
         policy(),
-        Item::Team(survey("riga")),
+        Item::Team(survey_team("riga")),
     ]
 }
 
--- a/crates/test-support/src/caller.rs
+++ b/crates/test-support/src/caller.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Value, json};
 
-use crate::deployment::{CALLER_KEY, Deployment, PATIENCE};
+use crate::deployment::{CALLER_KEY, CONDITION_TIMEOUT, Deployment};
 
 /// How a request of a [`Caller`] ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -14,7 +14,7 @@
     /// It was refused, or failed, with this status and body.
     Refused(u16, String),
     /// Its connection broke before the whole answer.
-    Cut(String),
+    Disconnected(String),
 }
 
 /// A caller that asks where to send its requests, and goes on to the next entry instance when one
@@ -33,7 +33,7 @@
         let agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .max_idle_connections(0)
-            .timeout_global(Some(PATIENCE))
+            .timeout_global(Some(CONDITION_TIMEOUT))
             .build()
             .into();
         let entries = deployment.instances.iter().filter(|it| it.is_entry);
@@ -47,7 +47,7 @@
             "model": "medlar", "prompt": prompt, "max_tokens": tokens, "stream": stream
         });
         let body = body.to_string();
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + CONDITION_TIMEOUT;
         while Instant::now() < end {
             self.refresh();
             for address in self.entries.clone() {
@@ -57,7 +57,7 @@
                 }
             }
         }
-        Outcome::Cut("no instance takes the request in".into())
+        Outcome::Disconnected("no instance takes the request in".into())
     }
 
     /// Sends a request to one instance; `None` if that one can't have begun it.
@@ -69,12 +69,12 @@
         let mut answer = match request.send(body) {
             Ok(answer) => answer,
             Err(error) if is_refused(&error) => return None,
-            Err(error) => return Some(Outcome::Cut(error.to_string())),
+            Err(error) => return Some(Outcome::Disconnected(error.to_string())),
         };
         let status = answer.status().as_u16();
         let text = match answer.body_mut().read_to_string() {
             Ok(text) => text,
-            Err(error) => return Some(Outcome::Cut(error.to_string())),
+            Err(error) => return Some(Outcome::Disconnected(error.to_string())),
         };
         if status == 200 {
             return Some(Outcome::Answered(text));
@@ -99,7 +99,7 @@
                 .header("authorization", format!("Bearer {CALLER_KEY}"));
             let Ok(mut answer) = request.call() else { continue };
             let document: Value = answer.body_mut().read_json().unwrap_or_default();
-            let entries = entries_of(&document);
+            let entries = directory_entries(&document);
             if !entries.is_empty() {
                 self.lifetime = document["lifetime"].as_u64().unwrap_or(0);
                 self.entries = entries;
@@ -111,7 +111,7 @@
 }
 
 /// The addresses that a directory lists, in order.
-pub fn entries_of(document: &Value) -> Vec<SocketAddr> {
+pub fn directory_entries(document: &Value) -> Vec<SocketAddr> {
     let listed = document["entries"].as_array().cloned().unwrap_or_default();
     listed.iter().filter_map(|it| it["address"].as_str()?.parse().ok()).collect()
 }
--- a/crates/test-support/src/deployment/mod.rs
+++ b/crates/test-support/src/deployment/mod.rs
@@ -20,7 +20,7 @@
 use tempfile::TempDir;
 
 pub use self::requests::{Reply, call};
-use crate::{free_address, free_block, relay::Network, signals};
+use crate::{free_address, free_port_range, relay::Network, signals};
 
 /// Bearer key of the operator `anna`.
 pub const OPERATOR_KEY: &str = "operator-key-of-anna";
@@ -29,13 +29,13 @@
 pub const CALLER_KEY: &str = "caller-key-of-survey";
 
 /// Longest wait for anything that a test waits for.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until `condition` holds.
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + CONDITION_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "{what} did not happen within {PATIENCE:?}");
+        assert!(Instant::now() < end, "{what} did not happen within {CONDITION_TIMEOUT:?}");
         sleep(Duration::from_millis(25));
     }
 }
@@ -102,7 +102,7 @@
     /// Emulated upstreams, one process each.
     pub upstreams: Vec<Upstream>,
     processes: Mutex<Vec<(String, Child)>>,
-    /// The relays between instances, if [`Deployment::relayed`] asks for them.
+    /// The relays between instances, if [`Deployment::with_relays`] asks for them.
     pub network: Option<Network>,
     homes: Vec<(String, Vec<String>)>,
     /// Limits of entry instances, as lines of YAML.
@@ -127,13 +127,13 @@
     }
 
     /// Puts relays between the instances.
-    pub fn relayed(mut self) -> Deployment {
+    pub fn with_relays(mut self) -> Deployment {
         self.network = Some(Network::default());
         self
     }
 
     /// Names the voters of a region's home group; otherwise every keeper is one.
-    pub fn home(mut self, region: &str, voters: &[&str]) -> Deployment {
+    pub fn home_voters(mut self, region: &str, voters: &[&str]) -> Deployment {
         let voters = voters.iter().map(|it| (*it).to_owned()).collect();
         self.homes.push((region.into(), voters));
         self
@@ -196,8 +196,8 @@
                 "prefill: 1000000".into(),
                 format!("count: {count}"),
             ],
-            address: free_block(count),
-            control: free_block(count),
+            address: free_port_range(count),
+            control: free_port_range(count),
         });
         self
     }
@@ -322,7 +322,7 @@
     }
 
     /// Waits until a process has ended by itself; tells whether it succeeded.
-    pub fn wait_end(&mut self, id: &str) -> bool {
+    pub fn wait_exit(&mut self, id: &str) -> bool {
         let (_, mut child) = self.take(id);
         let mut status = None;
         wait_for("the end of the process", || {
--- a/crates/test-support/src/deployment/requests.rs
+++ b/crates/test-support/src/deployment/requests.rs
@@ -5,7 +5,7 @@
 use medlarlug_core::release::{Item, RawNote};
 use serde_json::Value;
 
-use super::{CALLER_KEY, Deployment, OPERATOR_KEY, PATIENCE, wait_for};
+use super::{CALLER_KEY, CONDITION_TIMEOUT, Deployment, OPERATOR_KEY, wait_for};
 
 impl Deployment {
     /// Asks the operators' interface of an instance.
@@ -57,7 +57,7 @@
     }
 
     /// Calls an entry instance as the team `survey`.
-    pub fn caller(
+    pub fn caller_request(
         &self,
         id: &str,
         method: &str,
@@ -74,17 +74,17 @@
     /// Sends a completion that is not streamed.
     pub fn complete(&self, id: &str, model: &str, prompt: &str) -> Reply {
         let body = serde_json::json!({ "model": model, "prompt": prompt, "max_tokens": 4 });
-        self.caller(id, "POST", "/v1/completions", &[], &body.to_string())
+        self.caller_request(id, "POST", "/v1/completions", &[], &body.to_string())
     }
 
     /// Sends a booking under an idempotency key.
     pub fn book(&self, id: &str, key: &str, body: &str) -> Reply {
         let headers = [("idempotency-key", key)];
-        self.caller(id, "POST", "/v1/services/jobdesk/jobs", &headers, body)
+        self.caller_request(id, "POST", "/v1/services/jobdesk/jobs", &headers, body)
     }
 
     /// Waits until a booking is taken in by every entry instance, after processes were disturbed.
-    pub fn settle(&self) {
+    pub fn wait_recovered(&self) {
         for (count, it) in self.instances.iter().filter(|it| it.is_entry).enumerate() {
             let mut tries = 0;
             wait_for("a booking after the disturbance", || {
@@ -102,13 +102,13 @@
     }
 
     /// How often a service ran the call with this key, over all upstreams.
-    pub fn runs(&self, key: &str) -> u64 {
+    pub fn run_count(&self, key: &str) -> u64 {
         let services = self.upstreams.iter().filter(|it| it.kind.contains("service"));
         services.map(|it| runs_at(it.control, key)).sum()
     }
 
     /// Injects a fault into an upstream.
-    pub fn fault(&self, upstream: &str, fault: &Value) -> Reply {
+    pub fn inject_fault(&self, upstream: &str, fault: &Value) -> Reply {
         let upstream = self.upstreams.iter().find(|it| it.id == upstream).expect("an upstream");
         call("POST", upstream.control, "/faults", &[], &fault.to_string())
     }
@@ -131,7 +131,7 @@
     /// Its status; 0 when there was no answer.
     pub status: u16,
     /// Its `x-request-id`.
-    pub request: String,
+    pub request_id: String,
     /// Its body.
     pub text: String,
     /// Its body as JSON, or null.
@@ -146,10 +146,11 @@
     headers: &[(&str, &str)],
     body: &str,
 ) -> Reply {
-    let none = Reply { status: 0, request: String::new(), text: String::new(), json: Value::Null };
+    let none =
+        Reply { status: 0, request_id: String::new(), text: String::new(), json: Value::Null };
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(CONDITION_TIMEOUT))
         .build()
         .into();
     let mut request =
@@ -163,8 +164,8 @@
     let request = id.unwrap_or_default().to_owned();
     let status = answer.status().as_u16();
     let Ok(text) = answer.body_mut().read_to_string() else {
-        return Reply { request, ..none };
+        return Reply { request_id: request, ..none };
     };
     let json = serde_json::from_str(&text).unwrap_or_default();
-    Reply { status, request, text, json }
+    Reply { status, request_id: request, text, json }
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -50,7 +50,7 @@
 }
 
 /// The team `survey`, whose bearer key is [`CALLER_KEY`] and which no limit slows.
-pub fn survey(home: &str) -> Team {
+pub fn survey_team(home: &str) -> Team {
     Team {
         keys: vec![Fingerprint::of(CALLER_KEY.as_bytes())],
         residency: Residency::Anywhere,
@@ -118,7 +118,7 @@
 }
 
 /// The first of `count` addresses with rising ports, none of which any other call gets.
-pub fn free_block(count: usize) -> SocketAddr {
+pub fn free_port_range(count: usize) -> SocketAddr {
     let mut first = free_address();
     let mut length = 1;
     while length < count {
--- a/crates/test-support/src/relay.rs
+++ b/crates/test-support/src/relay.rs
@@ -92,12 +92,12 @@
     }
 
     /// Leaves the open connections open and delivers nothing on them any more.
-    pub fn forget_open(&self) {
+    pub fn blackhole_open(&self) {
         self.shared.change(|it| it.forgotten = it.last);
     }
 
     /// Closes every connection and every later one at once, or takes them again.
-    pub fn cut(&self, is_cut: bool) {
+    pub fn set_disconnected(&self, is_cut: bool) {
         self.shared.change(|it| {
             it.is_cut = is_cut;
             it.close_all();
@@ -257,10 +257,10 @@
     }
 
     /// Silences the open connections from instances that `is_from` to ones that `is_to`.
-    pub fn forget_open(&self, is_from: impl Fn(&str) -> bool, is_to: impl Fn(&str) -> bool) {
+    pub fn blackhole_open(&self, is_from: impl Fn(&str) -> bool, is_to: impl Fn(&str) -> bool) {
         for it in self.links.iter().filter(|it| is_from(&it.from) && is_to(&it.to)) {
-            it.peers.forget_open();
-            it.internal.forget_open();
+            it.peers.blackhole_open();
+            it.internal.blackhole_open();
         }
     }
 
--- a/crates/test-support/src/scale.rs
+++ b/crates/test-support/src/scale.rs
@@ -34,7 +34,7 @@
 }
 
 /// The size that the users plan for.
-pub const GOAL: Scale =
+pub const TARGET_SCALE: Scale =
     Scale { nodes: 340, keepers: 9, engines: 600, regions: 8, zones: 29, teams: 2_700, models: 12 };
 
 impl Scale {
@@ -100,7 +100,7 @@
             slots: Slots(16),
             fencing: true,
             leaving: false,
-            load: load(number as u64),
+            load: load_report(number as u64),
         }
     }
 
@@ -132,7 +132,7 @@
 }
 
 /// The load report number `seed` of an engine that takes some requests a second.
-pub fn load(seed: u64) -> LoadReport {
+pub fn load_report(seed: u64) -> LoadReport {
     let print = |salt: u64| Fingerprint::of(&(seed * 8 + salt).to_le_bytes());
     LoadReport {
         age: std::time::Duration::from_millis(300),
--- a/crates/test-support/src/stream.rs
+++ b/crates/test-support/src/stream.rs
@@ -4,14 +4,14 @@
 
 use serde_json::{Value, json};
 
-use crate::deployment::{CALLER_KEY, Deployment, PATIENCE};
+use crate::deployment::{CALLER_KEY, CONDITION_TIMEOUT, Deployment};
 
 /// A streamed answer that is being read.
 pub struct OpenStream {
     /// Status of its head; 0 when there was no answer.
     pub status: u16,
     /// Its `x-request-id`.
-    pub request: String,
+    pub request_id: String,
     reader: Option<Box<dyn BufRead + Send>>,
     text: String,
 }
@@ -20,18 +20,18 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
     /// The terminal event came.
-    Whole,
+    Complete,
     /// An explicit error event or a refusal came.
     Failed(String),
     /// It broke off without a word.
-    Cut,
+    Truncated,
 }
 
 /// A streamed answer that was read to its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Streamed {
+pub struct StreamedAnswer {
     /// The request.
-    pub request: String,
+    pub request_id: String,
     /// The generated text.
     pub text: String,
     /// How it ended.
@@ -46,7 +46,7 @@
         });
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_global(Some(PATIENCE))
+            .timeout_global(Some(CONDITION_TIMEOUT))
             .build()
             .into();
         let url = format!("http://{}/v1/completions", self.get(id).callers);
@@ -57,7 +57,7 @@
         let Ok(answer) = sent else {
             return OpenStream {
                 status: 0,
-                request: String::new(),
+                request_id: String::new(),
                 reader: None,
                 text: String::new(),
             };
@@ -66,11 +66,16 @@
         let request = answer.headers().get("x-request-id").and_then(|it| it.to_str().ok());
         let request = request.unwrap_or_default().to_owned();
         let reader = BufReader::new(answer.into_body().into_reader());
-        OpenStream { status, request, reader: Some(Box::new(reader)), text: String::new() }
+        OpenStream {
+            status,
+            request_id: request,
+            reader: Some(Box::new(reader)),
+            text: String::new(),
+        }
     }
 
     /// Reads a streamed completion from its start to its end.
-    pub fn stream(&self, id: &str, prompt: &str, tokens: usize) -> Streamed {
+    pub fn stream(&self, id: &str, prompt: &str, tokens: usize) -> StreamedAnswer {
         self.open_stream(id, prompt, tokens).finish()
     }
 }
@@ -86,9 +91,9 @@
     }
 
     /// Reads to the end.
-    pub fn finish(mut self) -> Streamed {
+    pub fn finish(mut self) -> StreamedAnswer {
         let ending = match self.status {
-            0 => Ending::Cut,
+            0 => Ending::Truncated,
             200 => loop {
                 if let Some(ending) = self.step() {
                     break ending;
@@ -101,7 +106,7 @@
                 Ending::Failed(text)
             }
         };
-        Streamed { request: self.request, text: self.text, ending }
+        StreamedAnswer { request_id: self.request_id, text: self.text, ending }
     }
 
     /// Reads one `data` line; tells the ending if it is the last one.
@@ -110,12 +115,12 @@
         loop {
             let mut line = String::new();
             match reader.read_line(&mut line) {
-                Ok(0) | Err(_) => return Some(Ending::Cut),
+                Ok(0) | Err(_) => return Some(Ending::Truncated),
                 Ok(_) => {}
             }
             let Some(data) = line.trim().strip_prefix("data:") else { continue };
             if data.trim() == "[DONE]" {
-                return Some(Ending::Whole);
+                return Some(Ending::Complete);
             }
             let chunk: Value = serde_json::from_str(data).unwrap_or_default();
             if !chunk["error"].is_null() {
--- a/tests/testsuite/budget.rs
+++ b/tests/testsuite/budget.rs
@@ -25,7 +25,7 @@
 };
 use test_support::{
     id, note,
-    scale::{self, GOAL, Scale},
+    scale::{self, Scale, TARGET_SCALE},
 };
 
 /// Bytes a second that a node may spend on control.
@@ -58,12 +58,12 @@
         warm: Sketch::default(),
     };
     ZoneUpdate {
-        zone: id(&GOAL.zone_name(zone)),
+        zone: id(&TARGET_SCALE.zone_name(zone)),
         speaker: id("entry-001"),
         age: Millis(700),
         revision: Revision(100_000),
         entries: (0..3).map(entry).collect(),
-        rows: (0..GOAL.models).map(row).collect(),
+        rows: (0..TARGET_SCALE.models).map(row).collect(),
     }
 }
 
@@ -90,7 +90,7 @@
         key: UpstreamKey([255; 4]),
         sequence: 100_000,
         age: Millis(400),
-        load: LoadUpdate::from(&scale::load(number)),
+        load: LoadUpdate::from(&scale::load_report(number)),
     };
     let news = (0..ZONE_ENGINES as u64).map(renewal).collect();
 
@@ -105,7 +105,7 @@
 fn summaries_of_all_zones_fit_their_refresh() {
     let refresh = medlarlug_core::membership::timing::CROSS_REGION_LIFETIME.as_secs() as usize;
 
-    let bytes = frame_bytes(summaries(GOAL.zones));
+    let bytes = frame_bytes(summaries(TARGET_SCALE.zones));
 
     // Each is received once within its lifetime, and handed on once.
     let both = 2 * bytes / refresh;
@@ -120,14 +120,14 @@
     let summaries = Summaries { scope: Scope::Zone, zones: vec![news] };
 
     let one = frame_bytes(Message::Membership(Membership::Summaries(summaries)));
-    let growth = (frame_bytes(self::summaries(1)) - one) / (GOAL.models - 1);
+    let growth = (frame_bytes(self::summaries(1)) - one) / (TARGET_SCALE.models - 1);
 
     assert!(growth <= NODE / 100, "{growth} B for each further row");
 }
 
 #[test]
 fn a_configuration_of_all_teams_arrives_within_the_limit_of_a_change() {
-    let configuration = GOAL.configuration();
+    let configuration = TARGET_SCALE.configuration();
 
     let bytes = frame_bytes(Message::Push(Box::new(Update::Full(configuration))));
 
@@ -154,7 +154,7 @@
 }
 
 fn scale_team(number: usize) -> medlarlug_core::release::item::Team {
-    Scale::team(&GOAL, number)
+    Scale::team(&TARGET_SCALE, number)
 }
 
 /// Frames of a question and of its answer when nothing is new.
@@ -245,7 +245,7 @@
         incarnation: Incarnation(1_764_720_000_000),
         sequence: 1,
         base: 1,
-        entries: (0..GOAL.teams).map(entry).collect(),
+        entries: (0..TARGET_SCALE.teams).map(entry).collect(),
     };
 
     let bytes = frame_bytes(Message::Demand { report });
--- a/tests/testsuite/processes/booking.rs
+++ b/tests/testsuite/processes/booking.rs
@@ -20,7 +20,7 @@
 
     assert_eq!((first.status, second.status), (200, 200), "{} {}", first.text, second.text);
     assert_eq!(first.text, second.text);
-    assert_eq!(deployment.runs("parcel-7"), 1);
+    assert_eq!(deployment.run_count("parcel-7"), 1);
 }
 
 #[test]
@@ -34,7 +34,7 @@
 
     assert_eq!(first.status, 200, "{}", first.text);
     assert_eq!((other.status, other.json["type"].as_str()), (422, Some("key-reused")));
-    assert_eq!(deployment.runs("parcel-7"), 1);
+    assert_eq!(deployment.run_count("parcel-7"), 1);
 }
 
 #[test]
@@ -42,14 +42,14 @@
     let deployment = two_regions().service("desk", "riga-a", "jobdesk").start();
     deployment.configure(items(Residency::Anywhere));
     deployment.wait_upstreams("entry-1", 1);
-    deployment.fault("desk", &json!({ "kind": "lose_answer", "count": 1 }));
+    deployment.inject_fault("desk", &json!({ "kind": "lose_answer", "count": 1 }));
 
     let first = deployment.book("entry-1", "parcel-7", "{\"parcel\":7}");
     let again = deployment.book("entry-2", "parcel-7", "{\"parcel\":7}");
 
     assert_eq!(first.json["outcome"], "unknown", "{}", first.text);
     assert_eq!(again.json["outcome"], "unknown", "{}", again.text);
-    assert_eq!(deployment.runs("parcel-7"), 1);
+    assert_eq!(deployment.run_count("parcel-7"), 1);
 }
 
 #[test]
@@ -57,11 +57,12 @@
     let deployment = two_regions().service("desk", "riga-a", "jobdesk").start();
     deployment.configure(items(Residency::Anywhere));
     deployment.wait_upstreams("entry-1", 1);
-    deployment.fault("desk", &json!({ "kind": "late_answer", "count": 1, "delay_ms": 20_000 }));
+    deployment
+        .inject_fault("desk", &json!({ "kind": "late_answer", "count": 1, "delay_ms": 20_000 }));
 
     thread::scope(|scope| {
         let lost = scope.spawn(|| deployment.book("entry-1", "parcel-7", "{}"));
-        wait_for("the run of the booking", || deployment.runs("parcel-7") == 1);
+        wait_for("the run of the booking", || deployment.run_count("parcel-7") == 1);
         deployment.signal("entry-1", Signal::SIGKILL);
         assert_eq!(lost.join().expect("the caller").status, 0);
     });
@@ -72,7 +73,7 @@
     });
 
     assert_eq!(again.json["outcome"], "unknown", "{}", again.text);
-    assert_eq!(deployment.runs("parcel-7"), 1);
+    assert_eq!(deployment.run_count("parcel-7"), 1);
 }
 
 #[test]
--- a/tests/testsuite/processes/bounds.rs
+++ b/tests/testsuite/processes/bounds.rs
@@ -7,7 +7,7 @@
 
 use medlarlug_core::release::item::Residency;
 use serde_json::json;
-use test_support::deployment::{CALLER_KEY, Deployment, OPERATOR_KEY, PATIENCE, call};
+use test_support::deployment::{CALLER_KEY, CONDITION_TIMEOUT, Deployment, OPERATOR_KEY, call};
 
 use crate::processes::fixture::{add_engines, items, two_regions};
 
@@ -25,7 +25,7 @@
 
 fn open(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a listening port");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a valid timeout");
+    stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("a valid timeout");
     stream
 }
 
@@ -75,7 +75,7 @@
     let deployment = deployment();
     let callers = deployment.get("entry-1").callers;
     let post = |headers: &[(&str, &str)], body: &str| {
-        deployment.caller("entry-1", "POST", "/v1/completions", headers, body)
+        deployment.caller_request("entry-1", "POST", "/v1/completions", headers, body)
     };
     let book = |key: &str| deployment.book("entry-1", key, "{}");
 
--- a/tests/testsuite/processes/fixture.rs
+++ b/tests/testsuite/processes/fixture.rs
@@ -12,8 +12,8 @@
     booking_service,
     deployment::{Deployment, call, wait_for},
     id, policy, region,
-    stream::{Ending, Streamed},
-    survey,
+    stream::{Ending, StreamedAnswer},
+    survey_team,
 };
 
 /// Two regions of one zone each, three keepers and two entry instances.
@@ -45,7 +45,7 @@
             residency: Residency::Regions(vec![id("riga"), id("kurzeme")]),
         })
     };
-    let survey = Team { residency, ..survey("riga") };
+    let survey = Team { residency, ..survey_team("riga") };
     vec![
         region("riga", &["riga-a"]),
         region("kurzeme", &["liepaja-a"]),
@@ -91,8 +91,8 @@
 }
 
 /// Asserts that an answer is whole and the one expected.
-pub fn assert_whole(streamed: &Streamed, prompt: &str, tokens: usize) {
-    assert_eq!(streamed.ending, Ending::Whole, "{streamed:?}");
+pub fn assert_whole(streamed: &StreamedAnswer, prompt: &str, tokens: usize) {
+    assert_eq!(streamed.ending, Ending::Complete, "{streamed:?}");
     assert_eq!(streamed.text, expected(prompt, Some(tokens)));
 }
 
--- a/tests/testsuite/processes/history.rs
+++ b/tests/testsuite/processes/history.rs
@@ -74,7 +74,7 @@
         if done.load(Ordering::Relaxed) == CALLERS as usize {
             return;
         }
-        deployment.fault("desk", &json!({ "kind": "lose_answer", "count": 2 }));
+        deployment.inject_fault("desk", &json!({ "kind": "lose_answer", "count": 2 }));
         thread::sleep(Duration::from_millis(500));
         deployment.restart(victim);
     }
@@ -95,7 +95,7 @@
 }
 
 fn check(deployment: &Deployment, told: &Told) {
-    let runs = deployment.runs(&told.key);
+    let runs = deployment.run_count(&told.key);
     let replies: Vec<&str> = told.replies.iter().map(|it| it.text.as_str()).collect();
     assert!(runs <= 1, "{} ran {runs} times: {replies:?}", told.key);
     if told.is_refused() {
@@ -119,7 +119,7 @@
     deployment.wait_upstreams("entry-2", 1);
 
     let told = history(&deployment);
-    deployment.settle();
+    deployment.wait_recovered();
 
     told.iter().for_each(|it| check(&deployment, it));
     let acknowledged = told.iter().filter(|it| it.acknowledged().is_some()).count();
--- a/tests/testsuite/processes/isolation.rs
+++ b/tests/testsuite/processes/isolation.rs
@@ -22,7 +22,7 @@
         "liepaja-a",
         "medlar",
     );
-    let deployment = deployment.relayed().start();
+    let deployment = deployment.with_relays().start();
     deployment.configure(items(Residency::Anywhere));
     ["entry-1", "entry-2"].iter().for_each(|it| deployment.wait_upstreams(it, 1));
     deployment
--- a/tests/testsuite/processes/keepers.rs
+++ b/tests/testsuite/processes/keepers.rs
@@ -40,7 +40,7 @@
     let again = book_until_answered(&deployment, "entry-2", "parcel-1");
 
     assert_eq!(first, again);
-    assert_eq!(deployment.runs("parcel-1"), 1);
+    assert_eq!(deployment.run_count("parcel-1"), 1);
     let after = deployment.operator_get("entry-1", "/status").json["revision"].as_u64();
     assert!(after >= before, "revision {before:?} became {after:?}");
 }
@@ -55,8 +55,8 @@
     book_until_answered(&deployment, "entry-1", "parcel-2");
     book_until_answered(&deployment, "entry-2", "parcel-1");
 
-    assert_eq!(deployment.runs("parcel-1"), 1);
-    assert_eq!(deployment.runs("parcel-2"), 1);
+    assert_eq!(deployment.run_count("parcel-1"), 1);
+    assert_eq!(deployment.run_count("parcel-2"), 1);
 }
 
 #[test]
@@ -72,7 +72,7 @@
     book_until_answered(&deployment, "entry-2", "parcel-3");
 
     for key in ["parcel-1", "parcel-2", "parcel-3"] {
-        assert_eq!(deployment.runs(key), 1, "{key}");
+        assert_eq!(deployment.run_count(key), 1, "{key}");
     }
 }
 
@@ -97,8 +97,8 @@
     let again = book_until_answered(&deployment, "entry-2", "parcel-1");
 
     assert_eq!(first, again);
-    assert_eq!(deployment.runs("parcel-1"), 1);
-    assert_eq!(deployment.runs("parcel-2"), 1);
+    assert_eq!(deployment.run_count("parcel-1"), 1);
+    assert_eq!(deployment.run_count("parcel-2"), 1);
 }
 
 /// Bookings that one caller sends while keepers restart.
@@ -146,11 +146,11 @@
     for entry in ["entry-1", "entry-2"] {
         for count in 0..BOOKINGS {
             let key = format!("{entry}-{count}");
-            assert!(deployment.runs(&key) <= 1, "{key}");
+            assert!(deployment.run_count(&key) <= 1, "{key}");
         }
     }
     for (key, answer) in &acknowledged {
         assert_eq!(&book_until_answered(&deployment, "entry-1", key), answer, "{key}");
-        assert_eq!(deployment.runs(key), 1, "{key}");
+        assert_eq!(deployment.run_count(key), 1, "{key}");
     }
 }
--- a/tests/testsuite/processes/maintenance.rs
+++ b/tests/testsuite/processes/maintenance.rs
@@ -15,7 +15,7 @@
     let all: Vec<String> = instances.chain(upstreams).collect();
     for id in &all {
         deployment.signal(id, Signal::SIGTERM);
-        deployment.wait_end(id);
+        deployment.wait_exit(id);
         deployment.start_process(id);
         wait_for("a booking through each entry instance", || {
             ["entry-1", "entry-2"].iter().all(|it| deployment.book(it, id, "{}").status == 200)
@@ -43,7 +43,7 @@
 
     assert_eq!(again, first);
     // The service counts from its last restart, which came after the first run.
-    assert_eq!(deployment.runs("parcel-1"), 0);
+    assert_eq!(deployment.run_count("parcel-1"), 0);
     assert_eq!(inferred.status, 200, "{}", inferred.text);
 }
 
@@ -54,7 +54,7 @@
     deployment.wait_upstreams("entry-1", 1);
     let first = book_until_answered(&deployment, "entry-1", "parcel-1");
     deployment.signal("keeper-1", Signal::SIGTERM);
-    assert!(deployment.wait_end("keeper-1"));
+    assert!(deployment.wait_exit("keeper-1"));
     deployment.back_up("keeper-1");
     deployment.start_process("keeper-1");
     book_until_answered(&deployment, "entry-1", "parcel-2");
@@ -73,5 +73,5 @@
 
     assert_eq!(known, first);
     assert_eq!(lost.json["type"], "outcome-unknown", "{}", lost.text);
-    assert_eq!(["parcel-1", "parcel-2"].map(|it| deployment.runs(it)), [1, 1]);
+    assert_eq!(["parcel-1", "parcel-2"].map(|it| deployment.run_count(it)), [1, 1]);
 }
--- a/tests/testsuite/processes/moves.rs
+++ b/tests/testsuite/processes/moves.rs
@@ -69,7 +69,7 @@
 
     let (answers, revision) = thread::scope(|scope| {
         let callers = ENTRIES.map(|it| scope.spawn(|| book_all(&deployment, it)));
-        wait_for("the first bookings", || deployment.runs("entry-1-5") == 1);
+        wait_for("the first bookings", || deployment.run_count("entry-1-5") == 1);
         let revision = move_home(&deployment, "kurzeme");
         let answers = callers.map(|it| it.join().expect("a caller"));
         (answers.concat(), revision)
@@ -78,7 +78,7 @@
 
     for (key, text) in answers {
         assert_eq!(book_until_answered(&deployment, "entry-2", &key), text, "{key}");
-        assert_eq!(deployment.runs(&key), 1, "{key}");
+        assert_eq!(deployment.run_count(&key), 1, "{key}");
     }
 }
 
@@ -105,14 +105,14 @@
     let again = book_until_answered(&deployment, "entry-1", "parcel-1");
 
     assert_eq!((&moved, &again), (&first, &first));
-    assert_eq!(deployment.runs("parcel-1"), 1);
+    assert_eq!(deployment.run_count("parcel-1"), 1);
 }
 
 #[test]
 fn new_home_that_lost_its_state_adopts_its_teams_again() {
     let mut deployment = two_regions()
         .keeper("keeper-4", "liepaja-a")
-        .home("kurzeme", &["keeper-4"])
+        .home_voters("kurzeme", &["keeper-4"])
         .service("desk", "riga-a", "jobdesk")
         .start();
     deployment.configure(items(Residency::Anywhere));
@@ -133,5 +133,5 @@
     let former = deployment.book("entry-2", "parcel-1", "{}");
 
     assert_eq!(former.json["type"], "outcome-unknown", "{}", former.text);
-    assert_eq!((deployment.runs("parcel-1"), deployment.runs(&key)), (1, 1));
+    assert_eq!((deployment.run_count("parcel-1"), deployment.run_count(&key)), (1, 1));
 }
--- a/tests/testsuite/processes/operators.rs
+++ b/tests/testsuite/processes/operators.rs
@@ -83,7 +83,7 @@
 
 /// Three keepers, of which `keeper-3` lacks `parcel-2` and the others lost their disks.
 fn with_lost_majority() -> (Deployment, String) {
-    let deployment = two_regions().relayed().service("desk", "riga-a", "jobdesk");
+    let deployment = two_regions().with_relays().service("desk", "riga-a", "jobdesk");
     let mut deployment = deployment.start();
     deployment.configure(items(Residency::Anywhere));
     deployment.wait_upstreams("entry-1", 1);
@@ -99,7 +99,7 @@
         deployment.delete_data(keeper);
     }
     // What waits for the survivor is lost with its senders.
-    deployment.network().forget_open(|_| true, |it| it == "keeper-3");
+    deployment.network().blackhole_open(|_| true, |it| it == "keeper-3");
     deployment.network().partition(|it| it == "keeper-3", false);
     for keeper in ["keeper-1", "keeper-2"] {
         deployment.start_process(keeper);
@@ -144,6 +144,6 @@
     }
     assert_eq!((&known, &after), (&first, &first));
     assert_eq!(lost.json["type"], "outcome-unknown", "{}", lost.text);
-    assert_eq!(keys.map(|it| deployment.runs(it)), [1, 1, 0]);
+    assert_eq!(keys.map(|it| deployment.run_count(it)), [1, 1, 0]);
     assert!(revision(&deployment, "entry-1") > before);
 }
--- a/tests/testsuite/processes/outcomes.rs
+++ b/tests/testsuite/processes/outcomes.rs
@@ -34,11 +34,12 @@
 #[test]
 fn outcome_that_finds_no_majority_is_recorded_once_there_is_one() {
     let deployment = with_service(items(Residency::Anywhere));
-    deployment.fault("desk", &json!({ "kind": "late_answer", "count": 1, "delay_ms": 1_000 }));
+    deployment
+        .inject_fault("desk", &json!({ "kind": "late_answer", "count": 1, "delay_ms": 1_000 }));
 
     let first = thread::scope(|scope| {
         let first = scope.spawn(|| deployment.book("entry-1", "parcel-7", "{}"));
-        wait_for("the run of the booking", || deployment.runs("parcel-7") == 1);
+        wait_for("the run of the booking", || deployment.run_count("parcel-7") == 1);
         deployment.signal("keeper-2", Signal::SIGSTOP);
         deployment.signal("keeper-3", Signal::SIGSTOP);
         first.join().expect("the caller")
@@ -53,20 +54,20 @@
 
     assert_eq!(first.status, 200, "{}", first.text);
     assert_eq!(first.text, again.text);
-    assert_eq!(deployment.runs("parcel-7"), 1);
+    assert_eq!(deployment.run_count("parcel-7"), 1);
 }
 
 #[test]
 fn service_that_tells_outcomes_is_asked_after_a_lost_answer() {
     let deployment = with_service(items_with_outcomes());
-    deployment.fault("desk", &json!({ "kind": "lose_answer", "count": 1 }));
+    deployment.inject_fault("desk", &json!({ "kind": "lose_answer", "count": 1 }));
 
     let first = deployment.book("entry-1", "parcel-7", "{}");
     let again = deployment.book("entry-2", "parcel-7", "{}");
 
     assert_eq!((first.status, again.status), (200, 200), "{} {}", first.text, again.text);
     assert_eq!(first.text, again.text);
-    assert_eq!(deployment.runs("parcel-7"), 1);
+    assert_eq!(deployment.run_count("parcel-7"), 1);
 }
 
 /// The request that the ledger of a service names for a key.
@@ -97,7 +98,8 @@
     deployment.configure(items_with_outcomes());
     deployment.wait_upstreams("entry-1", 1);
     deployment.wait_upstreams("entry-3", 1);
-    deployment.fault("desk", &json!({ "kind": "late_answer", "count": 1, "delay_ms": 60_000 }));
+    deployment
+        .inject_fault("desk", &json!({ "kind": "late_answer", "count": 1, "delay_ms": 60_000 }));
 
     thread::scope(|scope| {
         let lost = scope.spawn(|| deployment.book("entry-1", "parcel-7", "{}"));
@@ -116,7 +118,7 @@
     });
 
     assert_eq!(again.json["id"], request.as_str(), "{}", again.text);
-    assert_eq!(deployment.runs("parcel-7"), 1);
+    assert_eq!(deployment.run_count("parcel-7"), 1);
 }
 
 #[test]
@@ -137,17 +139,18 @@
     assert_eq!(cut_off.json["outcome"], "not_run", "{}", cut_off.text);
     assert_eq!(cut_off.json["earlier"], "unknown", "{}", cut_off.text);
     assert!(cut_off.json["retry_after"].is_u64(), "{}", cut_off.text);
-    assert_eq!(deployment.runs("parcel-7"), 1);
+    assert_eq!(deployment.run_count("parcel-7"), 1);
 }
 
 #[test]
 fn owner_that_died_before_every_keeper_restarted_leaves_its_booking_unknown() {
     let mut deployment = with_service(items(Residency::Anywhere));
-    deployment.fault("desk", &json!({ "kind": "late_answer", "count": 1, "delay_ms": 60_000 }));
+    deployment
+        .inject_fault("desk", &json!({ "kind": "late_answer", "count": 1, "delay_ms": 60_000 }));
 
     thread::scope(|scope| {
         let lost = scope.spawn(|| deployment.book("entry-1", "parcel-7", "{}"));
-        wait_for("the run of the booking", || deployment.runs("parcel-7") == 1);
+        wait_for("the run of the booking", || deployment.run_count("parcel-7") == 1);
         deployment.signal("entry-1", Signal::SIGKILL);
         assert_eq!(lost.join().expect("the caller").status, 0);
     });
@@ -158,7 +161,7 @@
         deployment.book("entry-2", "parcel-7", "{}").json["type"] == "outcome-unknown"
     });
 
-    assert_eq!(deployment.runs("parcel-7"), 1);
+    assert_eq!(deployment.run_count("parcel-7"), 1);
 }
 
 #[test]
--- a/tests/testsuite/processes/partition.rs
+++ b/tests/testsuite/processes/partition.rs
@@ -21,7 +21,7 @@
 }
 
 fn with_service(deployment: Deployment) -> Deployment {
-    let deployment = deployment.relayed().service("desk", "riga-a", "jobdesk").start();
+    let deployment = deployment.with_relays().service("desk", "riga-a", "jobdesk").start();
     deployment.configure(items(Residency::Anywhere));
     deployment.wait_upstreams("entry-1", 1);
     deployment
@@ -44,13 +44,13 @@
     let deployment = with_service(two_regions());
     let first = book_until_answered(&deployment, "entry-1", "parcel-1");
 
-    deployment.network().forget_open(is_keeper, |_| true);
-    deployment.network().forget_open(|_| true, is_keeper);
+    deployment.network().blackhole_open(is_keeper, |_| true);
+    deployment.network().blackhole_open(|_| true, is_keeper);
     book_until_answered(&deployment, "entry-2", "parcel-2");
     let again = book_until_answered(&deployment, "entry-2", "parcel-1");
 
     assert_eq!(first, again);
-    assert_eq!((deployment.runs("parcel-1"), deployment.runs("parcel-2")), (1, 1));
+    assert_eq!((deployment.run_count("parcel-1"), deployment.run_count("parcel-2")), (1, 1));
 }
 
 #[test]
@@ -58,13 +58,13 @@
     let deployment = with_service(two_regions());
     book_until_answered(&deployment, "entry-1", "parcel-1");
 
-    deployment.network().forget_open(is_keeper, |it| !is_keeper(it));
+    deployment.network().blackhole_open(is_keeper, |it| !is_keeper(it));
     book_until_answered(&deployment, "entry-1", "parcel-2");
-    deployment.network().forget_open(|it| !is_keeper(it), is_keeper);
+    deployment.network().blackhole_open(|it| !is_keeper(it), is_keeper);
     book_until_answered(&deployment, "entry-1", "parcel-3");
 
     for key in ["parcel-1", "parcel-2", "parcel-3"] {
-        assert_eq!(deployment.runs(key), 1, "{key}");
+        assert_eq!(deployment.run_count(key), 1, "{key}");
     }
 }
 
@@ -91,7 +91,7 @@
 
     assert_ne!(next, isolated);
     assert_eq!(first, again);
-    assert_eq!((deployment.runs("parcel-1"), deployment.runs("parcel-2")), (1, 1));
+    assert_eq!((deployment.run_count("parcel-1"), deployment.run_count("parcel-2")), (1, 1));
     for keeper in KEEPERS {
         assert_eq!(group(&deployment, keeper, "home-riga")["term"], term, "{keeper}");
     }
@@ -109,9 +109,9 @@
     };
     let deployment = two_regions()
         .keeper("keeper-4", "liepaja-a")
-        .home("kurzeme", &["keeper-2", "keeper-3", "keeper-4"])
-        .home("riga", &["keeper-1", "keeper-2", "keeper-3"])
-        .relayed()
+        .home_voters("kurzeme", &["keeper-2", "keeper-3", "keeper-4"])
+        .home_voters("riga", &["keeper-1", "keeper-2", "keeper-3"])
+        .with_relays()
         .service("desk", "riga-a", "jobdesk")
         .service("desk-2", "liepaja-a", "jobdesk")
         .start();
@@ -133,13 +133,13 @@
 
     assert_eq!(other.status, 503, "{}", other.text);
     assert_eq!(other.json["outcome"], "not_run", "{}", other.text);
-    assert_eq!((deployment.runs("parcel-1"), deployment.runs("parcel-2")), (1, 0));
+    assert_eq!((deployment.run_count("parcel-1"), deployment.run_count("parcel-2")), (1, 0));
 
     deployment.network().partition(is_inside, false);
     book_until_answered(&deployment, far, "parcel-2");
     let again = deployment.book_as(near, "entry-1", "parcel-1", "{}");
     assert_eq!(Some(again.text), own.map(|it| it.text));
-    assert_eq!((deployment.runs("parcel-1"), deployment.runs("parcel-2")), (1, 1));
+    assert_eq!((deployment.run_count("parcel-1"), deployment.run_count("parcel-2")), (1, 1));
 }
 
 #[test]
@@ -199,7 +199,7 @@
     wait_for("a term at the keeper", || term(&deployment).is_some_and(|it| it > 0));
 
     // The restarted keeper has never heard those whose connections to it are silent.
-    deployment.network().forget_open(|_| true, is_restarted);
+    deployment.network().blackhole_open(|_| true, is_restarted);
     deployment.kill("keeper-3");
     deployment.start_process("keeper-3");
 
--- a/tests/testsuite/processes/path.rs
+++ b/tests/testsuite/processes/path.rs
@@ -15,7 +15,7 @@
 
     assert_eq!(reply.status, 200, "{}", reply.text);
     wait_for("the record", || {
-        let path = format!("/requests/{}", reply.request);
+        let path = format!("/requests/{}", reply.request_id);
         deployment.operator_get("entry-2", &path).json["outcome"] == "answered"
     });
 }
@@ -45,7 +45,7 @@
         reply.status == 200
     });
 
-    let path = format!("/requests/{}", reply.request);
+    let path = format!("/requests/{}", reply.request_id);
     wait_for("the record", || {
         deployment.operator_get("entry-1", &path).json["outcome"] == "answered"
     });
--- a/tests/testsuite/processes/shutdown.rs
+++ b/tests/testsuite/processes/shutdown.rs
@@ -12,8 +12,8 @@
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
 use test_support::{
-    caller::{Caller, Outcome, entries_of},
-    deployment::{CALLER_KEY, Deployment, PATIENCE, wait_for},
+    caller::{Caller, Outcome, directory_entries},
+    deployment::{CALLER_KEY, CONDITION_TIMEOUT, Deployment, wait_for},
     stream::Ending,
 };
 
@@ -41,8 +41,8 @@
 
 /// Whether the directory of `asked` lists `entry`.
 fn is_listed(deployment: &Deployment, asked: &str, entry: &str) -> bool {
-    let document = deployment.caller(asked, "GET", "/v1/entries", &[], "").json;
-    entries_of(&document).contains(&deployment.get(entry).callers)
+    let document = deployment.caller_request(asked, "GET", "/v1/entries", &[], "").json;
+    directory_entries(&document).contains(&deployment.get(entry).callers)
 }
 
 /// Waits until all of `entries` are ready and listed in the directory of each.
@@ -78,7 +78,7 @@
     for (it, streamed) in streamed.iter().enumerate() {
         assert_whole(streamed, &format!("shift {it}"), 200);
     }
-    assert!(deployment.wait_end("entry-1"));
+    assert!(deployment.wait_exit("entry-1"));
 }
 
 #[test]
@@ -92,7 +92,7 @@
     );
     let address = deployment.get("entry-1").callers;
     let mut stream = TcpStream::connect(address).expect("a listening port");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a valid timeout");
+    stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("a valid timeout");
     stream.write_all(head.as_bytes()).expect("an open connection");
     // The instance waits for the body once it asks for it.
     let mut wanted = [0; "HTTP/1.1 100 Continue\r\n\r\n".len()];
@@ -106,7 +106,7 @@
 
     assert!(answer.contains("\"type\":\"leaving\""), "{answer}");
     assert!(answer.contains("\"outcome\":\"not_run\""), "{answer}");
-    assert!(deployment.wait_end("entry-1"));
+    assert!(deployment.wait_exit("entry-1"));
 }
 
 #[test]
@@ -120,7 +120,7 @@
     let streamed = stream.finish();
 
     assert_whole(&streamed, "shift", 4_000);
-    assert!(deployment.wait_end("entry-1"));
+    assert!(deployment.wait_exit("entry-1"));
 }
 
 #[test]
@@ -139,7 +139,7 @@
 
     let Ending::Failed(error) = &streamed.ending else { panic!("{streamed:?}") };
     assert!(error.contains("leaving") && error.contains("failed"), "{error}");
-    assert!(deployment.wait_end("entry-3"));
+    assert!(deployment.wait_exit("entry-3"));
 }
 
 #[test]
@@ -153,8 +153,8 @@
     deployment.signal("entry-1", Signal::SIGTERM);
     let streamed = stream.finish();
 
-    assert_eq!(streamed.ending, Ending::Cut);
-    assert!(!deployment.wait_end("entry-1"));
+    assert_eq!(streamed.ending, Ending::Truncated);
+    assert!(!deployment.wait_exit("entry-1"));
 }
 
 /// Sends requests until [`REQUESTS`] were sent and the restarts are over; tells what went wrong.
@@ -209,7 +209,7 @@
             .collect();
         for entry in ENTRIES {
             deployment.signal(entry, Signal::SIGTERM);
-            assert!(deployment.wait_end(entry), "{entry} did not stop well");
+            assert!(deployment.wait_exit(entry), "{entry} did not stop well");
             deployment.start_process(entry);
             wait_listed(&deployment, &ENTRIES);
         }
--- a/tests/testsuite/processes/streams.rs
+++ b/tests/testsuite/processes/streams.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use test_support::{
     deployment::{Deployment, Reply, call, wait_for},
-    stream::{Ending, Streamed},
+    stream::{Ending, StreamedAnswer},
 };
 
 use crate::processes::fixture::{
@@ -19,10 +19,10 @@
 const TOKENS: usize = 300;
 
 /// Injects a fault into the only engine while a stream flows; gives the stream's end.
-fn stream_through(deployment: &Deployment, prompt: &str, fault: &Value) -> Streamed {
+fn stream_through(deployment: &Deployment, prompt: &str, fault: &Value) -> StreamedAnswer {
     let mut stream = deployment.open_stream("entry-1", prompt, TOKENS);
     stream.read_tokens(20);
-    deployment.fault("engine-1", fault);
+    deployment.inject_fault("engine-1", fault);
     stream.finish()
 }
 
@@ -30,10 +30,10 @@
 fn whole_through(deployment: &Deployment, fault: &Value) -> Reply {
     let body = json!({ "model": "medlar", "prompt": "shift", "max_tokens": TOKENS }).to_string();
     thread::scope(|scope| {
-        let whole =
-            scope.spawn(|| deployment.caller("entry-1", "POST", "/v1/completions", &[], &body));
+        let whole = scope
+            .spawn(|| deployment.caller_request("entry-1", "POST", "/v1/completions", &[], &body));
         wait_for("the request to run", || state(deployment, "engine-1")["running"] == 1);
-        deployment.fault("engine-1", fault);
+        deployment.inject_fault("engine-1", fault);
         whole.join().expect("no panic")
     })
 }
@@ -73,8 +73,8 @@
     let mut stream = deployment.open_stream("entry-1", "shift", TOKENS);
     stream.read_tokens(20);
     // Longer than one resumption waits, and than an announcement is valid; the second one is in time.
-    deployment.fault("engine-1", &json!({ "kind": "freeze", "for_ms": 3_000 }));
-    deployment.fault("engine-1", &json!({ "kind": "cut_open_connections" }));
+    deployment.inject_fault("engine-1", &json!({ "kind": "freeze", "for_ms": 3_000 }));
+    deployment.inject_fault("engine-1", &json!({ "kind": "cut_open_connections" }));
     let streamed = stream.finish();
 
     assert_whole(&streamed, "shift", TOKENS);
@@ -87,9 +87,9 @@
     assert_whole(&deployment.stream("entry-1", "warm", 10), "warm", 10);
     let silence = json!({ "kind": "silence_open_connections" });
 
-    deployment.fault("engine-1", &silence);
+    deployment.inject_fault("engine-1", &silence);
     let streamed = deployment.stream("entry-1", "shift one", 10);
-    deployment.fault("engine-1", &silence);
+    deployment.inject_fault("engine-1", &silence);
     let whole = deployment.complete("entry-1", "medlar", "shift two");
 
     assert_whole(&streamed, "shift one", 10);
@@ -120,7 +120,8 @@
 #[test]
 fn call_whose_connection_broke_before_it_was_taken_in_costs_no_retry() {
     let deployment = with_engines(1, 500);
-    let drop_next = || deployment.fault("engine-1", &json!({ "kind": "drop_call", "count": 1 }));
+    let drop_next =
+        || deployment.inject_fault("engine-1", &json!({ "kind": "drop_call", "count": 1 }));
 
     // One more of each kind than the budget has retries.
     for it in 0..=MAX_STORED_RETRIES {
@@ -141,7 +142,7 @@
 fn answer_that_is_lost_at_every_upstream_is_never_called_not_run() {
     let deployment = with_engines(2, 500);
     for engine in ["engine-1", "engine-2"] {
-        deployment.fault(engine, &json!({ "kind": "lose_answer", "count": 10 }));
+        deployment.inject_fault(engine, &json!({ "kind": "lose_answer", "count": 10 }));
     }
 
     let lost = deployment.complete("entry-1", "medlar", "shift");
@@ -160,7 +161,7 @@
     let streamed = stream.finish();
 
     let Ending::Failed(error) = &streamed.ending else { panic!("{streamed:?}") };
-    assert!(error.contains("failed") && error.contains(&streamed.request), "{error}");
+    assert!(error.contains("failed") && error.contains(&streamed.request_id), "{error}");
     assert!(expected("shift", Some(TOKENS)).starts_with(&streamed.text));
 }
 
@@ -168,7 +169,7 @@
 fn upstream_that_is_killed_before_the_first_event_is_replaced_by_another() {
     let deployment = with_engines(2, 500);
     let late = json!({ "kind": "late_answer", "count": 1, "delay_ms": 60_000 });
-    ["engine-1", "engine-2"].iter().for_each(|it| drop(deployment.fault(it, &late)));
+    ["engine-1", "engine-2"].iter().for_each(|it| drop(deployment.inject_fault(it, &late)));
 
     let streamed = thread::scope(|scope| {
         let shared = &deployment;
@@ -181,7 +182,7 @@
         });
         let place = place.expect("an upstream");
         let other = if place == "engine-1" { "engine-2" } else { "engine-1" };
-        shared.fault(other, &json!({ "kind": "clear" }));
+        shared.inject_fault(other, &json!({ "kind": "clear" }));
         shared.signal(place, Signal::SIGKILL);
         streamed.join().expect("no panic")
     });
@@ -208,8 +209,9 @@
         deployment.stream("entry-1", &format!("warm {it}"), 4);
     }
     for engine in ["engine-1", "engine-2"] {
-        deployment.fault(engine, &json!({ "kind": "crossed_answer", "count": 1 }));
-        deployment.fault(engine, &json!({ "kind": "late_answer", "count": 2, "delay_ms": 300 }));
+        deployment.inject_fault(engine, &json!({ "kind": "crossed_answer", "count": 1 }));
+        deployment
+            .inject_fault(engine, &json!({ "kind": "late_answer", "count": 2, "delay_ms": 300 }));
     }
 
     let streamed = deployment.stream("entry-1", "shift one", 10);
@@ -230,15 +232,15 @@
     deployment.configure(items(Residency::Anywhere));
     deployment.wait_upstreams("entry-1", 4);
 
-    let all: Vec<Streamed> = thread::scope(|scope| {
+    let all: Vec<StreamedAnswer> = thread::scope(|scope| {
         let shared = &deployment;
         let one = |it: usize| shared.stream("entry-1", &format!("shift {it}"), 40 + it);
         let running: Vec<_> = (0..100).map(|it| scope.spawn(move || one(it))).collect();
         wait_for("streams at every engine", || {
             shared.upstreams.iter().all(|it| state(shared, &it.id)["running"] != 0)
         });
-        shared.fault("engine-1", &json!({ "kind": "cut_open_connections" }));
-        shared.fault("engine-2", &json!({ "kind": "silence_open_connections" }));
+        shared.inject_fault("engine-1", &json!({ "kind": "cut_open_connections" }));
+        shared.inject_fault("engine-2", &json!({ "kind": "silence_open_connections" }));
         running.into_iter().map(|it| it.join().expect("no panic")).collect()
     });
 
--- a/tests/testsuite/processes/upstreams.rs
+++ b/tests/testsuite/processes/upstreams.rs
@@ -98,7 +98,7 @@
     for (it, streamed) in streamed.iter().enumerate() {
         assert_whole(streamed, &format!("long {it}"), 300);
     }
-    assert!(deployment.wait_end("engine-1"));
+    assert!(deployment.wait_exit("engine-1"));
 }
 
 #[test]
@@ -154,7 +154,8 @@
     let headers = [("idempotency-key", "parcel-7"), ("x-deadline-ms", "1000")];
     let (place, reply) = thread::scope(|scope| {
         let path = "/v1/services/jobdesk/jobs";
-        let booking = scope.spawn(|| deployment.caller("entry-1", "POST", path, &headers, "{}"));
+        let booking =
+            scope.spawn(|| deployment.caller_request("entry-1", "POST", path, &headers, "{}"));
         let mut place = None;
         wait_for("the booking to run", || {
             place = ["desk-1", "desk-2"].into_iter().find(running);
@@ -172,5 +173,5 @@
         assert_eq!(it.json["outcome"], "unknown", "{}", it.text);
     }
     wait_for("the end of the call", || state(&deployment, place)["running"] == 0);
-    assert_eq!(deployment.runs("parcel-7"), 1);
+    assert_eq!(deployment.run_count("parcel-7"), 1);
 }
