--- a/crates/test-support/src/caller.rs
+++ b/crates/test-support/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that follows the directory of entry instances.
+//! A caller that finds entry instances through their directory.
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -9,26 +9,27 @@
 /// How a request of a [`Caller`] ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered with this body.
+    /// It was answered with status 200 and this body.
     Answered(String),
-    /// It was refused, or failed, with this status and body.
+    /// It was refused or failed, with this status and body.
     Refused(u16, String),
-    /// Its connection broke before the whole answer.
+    /// The connection failed before the answer was complete, or no entry instance accepted the
+    /// request; the text of the error.
     Disconnected(String),
 }
 
-/// A caller that asks where to send its requests, and goes on to the next entry instance when one
-/// is leaving or does not listen.
+/// A caller that fetches the directory of entry instances, and tries the next instance when one
+/// is leaving or refuses the connection.
 pub struct Caller {
     agent: ureq::Agent,
     entries: Vec<SocketAddr>,
-    asked: Option<Instant>,
-    lifetime: u64,
-    start: Vec<SocketAddr>,
+    fetched_at: Option<Instant>,
+    lifetime_seconds: u64,
+    initial_entries: Vec<SocketAddr>,
 }
 
 impl Caller {
-    /// A caller that knows the addresses of the deployment's entry instances.
+    /// A caller that starts with the addresses of all entry instances of the deployment.
     pub fn new(deployment: &Deployment) -> Caller {
         let agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -37,11 +38,17 @@
             .build()
             .into();
         let entries = deployment.instances.iter().filter(|it| it.is_entry);
-        let start = entries.map(|it| it.callers).collect();
-        Caller { agent, entries: Vec::new(), asked: None, lifetime: 0, start }
+        let initial_entries = entries.map(|it| it.callers).collect();
+        Caller {
+            agent,
+            entries: Vec::new(),
+            fetched_at: None,
+            lifetime_seconds: 0,
+            initial_entries,
+        }
     }
 
-    /// Sends a completion until an instance takes it in.
+    /// Sends a completion request to the entry instances in turn until one accepts it.
     pub fn complete(&mut self, prompt: &str, tokens: usize, stream: bool) -> Outcome {
         let body = json!({
             "model": "medlar", "prompt": prompt, "max_tokens": tokens, "stream": stream
@@ -53,14 +60,14 @@
             for address in self.entries.clone() {
                 match self.send(address, &body) {
                     Some(outcome) => return outcome,
-                    None => self.asked = None,
+                    None => self.fetched_at = None,
                 }
             }
         }
-        Outcome::Disconnected("no instance takes the request in".into())
+        Outcome::Disconnected("no entry instance accepted the request".into())
     }
 
-    /// Sends a request to one instance; `None` if that one can't have begun it.
+    /// Sends a request to one instance. Returns `None` if the instance can't have started it.
     fn send(&self, address: SocketAddr, body: &str) -> Option<Outcome> {
         let request = self
             .agent
@@ -68,7 +75,7 @@
             .header("authorization", format!("Bearer {CALLER_KEY}"));
         let mut answer = match request.send(body) {
             Ok(answer) => answer,
-            Err(error) if is_refused(&error) => return None,
+            Err(error) if is_connection_refused(&error) => return None,
             Err(error) => return Some(Outcome::Disconnected(error.to_string())),
         };
         let status = answer.status().as_u16();
@@ -86,12 +93,13 @@
         }
     }
 
-    /// Asks for the directory when the known one has run out.
+    /// Fetches the directory if the known one has expired.
     fn refresh(&mut self) {
-        if self.asked.is_some_and(|it| it.elapsed().as_secs() < self.lifetime) {
+        if self.fetched_at.is_some_and(|it| it.elapsed().as_secs() < self.lifetime_seconds) {
             return;
         }
-        let known: Vec<SocketAddr> = self.entries.iter().chain(&self.start).copied().collect();
+        let known: Vec<SocketAddr> =
+            self.entries.iter().chain(&self.initial_entries).copied().collect();
         for address in known {
             let request = self
                 .agent
@@ -101,22 +109,22 @@
             let document: Value = answer.body_mut().read_json().unwrap_or_default();
             let entries = directory_entries(&document);
             if !entries.is_empty() {
-                self.lifetime = document["lifetime"].as_u64().unwrap_or(0);
+                self.lifetime_seconds = document["lifetime"].as_u64().unwrap_or(0);
                 self.entries = entries;
-                self.asked = Some(Instant::now());
+                self.fetched_at = Some(Instant::now());
                 return;
             }
         }
     }
 }
 
-/// The addresses that a directory lists, in order.
+/// The addresses that a directory document lists, in its order.
 pub fn directory_entries(document: &Value) -> Vec<SocketAddr> {
     let listed = document["entries"].as_array().cloned().unwrap_or_default();
     listed.iter().filter_map(|it| it["address"].as_str()?.parse().ok()).collect()
 }
 
-fn is_refused(error: &ureq::Error) -> bool {
+fn is_connection_refused(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::ConnectionFailed => true,
         ureq::Error::Io(error) => error.kind() == std::io::ErrorKind::ConnectionRefused,
--- a/crates/test-support/src/deployment/mod.rs
+++ b/crates/test-support/src/deployment/mod.rs
@@ -1,7 +1,7 @@
-//! A deployment of real processes on loopback, for a few tests of what only processes show.
+//! A deployment of real processes on loopback, for tests that need more than the cores.
 //!
-//! Processes are started and stopped by the test alone, and killed when the deployment is
-//! dropped.
+//! Processes are started and stopped by the test only; nothing restarts them. They are killed
+//! when the deployment is dropped.
 
 mod requests;
 mod settings;
@@ -28,10 +28,14 @@
 /// Bearer key of the team `survey`.
 pub const CALLER_KEY: &str = "caller-key-of-survey";
 
-/// Longest wait for anything that a test waits for.
+/// Longest wait of a test for a condition, and for the whole answer to a request.
 pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `condition` holds.
+/// Waits until `condition` holds, which is checked every 25 ms.
+///
+/// # Panics
+///
+/// Panics if it does not hold within [`CONDITION_TIMEOUT`].
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + CONDITION_TIMEOUT;
     while !condition() {
@@ -47,13 +51,13 @@
     pub id: String,
     /// Its zone.
     pub zone: String,
-    /// Whether it is an entry instance.
+    /// Whether it is an entry instance; otherwise it is a keeper.
     pub is_entry: bool,
-    /// Whether it has a data folder.
+    /// Whether its settings name a data folder.
     pub has_disk: bool,
     /// Address for callers; unused by keepers.
     pub callers: SocketAddr,
-    /// Address for operators.
+    /// Address of the operators' interface.
     pub operators: SocketAddr,
     internal: SocketAddr,
     /// Address for messages of other instances.
@@ -67,32 +71,32 @@
     pub id: String,
     /// Its zone.
     pub zone: String,
-    /// Its kind, in the settings' YAML.
+    /// Its kind, as YAML of the settings file.
     pub kind: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// Further settings, one line of YAML each.
     pub extra: Vec<String>,
-    /// Address at which it takes requests.
+    /// Address at which it accepts requests; the first one of a pool.
     pub address: SocketAddr,
-    /// Address of its control port.
+    /// Address of its control port, for injected faults; the first one of a pool.
     pub control: SocketAddr,
 }
 
-/// Equal engines of one model.
+/// Identical engines of one model that run in one process.
 #[derive(Debug, Clone, Copy)]
 pub struct Pool<'a> {
-    /// The model.
+    /// Id of the model.
     pub model: &'a str,
     /// Number of engines.
     pub count: usize,
-    /// Slots of each.
+    /// Slots of each engine.
     pub slots: u32,
-    /// Tokens a second of one stream that runs alone.
+    /// Tokens per second of a stream that runs alone on its engine.
     pub speed: u32,
 }
 
-/// A deployment under construction or running.
+/// A deployment of entry instances, keepers and emulated upstreams; [`Deployment::start`] runs it.
 pub struct Deployment {
     folder: TempDir,
     binaries: PathBuf,
@@ -102,15 +106,16 @@
     /// Emulated upstreams, one process each.
     pub upstreams: Vec<Upstream>,
     processes: Mutex<Vec<(String, Child)>>,
-    /// The relays between instances, if [`Deployment::with_relays`] asks for them.
+    /// The relays between instances, if enabled by [`Deployment::with_relays`].
     pub network: Option<Network>,
-    homes: Vec<(String, Vec<String>)>,
-    /// Limits of entry instances, as lines of YAML.
+    home_voters: Vec<(String, Vec<String>)>,
+    /// Limits in the settings of entry instances, as lines of YAML.
     pub limits: String,
 }
 
 impl Deployment {
-    /// A deployment without a process; `binaries` is the folder of the built programs.
+    /// A deployment without processes. `binaries` is the folder of the built programs, `zones` lists
+    /// pairs of zone and region.
     pub fn new(binaries: &Path, zones: &[(&str, &str)]) -> Deployment {
         let owned = |it: &(&str, &str)| (it.0.to_owned(), it.1.to_owned());
         Deployment {
@@ -121,7 +126,7 @@
             upstreams: Vec::new(),
             processes: Mutex::default(),
             network: None,
-            homes: Vec::new(),
+            home_voters: Vec::new(),
             limits: String::new(),
         }
     }
@@ -132,31 +137,35 @@
         self
     }
 
-    /// Names the voters of a region's home group; otherwise every keeper is one.
+    /// Sets the voters of a region's home group, which are all keepers by default.
     pub fn home_voters(mut self, region: &str, voters: &[&str]) -> Deployment {
         let voters = voters.iter().map(|it| (*it).to_owned()).collect();
-        self.homes.push((region.into(), voters));
+        self.home_voters.push((region.into(), voters));
         self
     }
 
     /// The relays between the instances.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the deployment was built without [`Deployment::with_relays`].
     pub fn network(&self) -> &Network {
         self.network.as_ref().expect("a deployment with relays")
     }
 
-    /// Gives an entry instance a disk.
+    /// Gives an entry instance a data folder.
     pub fn with_disk(mut self, id: &str) -> Deployment {
         let it = self.instances.iter_mut().find(|it| it.id == id).expect("an instance");
         it.has_disk = true;
         self
     }
 
-    /// Adds an entry instance.
+    /// Adds an entry instance without a data folder.
     pub fn entry(self, id: &str, zone: &str) -> Deployment {
         self.instance(id, zone, true)
     }
 
-    /// Adds a keeper with a disk.
+    /// Adds a keeper with a data folder.
     pub fn keeper(self, id: &str, zone: &str) -> Deployment {
         self.instance(id, zone, false)
     }
@@ -175,14 +184,14 @@
         self
     }
 
-    /// Adds an engine that serves `model` in version `v1`.
+    /// Adds an emulated engine that serves version `v1` of `model`.
     pub fn engine(self, id: &str, zone: &str, model: &str) -> Deployment {
         let kind = format!("{{ engine: {{ models: [{{ model: {model}, version: v1 }}] }} }}");
         let extra = ["speed: 500", "prefill: 100000", "cache: 100000", "fencing: true"];
         self.upstream(id, zone, kind, &extra)
     }
 
-    /// Adds equal engines that run in one process.
+    /// Adds identical emulated engines that run in one process.
     pub fn pool(mut self, id: &str, zone: &str, pool: Pool) -> Deployment {
         let Pool { model, count, slots, speed } = pool;
         let kind = format!("{{ engine: {{ models: [{{ model: {model}, version: v1 }}] }} }}");
@@ -202,7 +211,7 @@
         self
     }
 
-    /// Adds a plain service.
+    /// Adds an emulated plain service.
     pub fn service(self, id: &str, zone: &str, service: &str) -> Deployment {
         self.upstream(id, zone, format!("{{ service: {{ service: {service} }} }}"), &[])
     }
@@ -220,7 +229,7 @@
         self
     }
 
-    /// Writes the settings and starts every process.
+    /// Writes the settings and starts every process; does not wait until they are ready.
     pub fn start(mut self) -> Deployment {
         self.start_relays();
         self.write_settings();
@@ -230,30 +239,32 @@
         self
     }
 
-    /// Adds lines to the settings of a process, which reads them at its next start.
+    /// Appends lines to the settings of a process, which reads them at its next start.
     pub fn append_settings(&self, id: &str, lines: &str) {
         let file = self.folder.path().join(format!("{id}.yaml"));
         let text = fs::read_to_string(&file).expect("a settings file");
         fs::write(file, text + lines).expect("a settings file");
     }
 
-    /// Starts the process of an instance or upstream.
+    /// Starts the process of an instance or upstream, whose settings are written already.
     pub fn start_process(&mut self, id: &str) {
         self.spawn(id);
     }
 
-    /// Kills a process and starts it again, while other threads use the deployment.
+    /// Kills a process and starts it again. Takes `&self`, so that other threads may use the
+    /// deployment meanwhile.
     pub fn restart(&self, id: &str) {
-        let (_, mut child) = self.take(id);
-        child.kill().expect("the process is there");
-        child.wait().expect("the process has ended");
+        let (_, mut child) = self.remove_process(id);
+        child.kill().expect("the process exists");
+        child.wait().expect("the process exits");
         self.spawn(id);
     }
 
-    fn take(&self, id: &str) -> (String, Child) {
-        let mut processes = self.processes.lock().expect("no test has panicked here");
-        let place = processes.iter().position(|it| it.0 == id).expect("a running process");
-        processes.swap_remove(place)
+    fn remove_process(&self, id: &str) -> (String, Child) {
+        let mut processes =
+            self.processes.lock().expect("no thread panicked while holding the lock");
+        let index = processes.iter().position(|it| it.0 == id).expect("a running process");
+        processes.swap_remove(index)
     }
 
     fn spawn(&self, id: &str) {
@@ -274,10 +285,13 @@
             .stderr(Stdio::from(log))
             .spawn()
             .expect("a built program");
-        self.processes.lock().expect("no test has panicked here").push((id.into(), child));
+        self.processes
+            .lock()
+            .expect("no thread panicked while holding the lock")
+            .push((id.into(), child));
     }
 
-    /// Rebuilds a group from the data folder of a stopped keeper; tells whether it succeeded.
+    /// Rebuilds a group from the data folder of a stopped keeper. Returns whether it succeeded.
     pub fn rebuild(&self, id: &str, group: &str) -> bool {
         let settings = self.settings(id);
         let status = Command::new(self.binaries.join("medlarlug-keeper"))
@@ -290,78 +304,82 @@
         status.expect("a built program").success()
     }
 
-    /// The process id of a running process.
+    /// The operating system's id of a running process.
     ///
     /// # Panics
     ///
-    /// Panics when the process does not run.
+    /// Panics if the process is not running.
     pub fn pid(&self, id: &str) -> u32 {
-        let processes = self.processes.lock().expect("no test has panicked here");
+        let processes = self.processes.lock().expect("no thread panicked while holding the lock");
         processes.iter().find(|it| it.0 == id).expect("a running process").1.id()
     }
 
-    /// Sends a signal to a process that was started here.
+    /// Sends a signal to a process of this deployment; see [`signals::send`].
     pub fn signal(&self, id: &str, signal: Signal) {
-        let processes = self.processes.lock().expect("no test has panicked here");
+        let processes = self.processes.lock().expect("no thread panicked while holding the lock");
         let child = processes.iter().find(|it| it.0 == id).expect("a running process");
         signals::send(child.1.id(), signal);
     }
 
-    /// Whether no thread of a process runs any more.
+    /// Whether every thread of a process is stopped; see [`signals::is_stopped`].
     pub fn is_stopped(&self, id: &str) -> bool {
-        let processes = self.processes.lock().expect("no test has panicked here");
+        let processes = self.processes.lock().expect("no thread panicked while holding the lock");
         let child = processes.iter().find(|it| it.0 == id).expect("a running process");
         signals::is_stopped(child.1.id())
     }
 
-    /// Kills a process and waits for its end.
+    /// Kills a process and waits until it has exited.
     pub fn kill(&mut self, id: &str) {
-        let (_, mut child) = self.take(id);
-        child.kill().expect("the process is there");
-        child.wait().expect("the process has ended");
+        let (_, mut child) = self.remove_process(id);
+        child.kill().expect("the process exists");
+        child.wait().expect("the process exits");
     }
 
-    /// Waits until a process has ended by itself; tells whether it succeeded.
+    /// Waits until a process exits by itself. Returns whether its exit status is success.
     pub fn wait_exit(&mut self, id: &str) -> bool {
-        let (_, mut child) = self.take(id);
+        let (_, mut child) = self.remove_process(id);
         let mut status = None;
-        wait_for("the end of the process", || {
+        wait_for("the exit of the process", || {
             status = child.try_wait().expect("the process was started here");
             status.is_some()
         });
         status.is_some_and(|it| it.success())
     }
 
-    /// Deletes what a keeper has stored.
+    /// Deletes the data folder of a stopped instance.
     pub fn delete_data(&self, id: &str) {
-        let _ = fs::remove_dir_all(self.data(id));
+        let _ = fs::remove_dir_all(self.data_folder(id));
     }
 
-    /// Copies what a stopped keeper has stored to a backup.
+    /// Copies the data folder of a stopped keeper to a backup.
     pub fn back_up(&self, id: &str) {
-        copy_files(&self.data(id), &self.folder.path().join(format!("backup-{id}")));
+        copy_files(&self.data_folder(id), &self.folder.path().join(format!("backup-{id}")));
     }
 
-    /// Puts the backup of a stopped keeper into its empty data folder.
+    /// Copies the backup of a stopped keeper into its empty data folder.
     pub fn restore(&self, id: &str) {
-        copy_files(&self.folder.path().join(format!("backup-{id}")), &self.data(id));
+        copy_files(&self.folder.path().join(format!("backup-{id}")), &self.data_folder(id));
     }
 
-    fn data(&self, id: &str) -> PathBuf {
+    fn data_folder(&self, id: &str) -> PathBuf {
         self.folder.path().join(format!("data-{id}"))
     }
 
-    /// The settings file of a process.
+    /// Path of the settings file of a process.
     pub fn settings(&self, id: &str) -> PathBuf {
         self.folder.path().join(format!("{id}.yaml"))
     }
 
-    /// The log of a process.
+    /// Log output of a process, over all its starts; empty if it was never started.
     pub fn log(&self, id: &str) -> String {
         fs::read_to_string(self.folder.path().join(format!("{id}.log"))).unwrap_or_default()
     }
 
-    /// An instance.
+    /// The instance with this id.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the deployment has none.
     pub fn get(&self, id: &str) -> &Instance {
         self.instances.iter().find(|it| it.id == id).expect("an instance of the deployment")
     }
@@ -382,7 +400,7 @@
     }
 }
 
-/// Copies the files of a folder without folders in it.
+/// Copies the files of a folder, which must have no subfolders.
 fn copy_files(from: &Path, to: &Path) {
     fs::create_dir_all(to).expect("a new folder");
     for entry in fs::read_dir(from).expect("a data folder") {
--- a/crates/test-support/src/deployment/requests.rs
+++ b/crates/test-support/src/deployment/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the processes of a deployment, and the waits for what they tell.
+//! Requests to the processes of a deployment, and waits for the state that they report.
 
 use std::net::SocketAddr;
 
@@ -8,12 +8,12 @@
 use super::{CALLER_KEY, CONDITION_TIMEOUT, Deployment, OPERATOR_KEY, wait_for};
 
 impl Deployment {
-    /// Asks the operators' interface of an instance.
+    /// Sends a GET request to the operators' interface of an instance, as the operator `anna`.
     pub fn operator_get(&self, id: &str, path: &str) -> Reply {
         call("GET", self.get(id).operators, path, &[("authorization", &bearer(OPERATOR_KEY))], "")
     }
 
-    /// Applies a release note of `items`; tells the status and the answer.
+    /// Applies a release note through the operators' interface of an instance.
     pub fn apply(&self, id: &str, note: &RawNote) -> Reply {
         let body = serde_json::to_string(note).expect("a note is JSON");
         let headers = [("authorization", bearer(OPERATOR_KEY))];
@@ -21,7 +21,8 @@
         call("POST", self.get(id).operators, "/release/apply", &headers, &body)
     }
 
-    /// Applies the first release note and waits until every entry instance serves under it.
+    /// Applies the first release note and waits until every entry instance uses it and the home
+    /// groups are founded.
     pub fn configure(&self, items: Vec<Item>) {
         let note = crate::note(0, items);
         let entry = self.instances.iter().find(|it| it.is_entry).expect("an entry instance");
@@ -35,7 +36,7 @@
         self.wait_founded();
     }
 
-    /// Waits until the home groups take bookings in.
+    /// Waits until the home groups are founded, after which they accept bookings.
     fn wait_founded(&self) {
         for it in self.instances.iter().filter(|it| !it.is_entry) {
             wait_for("the founding of the home groups", || {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Waits until an entry instance knows that many upstreams of its zone.
+    /// Waits until an entry instance knows at least `count` upstreams of its zone.
     pub fn wait_upstreams(&self, id: &str, count: usize) {
         wait_for("announcements of upstreams", || {
             let known = self.operator_get(id, "/upstreams").json;
@@ -56,7 +57,7 @@
         });
     }
 
-    /// Calls an entry instance as the team `survey`.
+    /// Sends a request to an entry instance as the team `survey`.
     pub fn caller_request(
         &self,
         id: &str,
@@ -71,25 +72,25 @@
         call(method, self.get(id).callers, path, &all, body)
     }
 
-    /// Sends a completion that is not streamed.
+    /// Requests a completion that is not streamed, as the team `survey`.
     pub fn complete(&self, id: &str, model: &str, prompt: &str) -> Reply {
         let body = serde_json::json!({ "model": model, "prompt": prompt, "max_tokens": 4 });
         self.caller_request(id, "POST", "/v1/completions", &[], &body.to_string())
     }
 
-    /// Sends a booking under an idempotency key.
+    /// Sends a booking with an idempotency key as the team `survey`.
     pub fn book(&self, id: &str, key: &str, body: &str) -> Reply {
         let headers = [("idempotency-key", key)];
         self.caller_request(id, "POST", "/v1/services/jobdesk/jobs", &headers, body)
     }
 
-    /// Waits until a booking is taken in by every entry instance, after processes were disturbed.
+    /// Waits until a booking succeeds at every entry instance, for use after injected faults.
     pub fn wait_recovered(&self) {
         for (count, it) in self.instances.iter().filter(|it| it.is_entry).enumerate() {
-            let mut tries = 0;
-            wait_for("a booking after the disturbance", || {
-                tries += 1;
-                self.book(&it.id, &format!("settle-{count}-{tries}"), "{}").status == 200
+            let mut attempts = 0;
+            wait_for("a booking after the faults", || {
+                attempts += 1;
+                self.book(&it.id, &format!("settle-{count}-{attempts}"), "{}").status == 200
             });
         }
     }
@@ -101,13 +102,13 @@
         call("POST", self.get(id).callers, "/v1/services/jobdesk/jobs", &headers, body)
     }
 
-    /// How often a service ran the call with this key, over all upstreams.
+    /// How often the services ran the call with this idempotency key, over all upstreams.
     pub fn run_count(&self, key: &str) -> u64 {
         let services = self.upstreams.iter().filter(|it| it.kind.contains("service"));
-        services.map(|it| runs_at(it.control, key)).sum()
+        services.map(|it| run_count_at(it.control, key)).sum()
     }
 
-    /// Injects a fault into an upstream.
+    /// Injects a fault, in the JSON form of the control port, into an emulated upstream.
     pub fn inject_fault(&self, upstream: &str, fault: &Value) -> Reply {
         let upstream = self.upstreams.iter().find(|it| it.id == upstream).expect("an upstream");
         call("POST", upstream.control, "/faults", &[], &fault.to_string())
@@ -118,7 +119,7 @@
     format!("Bearer {key}")
 }
 
-fn runs_at(control: SocketAddr, key: &str) -> u64 {
+fn run_count_at(control: SocketAddr, key: &str) -> u64 {
     let runs = call("GET", control, "/runs", &[], "").json;
     let list = runs["runs"].as_array().cloned().unwrap_or_default();
     let counts = list.iter().filter(|it| it["key"] == key).filter_map(|it| it["count"].as_u64());
@@ -128,17 +129,17 @@
 /// An HTTP answer.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// Its status; 0 when there was no answer.
+    /// HTTP status; 0 if there was no complete answer.
     pub status: u16,
-    /// Its `x-request-id`.
+    /// Value of the header `x-request-id`; empty if there was none.
     pub request_id: String,
-    /// Its body.
+    /// The body as text.
     pub text: String,
-    /// Its body as JSON, or null.
+    /// The body as JSON; null if it is none.
     pub json: Value,
 }
 
-/// Sends an HTTP request and reads the whole answer.
+/// Sends an HTTP request and reads the whole answer, within [`CONDITION_TIMEOUT`].
 pub fn call(
     method: &str,
     address: SocketAddr,
--- a/crates/test-support/src/deployment/settings.rs
+++ b/crates/test-support/src/deployment/settings.rs
@@ -20,7 +20,7 @@
         self.write("deployment.key", "an example of a long deployment key\n");
         let key = Fingerprint::of(OPERATOR_KEY.as_bytes());
         for it in &self.instances {
-            self.write(&format!("cluster-{}.yaml", it.id), &self.cluster(&it.id));
+            self.write(&format!("cluster-{}.yaml", it.id), &self.cluster_file(&it.id));
             let data = match it.has_disk {
                 true => format!("data: data-{}\n", it.id),
                 false => String::new(),
@@ -38,10 +38,9 @@
         }
     }
 
-    /// Names the files of the deployment keys, the signing one first, in the settings of every
-    /// process, which reads them at its next start.
+    /// Sets the deployment key files in the settings of every process, the signing key first.
     ///
-    /// Files that are not there are written, each with a key of its own.
+    /// A process reads them at its next start. Missing files are created, each with its own key.
     pub fn set_keys(&self, files: &[&str]) {
         for file in files {
             if !self.folder.path().join(file).exists() {
@@ -60,15 +59,15 @@
         }
     }
 
-    /// The cluster file that the process of `reader` reads.
-    fn cluster(&self, reader: &str) -> String {
+    /// The cluster file for the process `reader`, with relays as the addresses of the others.
+    fn cluster_file(&self, reader: &str) -> String {
         let mut text = String::from("zones:\n");
         for (zone, region) in &self.zones {
             text.push_str(&format!("  - {{ id: {zone}, region: {region} }}\n"));
         }
         text.push_str("instances:\n");
         for it in &self.instances {
-            let (kind, more) = match it.is_entry {
+            let (kind, extra) = match it.is_entry {
                 true => ("entry", format!("callers: \"{}\"", it.callers)),
                 false => ("keeper", "durable: true".to_owned()),
             };
@@ -77,7 +76,7 @@
             let internal = link.map_or(it.internal, |link| link.internal.address());
             text.push_str(&format!(
                 "  - {{ id: {}, kind: {kind}, zone: {}, internal: \"{}\", peers: \"{}\", \
-                 operators: \"{}\", {more} }}\n",
+                 operators: \"{}\", {extra} }}\n",
                 it.id, it.zone, internal, peers, it.operators
             ));
         }
@@ -89,16 +88,16 @@
         regions.sort();
         regions.dedup();
         for region in regions {
-            let named = self.homes.iter().find(|it| it.0 == *region);
-            let voters = named.map_or(voters.clone(), |it| it.1.join(", "));
+            let configured = self.home_voters.iter().find(|it| it.0 == *region);
+            let voters = configured.map_or(voters.clone(), |it| it.1.join(", "));
             text.push_str(&format!("  - {{ region: {region}, voters: [{voters}] }}\n"));
         }
         text
     }
 
     fn upstream_settings(&self, upstream: &Upstream) -> String {
-        let near = self.instances.iter().filter(|it| it.is_entry && it.zone == upstream.zone);
-        let near: Vec<String> = near.map(|it| format!("\"{}\"", it.internal)).collect();
+        let entries = self.instances.iter().filter(|it| it.is_entry && it.zone == upstream.zone);
+        let entries: Vec<String> = entries.map(|it| format!("\"{}\"", it.internal)).collect();
         let mut text = format!(
             "key: [deployment.key]\nupstreams:\n  - id: {}\n    zone: {}\n    address: {}\n    \
              control: {}\n    announce_to: [{}]\n    kind: {}\n    slots: {}\n    lag_ms: 100\n",
@@ -106,7 +105,7 @@
             upstream.zone,
             upstream.address,
             upstream.control,
-            near.join(", "),
+            entries.join(", "),
             upstream.kind,
             upstream.slots
         );
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,4 +1,4 @@
-//! Builders and fixtures for the test suites.
+//! Builders and fixtures for the tests and benchmarks of the workspace.
 
 pub mod caller;
 pub mod deployment;
@@ -23,20 +23,24 @@
 
 use crate::deployment::CALLER_KEY;
 
-/// Parses an id out of a literal.
+/// Parses an id, or another type of the configuration, from a literal.
+///
+/// # Panics
+///
+/// Panics if the text is not valid.
 pub fn id<T: std::str::FromStr>(text: &str) -> T {
     match text.parse() {
         Ok(id) => id,
-        Err(_) => panic!("`{text}` is no valid id"),
+        Err(_) => panic!("`{text}` is not a valid id"),
     }
 }
 
-/// A region with its zones.
+/// A configuration item for a region with the given zones.
 pub fn region(name: &str, zones: &[&str]) -> Item {
     Item::Region(Region { id: id(name), zones: zones.iter().map(|zone| id(zone)).collect() })
 }
 
-/// A team without a key that may be served in its home region only.
+/// A team without a bearer key whose requests have to be served in its home region.
 pub fn team(name: &str, home: &str) -> Team {
     Team {
         id: id(name),
@@ -49,7 +53,7 @@
     }
 }
 
-/// The team `survey`, whose bearer key is [`CALLER_KEY`] and which no limit slows.
+/// The team `survey`, whose bearer key is [`CALLER_KEY`] and whose rate limit no test reaches.
 pub fn survey_team(home: &str) -> Team {
     Team {
         keys: vec![Fingerprint::of(CALLER_KEY.as_bytes())],
@@ -60,7 +64,7 @@
     }
 }
 
-/// A plain service whose calls may not be repeated.
+/// A plain service whose calls must not be retried.
 pub fn booking_service(name: &str) -> Item {
     Item::Service(Service {
         id: id(name),
@@ -70,7 +74,7 @@
     })
 }
 
-/// A plain service whose calls may be repeated.
+/// A plain service whose calls may be retried.
 pub fn idempotent_service(name: &str) -> Item {
     Item::Service(Service {
         id: id(name),
@@ -86,7 +90,7 @@
     Item::Policy(Policy { latency_weight: even(), cost_weight: even(), deadline_ms: 10_000 })
 }
 
-/// A note that adds `items` to revision `base`, numbered one above it.
+/// A release note that adds `items` to revision `base`; its number is `base + 1`.
 pub fn note(base: u64, items: Vec<Item>) -> RawNote {
     RawNote {
         number: ReleaseNumber(base + 1),
@@ -98,18 +102,19 @@
     }
 }
 
-/// First port that [`free_address`] hands out; all lie below the range of outgoing connections.
+/// First port that [`free_address`] returns. All ports lie below the range of ephemeral ports.
 const FIRST_PORT: u32 = 20_000;
 
-/// Number of ports that it hands out in turn.
-const PORTS: u32 = 12_000;
+/// Number of ports that [`free_address`] cycles through.
+const PORT_COUNT: u32 = 12_000;
 
-/// A loopback address that nothing listens at and that no other call in this process gets.
+/// A loopback address that nothing listens at. Calls in one process return different addresses
+/// until all ports have been used.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let start = std::process::id().wrapping_mul(97);
     loop {
-        let index = start.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % PORTS;
+        let index = start.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % PORT_COUNT;
         let address = SocketAddr::from(([127, 0, 0, 1], (FIRST_PORT + index) as u16));
         if TcpListener::bind(address).is_ok() {
             return address;
@@ -117,7 +122,7 @@
     }
 }
 
-/// The first of `count` addresses with rising ports, none of which any other call gets.
+/// The first of `count` addresses with consecutive ports, allocated like [`free_address`].
 pub fn free_port_range(count: usize) -> SocketAddr {
     let mut first = free_address();
     let mut length = 1;
--- a/crates/test-support/src/relay.rs
+++ b/crates/test-support/src/relay.rs
@@ -1,9 +1,9 @@
-//! A TCP relay that stands between two processes and delays, cuts or silences their connections.
+//! A TCP relay between two processes that injects network faults: delay, partition, disconnection.
 //!
-//! A *held* relay takes connections and bytes in and delivers nothing until it is released, as a
-//! network partition that drops packets looks from both ends. *Forgotten* connections stay open
-//! for good without delivering anything, while later ones work. A *cut* relay closes every
-//! connection at once.
+//! A *held* relay accepts connections and bytes and delivers nothing until it is released, which
+//! is how a network partition that drops packets appears to both ends. *Black-holed* connections
+//! stay open and never deliver anything again, while later ones work. A *disconnected* relay
+//! closes every connection at once.
 
 use std::{
     io::{Read, Write},
@@ -16,19 +16,19 @@
     time::{Duration, Instant},
 };
 
-/// Bytes that are read at once.
+/// Size of the read buffer.
 const CHUNK_BYTES: usize = 16 * 1024;
 
 #[derive(Debug, Default)]
 struct State {
     delay: Duration,
     is_held: bool,
-    is_cut: bool,
+    is_disconnected: bool,
     is_closed: bool,
     /// Number of the newest connection.
-    last: u64,
-    /// Connections up to this number deliver nothing any more.
-    forgotten: u64,
+    last_connection: u64,
+    /// Connections up to this number are black-holed.
+    last_blackholed: u64,
     open: Vec<(u64, TcpStream, TcpStream)>,
 }
 
@@ -50,23 +50,23 @@
         self.state.lock().expect("no relay thread panics")
     }
 
-    fn change(&self, change: impl FnOnce(&mut State)) {
-        change(&mut self.state());
+    fn update(&self, update: impl FnOnce(&mut State)) {
+        update(&mut self.state());
         self.changed.notify_all();
     }
 
-    /// Waits until the relay is not held; tells whether the connection still delivers.
+    /// Waits until the relay is not held. Returns whether the connection still delivers.
     fn may_deliver(&self, number: u64) -> bool {
         let mut state = self.state();
-        while state.is_held && !state.is_closed && number > state.forgotten {
+        while state.is_held && !state.is_closed && number > state.last_blackholed {
             state = self.changed.wait(state).expect("no relay thread panics");
         }
-        !state.is_closed && number > state.forgotten
+        !state.is_closed && number > state.last_blackholed
     }
 }
 
 impl Relay {
-    /// Starts a relay to `target` on an address of its own.
+    /// Starts a relay to `target` on a free loopback address.
     pub fn start(target: SocketAddr) -> Relay {
         let listener = listen();
         let address = listener.local_addr().expect("the address of a listener");
@@ -76,30 +76,30 @@
         Relay { address, shared }
     }
 
-    /// The address to connect to.
+    /// The address at which the relay accepts connections.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Delays every byte, one way, from now on.
+    /// Delays every byte that is read from now on, in each direction.
     pub fn delay(&self, delay: Duration) {
-        self.shared.change(|it| it.delay = delay);
+        self.shared.update(|it| it.delay = delay);
     }
 
-    /// Delivers nothing, or goes on and delivers what has waited.
+    /// Stops all delivery, or resumes it and delivers what was received in the meantime.
     pub fn hold(&self, is_held: bool) {
-        self.shared.change(|it| it.is_held = is_held);
+        self.shared.update(|it| it.is_held = is_held);
     }
 
-    /// Leaves the open connections open and delivers nothing on them any more.
+    /// Keeps the open connections open but delivers nothing on them from now on.
     pub fn blackhole_open(&self) {
-        self.shared.change(|it| it.forgotten = it.last);
+        self.shared.update(|it| it.last_blackholed = it.last_connection);
     }
 
-    /// Closes every connection and every later one at once, or takes them again.
-    pub fn set_disconnected(&self, is_cut: bool) {
-        self.shared.change(|it| {
-            it.is_cut = is_cut;
+    /// Closes every open and every new connection at once, or accepts new connections again.
+    pub fn set_disconnected(&self, is_disconnected: bool) {
+        self.shared.update(|it| {
+            it.is_disconnected = is_disconnected;
             it.close_all();
         });
     }
@@ -107,25 +107,25 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared.change(|it| {
+        self.shared.update(|it| {
             it.is_closed = true;
             it.close_all();
         });
-        // Wakes the accepting thread, which ends.
+        // Unblocks the accepting thread, which then returns.
         let _ = TcpStream::connect(self.address);
     }
 }
 
 impl State {
     fn close_all(&mut self) {
-        for (_, near, far) in self.open.drain(..) {
-            let _ = near.shutdown(Shutdown::Both);
-            let _ = far.shutdown(Shutdown::Both);
+        for (_, client, server) in self.open.drain(..) {
+            let _ = client.shutdown(Shutdown::Both);
+            let _ = server.shutdown(Shutdown::Both);
         }
     }
 }
 
-/// Listens at a free address; another process may take one between the check and the bind.
+/// Listens at a free address. Tries again if another process binds it between check and bind.
 fn listen() -> TcpListener {
     loop {
         if let Ok(listener) = TcpListener::bind(crate::free_address()) {
@@ -135,36 +135,36 @@
 }
 
 fn accept(listener: &TcpListener, target: SocketAddr, shared: &Arc<Shared>) {
-    for near in listener.incoming() {
+    for client in listener.incoming() {
         if shared.state().is_closed {
             return;
         }
-        let Ok(near) = near else { continue };
-        if shared.state().is_cut {
+        let Ok(client) = client else { continue };
+        if shared.state().is_disconnected {
             continue;
         }
-        // A target that does not listen refuses the connection to the relay as well.
-        if let Ok(far) = TcpStream::connect(target) {
-            join(near, far, shared);
+        // If the target refuses the connection, the client's is closed as well.
+        if let Ok(server) = TcpStream::connect(target) {
+            relay_connection(client, server, shared);
         }
     }
 }
 
-fn join(near: TcpStream, far: TcpStream, shared: &Arc<Shared>) {
-    let copy = |it: &TcpStream| it.try_clone().expect("a handle of an open connection");
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
+fn relay_connection(client: TcpStream, server: TcpStream, shared: &Arc<Shared>) {
+    let copy = |it: &TcpStream| it.try_clone().expect("an open connection can be cloned");
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
     let mut state = shared.state();
-    state.last += 1;
-    let number = state.last;
-    state.open.push((number, copy(&near), copy(&far)));
+    state.last_connection += 1;
+    let number = state.last_connection;
+    state.open.push((number, copy(&client), copy(&server)));
     drop(state);
-    pump(number, copy(&near), copy(&far), shared);
-    pump(number, far, near, shared);
+    start_forwarding(number, copy(&client), copy(&server), shared);
+    start_forwarding(number, server, client, shared);
 }
 
-/// Carries bytes in one direction, by a thread that reads and one that delivers.
-fn pump(number: u64, from: TcpStream, to: TcpStream, shared: &Arc<Shared>) {
+/// Forwards bytes in one direction, with one thread that reads and one that delivers.
+fn start_forwarding(number: u64, from: TcpStream, to: TcpStream, shared: &Arc<Shared>) {
     let (sender, chunks) = channel();
     let reading = shared.clone();
     let delivering = shared.clone();
@@ -189,10 +189,10 @@
             break;
         }
     }
-    // The end of a connection that delivers nothing is not delivered either.
+    // The close of a connection that delivers nothing is not forwarded either.
     if shared.may_deliver(number) {
         let _ = to.shutdown(Shutdown::Both);
-        shared.change(|it| it.open.retain(|open| open.0 != number));
+        shared.update(|it| it.open.retain(|open| open.0 != number));
     }
 }
 
@@ -205,13 +205,13 @@
 /// The relays from one instance to another.
 #[derive(Debug)]
 pub struct Link {
-    /// The instance that connects.
+    /// Id of the instance that connects.
     pub from: String,
-    /// The instance that is connected to.
+    /// Id of the instance that accepts the connections.
     pub to: String,
-    /// Stands before its `peers` address.
+    /// Relay to its `peers` address.
     pub peers: Relay,
-    /// Stands before its `internal` address.
+    /// Relay to its `internal` address.
     pub internal: Relay,
 }
 
@@ -222,12 +222,12 @@
         self.links.push(Link { from: from.into(), to: to.into(), peers, internal });
     }
 
-    /// The relays from `from` to `to`.
+    /// The relays from `from` to `to`; `None` for an instance and itself.
     pub fn get(&self, from: &str, to: &str) -> Option<&Link> {
         self.links.iter().find(|it| it.from == from && it.to == to)
     }
 
-    /// Delays everything between instances on both sides of `is_inside`, one way.
+    /// Delays all traffic between an instance that satisfies `is_inside` and one that does not, one way.
     pub fn delay_across(&self, is_inside: impl Fn(&str) -> bool, delay: Duration) {
         for it in self.across(is_inside) {
             it.peers.delay(delay);
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Delays everything between two instances that both `is_member`, one way.
+    /// Delays all traffic between two instances that both satisfy `is_member`, one way.
     pub fn delay_between(&self, is_member: impl Fn(&str) -> bool, delay: Duration) {
         for it in self.links.iter().filter(|it| is_member(&it.from) && is_member(&it.to)) {
             it.peers.delay(delay);
@@ -243,7 +243,9 @@
         }
     }
 
-    /// Partitions the instances inside from the others, silently and both ways, or heals it.
+    /// Partitions the instances that satisfy `is_inside` from the others, or heals the partition.
+    ///
+    /// Holds the traffic in both directions; the connections stay open.
     pub fn partition(&self, is_inside: impl Fn(&str) -> bool, is_held: bool) {
         for it in self.across(is_inside) {
             it.peers.hold(is_held);
@@ -251,12 +253,14 @@
         }
     }
 
-    /// Partitions the instances inside from the others but for forwarded requests, or heals it.
+    /// Partitions only the messages between these instances; forwarded requests still pass. Or heals
+    /// the partition.
     pub fn partition_messages(&self, is_inside: impl Fn(&str) -> bool, is_held: bool) {
         self.across(is_inside).for_each(|it| it.peers.hold(is_held));
     }
 
-    /// Silences the open connections from instances that `is_from` to ones that `is_to`.
+    /// Black-holes the open connections from instances that satisfy `is_from` to ones that satisfy
+    /// `is_to`.
     pub fn blackhole_open(&self, is_from: impl Fn(&str) -> bool, is_to: impl Fn(&str) -> bool) {
         for it in self.links.iter().filter(|it| is_from(&it.from) && is_to(&it.to)) {
             it.peers.blackhole_open();
--- a/crates/test-support/src/scale.rs
+++ b/crates/test-support/src/scale.rs
@@ -1,4 +1,4 @@
-//! Deployments of the sizes that the capacity page plans for.
+//! Synthetic deployments of the sizes that the capacity page covers.
 
 use medlarlug_core::{
     announcement::{Announcement, LoadReport, LoadedModel, UpstreamKind},
@@ -14,41 +14,41 @@
 
 use crate::{id, region, team};
 
-/// Numbers of what a deployment consists of.
+/// Size of a deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Scale {
     /// Entry instances and keepers.
     pub nodes: usize,
-    /// Of these, keepers.
+    /// Keepers, included in `nodes`.
     pub keepers: usize,
-    /// Model engines.
+    /// Model engines, spread evenly over the zones.
     pub engines: usize,
-    /// Regions.
+    /// Regions, which share out the zones evenly.
     pub regions: usize,
-    /// Availability zones.
+    /// Availability zones of all regions.
     pub zones: usize,
-    /// Teams.
+    /// Teams, each at home in one region.
     pub teams: usize,
-    /// Models.
+    /// Models, of which each engine has two loaded.
     pub models: usize,
 }
 
-/// The size that the users plan for.
+/// The size that the project is designed for.
 pub const TARGET_SCALE: Scale =
     Scale { nodes: 340, keepers: 9, engines: 600, regions: 8, zones: 29, teams: 2_700, models: 12 };
 
 impl Scale {
-    /// Region of a zone, by number.
+    /// Index of the region of the zone with index `zone`.
     pub fn region_of(&self, zone: usize) -> usize {
         zone * self.regions / self.zones
     }
 
-    /// Name of a region.
+    /// Id of the region with index `region`.
     pub fn region_name(region: usize) -> String {
         format!("region-{region}")
     }
 
-    /// Name of a zone.
+    /// Id of the zone with index `zone`: its region's id and a letter.
     pub fn zone_name(&self, zone: usize) -> String {
         let region = self.region_of(zone);
         let first = (0..zone).filter(|it| self.region_of(*it) == region).count();
@@ -75,27 +75,27 @@
         }
     }
 
-    /// The engines, each with two of the models and a load of some requests.
+    /// The announcements of all engines, each with two of the models and some requests running.
     pub fn announcements(&self) -> Vec<Announcement> {
         (0..self.engines).map(|it| self.announcement(it)).collect()
     }
 
     fn announcement(&self, number: usize) -> Announcement {
         let zone = number % self.zones;
-        let turn = number / self.zones;
+        let index_in_zone = number / self.zones;
         let model = |number: usize| LoadedModel {
             model: id(&format!("model-{:02}", number % self.models)),
             version: id("v1"),
             adapters: Vec::new(),
         };
-        let mut models = vec![model(2 * turn), model(2 * turn + 1)];
+        let mut models = vec![model(2 * index_in_zone), model(2 * index_in_zone + 1)];
         models.sort();
         Announcement {
             id: id(&format!("engine-{number:03}")),
             incarnation: Incarnation(1_764_720_000_000),
             sequence: 1,
             zone: id(&self.zone_name(zone)),
-            address: ([10, 0, zone as u8, turn as u8], 8_000).into(),
+            address: ([10, 0, zone as u8, index_in_zone as u8], 8_000).into(),
             kind: UpstreamKind::Engine { models },
             slots: Slots(16),
             fencing: true,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The configuration of every region, model and team, with links between all regions.
+    /// The configuration with every region, model and team, and links between all regions.
     pub fn configuration(&self) -> Configuration {
         let mut items: Vec<Item> = (0..self.regions).map(|it| self.region(it)).collect();
         for from in 0..self.regions {
@@ -122,7 +122,7 @@
         region(&Scale::region_name(number), &zones)
     }
 
-    /// A team with two keys, at home in one region.
+    /// The team with index `number`, which has two bearer keys.
     pub fn team(&self, number: usize) -> Team {
         let name = format!("team-{number:04}");
         let key = |version: u8| Fingerprint::of(format!("{name}-{version}").as_bytes());
@@ -131,17 +131,17 @@
     }
 }
 
-/// The load report number `seed` of an engine that takes some requests a second.
+/// A load report of an engine that serves a few requests a second; `seed` varies its values.
 pub fn load_report(seed: u64) -> LoadReport {
-    let print = |salt: u64| Fingerprint::of(&(seed * 8 + salt).to_le_bytes());
+    let fingerprint = |salt: u64| Fingerprint::of(&(seed * 8 + salt).to_le_bytes());
     LoadReport {
         age: std::time::Duration::from_millis(300),
         running: 4 + (seed * 7 % 9) as u32,
         waiting: (seed % 3) as u32,
         backlog: Tokens(seed * 131 % 4_000),
         speed: 900.0,
-        cached: vec![print(0), print(1), print(2)],
-        evicted: vec![print(3), print(4)],
+        cached: vec![fingerprint(0), fingerprint(1), fingerprint(2)],
+        evicted: vec![fingerprint(3), fingerprint(4)],
     }
 }
 
--- a/crates/test-support/src/signals.rs
+++ b/crates/test-support/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals to processes of a test.
+//! Sends signals to processes that a test started.
 
 use std::{
     fs, thread,
@@ -10,32 +10,37 @@
     unistd::Pid,
 };
 
-/// Time in which a process has to stop; it does so when each of its threads next leaves the kernel.
-const STOP_TIME: Duration = Duration::from_secs(10);
+/// Longest wait for a process to stop. Each thread stops when it next leaves the kernel.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Sends a signal to a process. Returns from a stop only once every thread of the process stands
-/// still: the kernel stops threads one after the other, and until its turn a thread goes on working.
+/// Sends a signal to a process.
+///
+/// For `SIGSTOP`, returns once every thread of the process has stopped: the kernel stops the
+/// threads one after the other, and a thread that has not been stopped yet goes on running.
 ///
 /// # Panics
 ///
-/// The process is not there, or does not stop.
+/// Panics if the process does not exist, or does not stop within 10 s.
 pub fn send(id: u32, signal: Signal) {
-    kill(Pid::from_raw(id.cast_signed()), signal).expect("the process is there");
+    kill(Pid::from_raw(id.cast_signed()), signal).expect("the process exists");
     if signal != Signal::SIGSTOP {
         return;
     }
-    let began = Instant::now();
+    let start = Instant::now();
     while !is_stopped(id) {
-        assert!(began.elapsed() < STOP_TIME, "process {id} has not stopped");
+        assert!(
+            start.elapsed() < STOP_TIMEOUT,
+            "process {id} has not stopped within {STOP_TIMEOUT:?}"
+        );
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Whether no thread of a process runs any more.
+/// Whether every thread of a process is stopped or has exited; true for a process that is gone.
 pub fn is_stopped(id: u32) -> bool {
     let Ok(tasks) = fs::read_dir(format!("/proc/{id}/task")) else { return true };
     let states = tasks.flatten().filter_map(|it| fs::read_to_string(it.path().join("stat")).ok());
-    // The state follows the name, which is in parentheses and may hold any character.
+    // The state follows the name, which is in parentheses and may contain any character.
     let mut states = states.filter_map(|stat| stat.rsplit_once(") ")?.1.chars().next());
     states.all(|state| matches!(state, 'T' | 't' | 'Z' | 'X'))
 }
--- a/crates/test-support/src/stream.rs
+++ b/crates/test-support/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streamed answers as a caller reads them.
+//! A caller that reads streamed answers.
 
 use std::io::{BufRead, BufReader, Read};
 
@@ -8,9 +8,9 @@
 
 /// A streamed answer that is being read.
 pub struct OpenStream {
-    /// Status of its head; 0 when there was no answer.
+    /// HTTP status; 0 if there was no answer.
     pub status: u16,
-    /// Its `x-request-id`.
+    /// Value of the header `x-request-id`; empty if there was none.
     pub request_id: String,
     reader: Option<Box<dyn BufRead + Send>>,
     text: String,
@@ -19,27 +19,27 @@
 /// How a streamed answer ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
-    /// The terminal event came.
+    /// It ended with the event `[DONE]`.
     Complete,
-    /// An explicit error event or a refusal came.
+    /// It was refused, or ended with an error event; the text of the refusal or event.
     Failed(String),
-    /// It broke off without a word.
+    /// It ended without a terminal or an error event, or there was no answer.
     Truncated,
 }
 
 /// A streamed answer that was read to its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamedAnswer {
-    /// The request.
+    /// Value of the header `x-request-id`.
     pub request_id: String,
     /// The generated text.
     pub text: String,
-    /// How it ended.
+    /// The way in which it ended.
     pub ending: Ending,
 }
 
 impl Deployment {
-    /// Asks an entry instance for a streamed completion; the head of the answer is there.
+    /// Requests a streamed completion from an entry instance. Returns after the head of the answer.
     pub fn open_stream(&self, id: &str, prompt: &str, tokens: usize) -> OpenStream {
         let body = json!({
             "model": "medlar", "prompt": prompt, "max_tokens": tokens, "stream": true
@@ -50,11 +50,11 @@
             .build()
             .into();
         let url = format!("http://{}/v1/completions", self.get(id).callers);
-        let sent = agent
+        let response = agent
             .post(url)
             .header("authorization", format!("Bearer {CALLER_KEY}"))
             .send(body.to_string());
-        let Ok(answer) = sent else {
+        let Ok(answer) = response else {
             return OpenStream {
                 status: 0,
                 request_id: String::new(),
@@ -74,28 +74,28 @@
         }
     }
 
-    /// Reads a streamed completion from its start to its end.
+    /// Requests a streamed completion and reads it to its end.
     pub fn stream(&self, id: &str, prompt: &str, tokens: usize) -> StreamedAnswer {
         self.open_stream(id, prompt, tokens).finish()
     }
 }
 
 impl OpenStream {
-    /// Reads the next `count` tokens, or up to the end.
+    /// Reads the next `count` events, or fewer if the stream ends before.
     pub fn read_tokens(&mut self, count: usize) {
         for _ in 0..count {
-            if self.step().is_some() {
+            if self.read_event().is_some() {
                 return;
             }
         }
     }
 
-    /// Reads to the end.
+    /// Reads the rest of the stream.
     pub fn finish(mut self) -> StreamedAnswer {
         let ending = match self.status {
             0 => Ending::Truncated,
             200 => loop {
-                if let Some(ending) = self.step() {
+                if let Some(ending) = self.read_event() {
                     break ending;
                 }
             },
@@ -109,8 +109,8 @@
         StreamedAnswer { request_id: self.request_id, text: self.text, ending }
     }
 
-    /// Reads one `data` line; tells the ending if it is the last one.
-    fn step(&mut self) -> Option<Ending> {
+    /// Reads one `data` line. Returns the ending if it was the last one.
+    fn read_event(&mut self) -> Option<Ending> {
         let reader = self.reader.as_mut()?;
         loop {
             let mut line = String::new();
