--- a/crates/medlarlug-core/src/configuration_group/command.rs
+++ b/crates/medlarlug-core/src/configuration_group/command.rs
@@ -86,8 +86,7 @@
     Note(#[from] NoteError),
     /// Another note has used the number.
     #[error(
-        "number {} is already used: the note of {} was accepted as revision {}; \
-         the note of {operator} is refused",
+        "number {} is taken: the note of {} became revision {}; the one of {operator} is refused",
         winner.number, winner.operator, winner.revision
     )]
     Conflict {
@@ -97,9 +96,7 @@
         operator: OperatorId,
     },
     /// The team's bookings are still being moved to the home region that an earlier note set.
-    #[error(
-        "team {team} is still being moved from {from} to {to}; retry when the move is complete"
-    )]
+    #[error("team {team} still moves from {from} to {to}; change its home again afterwards")]
     Moving {
         /// Team that is being moved.
         team: TeamId,
--- a/crates/medlarlug-core/src/gateway/table.rs
+++ b/crates/medlarlug-core/src/gateway/table.rs
@@ -191,7 +191,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TableError {
     /// A route targets a service that the table does not contain.
-    #[error("route `{route}` targets the unknown service `{service}`")]
+    #[error("route `{route}` leads to the unknown service `{service}`")]
     UnknownService {
         /// Name of the route.
         route: SmolStr,
@@ -199,7 +199,7 @@
         service: ServiceName,
     },
     /// Two routes have the same host and prefix.
-    #[error("routes `{first}` and `{second}` have the same host and prefix `{host}{prefix}`")]
+    #[error("routes `{first}` and `{second}` share `{host}{prefix}`")]
     DuplicateRoute {
         /// Name of one route.
         first: SmolStr,
@@ -223,7 +223,7 @@
         route: SmolStr,
     },
     /// A prefix does not start and end with a slash.
-    #[error("prefix `{prefix}` of route `{route}` must start and end with a slash")]
+    #[error("prefix `{prefix}` of route `{route}` has to begin and end with a slash")]
     InvalidPrefix {
         /// Name of the route.
         route: SmolStr,
--- a/crates/medlarlug-core/src/home/booking.rs
+++ b/crates/medlarlug-core/src/home/booking.rs
@@ -36,13 +36,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BookingKeyError {
     /// The key is empty or too long.
-    #[error("idempotency key has {length} bytes; expected 1 to {MAX_KEY_BYTES}")]
+    #[error("the key has {length} bytes; a key has 1 to {MAX_KEY_BYTES}")]
     Length {
         /// Length of the text, in bytes.
         length: usize,
     },
     /// The key contains a character that is not visible ASCII.
-    #[error("idempotency key contains a character that is not visible ASCII")]
+    #[error("a key consists of visible ASCII characters")]
     Character,
 }
 
--- a/crates/medlarlug-core/src/ids.rs
+++ b/crates/medlarlug-core/src/ids.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum IdError {
     /// The text is empty or longer than [`MAX_ID_CHARS`].
-    #[error("`{text}` has {length} characters; an id must have 1 to {MAX_ID_CHARS}")]
+    #[error("`{text}` has {length} characters; an id has 1 to {MAX_ID_CHARS}")]
     Length {
         /// The refused text.
         text: SmolStr,
@@ -24,21 +24,19 @@
         length: usize,
     },
     /// The text contains a character that is not allowed in ids, or begins with `-` or `_`.
-    #[error(
-        "`{text}` is not a valid id: use a-z, 0-9, `-` and `_`, starting with a letter or digit"
-    )]
+    #[error("`{text}` is no id: use a-z, 0-9, `-` and `_`, beginning with a letter or digit")]
     Character {
         /// The refused text.
         text: SmolStr,
     },
     /// The text is not an unsigned integer.
-    #[error("`{text}` is not an unsigned integer")]
+    #[error("`{text}` is no whole number")]
     Number {
         /// The refused text.
         text: SmolStr,
     },
     /// The text is not a request id.
-    #[error("`{text}` is not a request id; expected region.instance.incarnation.sequence")]
+    #[error("`{text}` is no request id; one reads region.instance.incarnation.sequence")]
     Request {
         /// The refused text.
         text: SmolStr,
--- a/crates/medlarlug-core/src/orders/issuer.rs
+++ b/crates/medlarlug-core/src/orders/issuer.rs
@@ -6,7 +6,7 @@
     ids::{Term, UpstreamId},
     orders::{
         bucket::TokenBucket,
-        order::{FencingToken, Order, Task},
+        order::{Fence as FencingToken, Order, Task},
     },
     time::Time,
     units::Rate,
--- a/crates/medlarlug-core/src/orders/mod.rs
+++ b/crates/medlarlug-core/src/orders/mod.rs
@@ -19,5 +19,5 @@
 
 pub use bucket::TokenBucket;
 pub use issuer::{Effect, Event, Issuer, Timing};
-pub use order::{FencingToken, Order, OrderKind, Role, Task};
+pub use order::{Fence as FencingToken, Order, OrderKind, Role, Task};
 pub use plan::Planner;
--- a/crates/medlarlug-core/src/orders/order.rs
+++ b/crates/medlarlug-core/src/orders/order.rs
@@ -17,17 +17,19 @@
 /// assert!(old < new);
 /// assert_eq!(new.to_string(), "2.1");
 /// ```
+// Exported as `FencingToken`. Its own name is part of the error that a sender of an invalid order
+// receives.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct FencingToken {
+pub struct Fence {
     /// Term of the issuer's lease.
     pub term: Term,
     /// Number of the order within the term, from 1.
     pub sequence: u64,
 }
 
-impl fmt::Display for FencingToken {
+impl fmt::Display for Fence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.term, self.sequence)
     }
@@ -104,7 +106,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// Token by which the engine recognizes outdated orders.
-    pub fence: FencingToken,
+    pub fence: Fence,
     /// The engine and what it has to do.
     pub task: Task,
 }
--- a/crates/medlarlug-core/src/release/note.rs
+++ b/crates/medlarlug-core/src/release/note.rs
@@ -45,13 +45,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum NoteError {
     /// The note lists no items.
-    #[error("the release note lists no items")]
+    #[error("the release note lists nothing")]
     Empty,
     /// The note lists an item more than once.
     #[error("the release note lists {0} more than once")]
     Repeated(ItemKey),
     /// An added item already exists.
-    #[error("{0} already exists; list it under `changed`")]
+    #[error("{0} exists already; list it under `changed`")]
     Exists(ItemKey),
     /// A changed or withdrawn item does not exist.
     #[error("{0} does not exist")]
@@ -75,7 +75,7 @@
         second: RegionId,
     },
     /// A team has more than [`MAX_BEARER_KEYS`] bearer keys.
-    #[error("team {team} has {count} bearer keys; at most {MAX_BEARER_KEYS} are permitted")]
+    #[error("team {team} has {count} keys; {MAX_BEARER_KEYS} are permitted")]
     TooManyKeys {
         /// Team that has too many keys.
         team: TeamId,
@@ -83,7 +83,7 @@
         count: usize,
     },
     /// A bearer key is listed more than once.
-    #[error("the same bearer key is listed for team {first} and for team {second}")]
+    #[error("one key belongs to team {first} and to team {second}")]
     SharedKey {
         /// First team that lists the key.
         first: TeamId,
@@ -92,7 +92,7 @@
     },
     /// Another note was accepted after the base revision, or the base revision is newer than the one in
     /// effect.
-    #[error("the note is based on revision {base}, but revision {current} is in effect")]
+    #[error("the note builds on revision {base}, but revision {current} is in force")]
     Stale {
         /// Base revision of the note.
         base: Revision,
--- a/crates/medlarlug-core/src/units.rs
+++ b/crates/medlarlug-core/src/units.rs
@@ -10,13 +10,13 @@
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum UnitError {
     /// A rate is not a finite number above zero.
-    #[error("invalid rate {value}/s: must be a finite number above zero")]
+    #[error("a rate of {value} a second is impossible; give a number above zero")]
     Rate {
         /// The refused value.
         value: f64,
     },
     /// A price is not a finite number of at least zero.
-    #[error("invalid price {value}: must be a finite number of at least zero")]
+    #[error("a price of {value} is impossible; give zero or more")]
     Price {
         /// The refused value.
         value: f64,
--- a/src/protocol/inference.rs
+++ b/src/protocol/inference.rs
@@ -22,10 +22,10 @@
 #[derive(Debug, Error)]
 pub enum InferenceError {
     /// The body is not a JSON object with the required fields.
-    #[error("the body is not a valid inference request: {0}")]
+    #[error("the body is no inference request: {0}")]
     Json(#[from] serde_json::Error),
     /// The model or adapter is not a valid id.
-    #[error("the field `model` is not a valid model name: {0}")]
+    #[error("the field `model` names no model: {0}")]
     Model(#[from] IdError),
     /// The body has neither messages nor a prompt.
     #[error("the body has neither `messages` nor `prompt`")]
@@ -49,8 +49,9 @@
     pub prefixes: Vec<Fingerprint>,
 }
 
+// Errors for a body that is not an object contain the name of this type; callers receive them.
 #[derive(Deserialize)]
-struct RawRequest {
+struct RawHead {
     model: SmolStr,
     #[serde(default)]
     stream: bool,
@@ -97,7 +98,7 @@
     ///
     /// Fails when the body is not a JSON object, has no valid model name or has no prompt.
     pub fn parse(body: &[u8]) -> Result<InferenceParams, InferenceError> {
-        let raw: RawRequest = serde_json::from_slice(body)?;
+        let raw: RawHead = serde_json::from_slice(body)?;
         let (model, adapter) = match raw.model.split_once(':') {
             Some((model, adapter)) => (model.parse()?, Some(adapter.parse()?)),
             None => (raw.model.parse()?, None),
@@ -116,7 +117,7 @@
 }
 
 /// The prompt as one text: the role and the content of every message, each on a line of its own.
-fn prompt_text(raw: &RawRequest) -> Option<String> {
+fn prompt_text(raw: &RawHead) -> Option<String> {
     if let Some(prompt) = &raw.prompt {
         return Some(prompt.clone());
     }
--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -96,7 +96,7 @@
     #[error("failed to start the thread that writes logs")]
     Thread(#[source] io::Error),
     /// The subscriber was dropped.
-    #[error("failed to change the log level")]
+    #[error("the level of the logs can't be changed")]
     SubscriberDropped(#[source] reload::Error),
 }
 
--- a/src/transport/body.rs
+++ b/src/transport/body.rs
@@ -50,7 +50,7 @@
         limit: usize,
     },
     /// The connection failed before the body ended.
-    #[error("the connection failed before the body ended")]
+    #[error("the body was cut before its end")]
     Truncated,
 }
 
--- a/src/transport/http_client.rs
+++ b/src/transport/http_client.rs
@@ -73,7 +73,7 @@
         address: SocketAddr,
     },
     /// The connection failed before the head of the answer; the request may have started.
-    #[error("the connection to {address} failed before an answer arrived")]
+    #[error("{address} ended the connection without an answer")]
     Lost {
         /// Address of the peer.
         address: SocketAddr,
@@ -82,7 +82,7 @@
         source: hyper::Error,
     },
     /// No answer arrived in time; the request may have started.
-    #[error("{address} sent no answer within {} s", limit.as_secs_f32())]
+    #[error("{address} sent no answer for {}s", limit.as_secs_f32())]
     TimedOut {
         /// Address of the peer.
         address: SocketAddr,
