--- a/src/standin/announcer.rs
+++ b/src/standin/announcer.rs
@@ -1,6 +1,7 @@
-//! Announcements to the entry instances of the upstream's zone.
+//! Announcements of an upstream to the entry instances of its zone.
 //!
-//! Each period a load report is read, kept for the configured lag and then sent with its age.
+//! The load is sampled once per period. A sample is sent after the configured lag, together with its
+//! age.
 
 use std::{collections::VecDeque, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -22,70 +23,71 @@
 };
 
 /// Time between two announcements.
-pub const PERIOD: Duration = Duration::from_millis(500);
+pub const ANNOUNCE_PERIOD: Duration = Duration::from_millis(500);
 
-/// Longest wait for an entry instance; then a new connection is tried.
-pub const PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout for an entry instance; after it, the idle connections to the instance are closed.
+pub const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Path of announcements on an entry instance's internal port.
-pub const PATH: &str = "/v1/announce";
+/// Path of announcements on the internal port of an entry instance.
+pub const ANNOUNCE_PATH: &str = "/v1/announce";
 
-/// An announcement did not get through.
+/// Why an announcement was not delivered.
 #[derive(Debug, Error)]
 enum AnnounceError {
     #[error("the entry instance can't be reached")]
     Call(#[from] HttpCallError),
-    #[error("the entry instance refused it with status {0}")]
+    #[error("the entry instance refused the announcement with status {0}")]
     Refused(StatusCode),
 }
 
-struct Reading {
-    at: Instant,
+struct LoadSample {
+    taken_at: Instant,
     load: LoadReport,
 }
 
 pub(super) async fn announce(upstream: Rc<Upstream>) {
     let client = HttpClient::default();
-    let mut readings: VecDeque<Reading> = VecDeque::new();
-    let mut read_at = Instant::now();
+    let mut samples: VecDeque<LoadSample> = VecDeque::new();
+    let mut last_sample_at = Instant::now();
     let mut sequence = 0;
     let lag = upstream.settings.report_lag;
-    let offset = Duration::from_nanos((lag.as_nanos() % PERIOD.as_nanos()) as u64);
+    let offset = Duration::from_nanos((lag.as_nanos() % ANNOUNCE_PERIOD.as_nanos()) as u64);
     loop {
-        upstream.thaw().await;
+        upstream.wait_while_frozen().await;
         let now = Instant::now();
-        let load = upstream.read_load(now.duration_since(read_at));
-        read_at = now;
-        readings.push_back(Reading { at: now, load });
-        pause(&upstream, offset).await;
-        upstream.thaw().await;
+        let load = upstream.sample_load(now.duration_since(last_sample_at));
+        last_sample_at = now;
+        samples.push_back(LoadSample { taken_at: now, load });
+        sleep_unless_leaving(&upstream, offset).await;
+        upstream.wait_while_frozen().await;
         sequence += 1;
-        let body = compose(&upstream, sequence, &mut readings, lag);
+        let body = build_announcement(&upstream, sequence, &mut samples, lag);
         send_all(&upstream, &client, &body).await;
-        pause(&upstream, PERIOD - offset).await;
+        sleep_unless_leaving(&upstream, ANNOUNCE_PERIOD - offset).await;
     }
 }
 
-/// Waits, but no longer than until the upstream begins to leave.
-async fn pause(upstream: &Upstream, length: Duration) {
+/// Sleeps for `duration`, or until the upstream starts to leave.
+async fn sleep_unless_leaving(upstream: &Upstream, duration: Duration) {
     tokio::select! {
-        () = sleep(length) => {}
-        () = upstream.left.notified() => {}
+        () = sleep(duration) => {}
+        () = upstream.leave_started.notified() => {}
     }
 }
 
-fn compose(
+fn build_announcement(
     upstream: &Upstream,
     sequence: u64,
-    readings: &mut VecDeque<Reading>,
+    samples: &mut VecDeque<LoadSample>,
     lag: Duration,
 ) -> Bytes {
     let now = Instant::now();
-    while readings.len() > 1 && now.duration_since(readings[1].at) >= lag {
-        readings.pop_front();
+    while samples.len() > 1 && now.duration_since(samples[1].taken_at) >= lag {
+        samples.pop_front();
     }
-    let oldest = readings.front();
-    let load = oldest.map(|it| LoadReport { age: now.duration_since(it.at), ..it.load.clone() });
+    let oldest = samples.front();
+    let load =
+        oldest.map(|it| LoadReport { age: now.duration_since(it.taken_at), ..it.load.clone() });
     let settings = &upstream.settings;
     let kind = match &settings.kind {
         UpstreamKind::Engine { .. } => {
@@ -114,7 +116,7 @@
     let sends = entries.map(|address| send(client, *address, body.clone(), &mac));
     for result in join_all(sends).await {
         if let Err(error) = result {
-            tracing::debug!(upstream = %upstream.settings.id, %error, "an announcement is lost");
+            tracing::debug!(upstream = %upstream.settings.id, %error, "announcement not delivered");
         }
     }
 }
@@ -127,13 +129,13 @@
 ) -> Result<(), AnnounceError> {
     let request = Request::builder()
         .method(Method::POST)
-        .uri(PATH)
+        .uri(ANNOUNCE_PATH)
         .header(HOST, address.to_string())
         .header(CONTENT_TYPE, "application/json")
         .header(headers::MAC, mac)
         .body(Full::new(body))
         .expect("the parts of the request are valid");
-    let limits = CallLimits { connect: PATIENCE, head: PATIENCE };
+    let limits = CallLimits { connect: ANNOUNCE_TIMEOUT, head: ANNOUNCE_TIMEOUT };
     let called = client.call(address, request, Reuse::Allowed, limits).await;
     let (answer, connection) = called.inspect_err(|_| client.close_idle(address))?;
     let status = answer.status();
--- a/src/standin/answer.rs
+++ b/src/standin/answer.rs
@@ -2,13 +2,13 @@
 
 use smol_str::{SmolStr, format_smolstr};
 
-/// Tokens of an answer when the request gives no limit.
+/// Tokens of an answer when the request sets no limit.
 pub const DEFAULT_TOKENS: usize = 32;
 
-/// Most tokens of an answer.
+/// Most tokens of an answer, whatever the request permits.
 pub const MAX_TOKENS: usize = 65_536;
 
-/// Bytes of a prompt that count as one token.
+/// Length of a prompt that counts as one token.
 pub const BYTES_PER_TOKEN: usize = 4;
 
 const WORDS: [&str; 16] = [
@@ -16,12 +16,12 @@
     "row", "bay", "repair", "scale", "angle",
 ];
 
-/// The answer of an engine to one prompt; its tokens are made when they are asked for.
+/// The answer of an engine to a prompt; the text of a token is generated when it is read.
 #[derive(Debug)]
 pub struct Answer(Vec<u8>);
 
 impl Answer {
-    /// What an engine answers to `prompt`.
+    /// The answer to `prompt`, which depends on the prompt and `max_tokens` alone.
     pub fn new(prompt: &str, max_tokens: Option<usize>) -> Answer {
         let count = max_tokens.unwrap_or(DEFAULT_TOKENS).min(MAX_TOKENS);
         let mut stream = blake3::Hasher::new().update(prompt.as_bytes()).finalize_xof();
@@ -30,30 +30,30 @@
         Answer(bytes)
     }
 
-    /// Its tokens.
+    /// Number of tokens.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether it has none.
+    /// Whether the answer has no tokens.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Token `n`, which ends with a space; `None` behind the last one.
+    /// Text of token `n`, which ends with a space; `None` after the last token.
     pub fn token(&self, n: usize) -> Option<SmolStr> {
         let byte = self.0.get(n)?;
-        let name = WORDS[usize::from(byte % 16)];
-        Some(format_smolstr!("{name}{} ", byte / 16))
+        let word = WORDS[usize::from(byte % 16)];
+        Some(format_smolstr!("{word}{} ", byte / 16))
     }
 
-    /// All tokens as one text.
+    /// The text of all tokens.
     pub fn text(&self) -> String {
         (0..self.len()).filter_map(|n| self.token(n)).fold(String::new(), |text, it| text + &it)
     }
 }
 
-/// The whole text that an engine answers to `prompt`.
+/// The complete text with which an engine answers `prompt`.
 ///
 /// ```
 /// use medlarlug::standin::answer::expected;
@@ -66,8 +66,8 @@
     Answer::new(prompt, max_tokens).text()
 }
 
-/// The prompt that the messages of a chat make, as pairs of role and content: each on a line of
-/// its own, as the gateway reads them for prefix fingerprints.
+/// The prompt for a chat, given as pairs of role and content: each on a line of its own, which is the
+/// text from which the gateway computes prefix fingerprints.
 ///
 /// ```
 /// use medlarlug::standin::answer::chat_prompt;
@@ -78,7 +78,7 @@
     messages.iter().map(|(role, content)| format!("{role}\n{content}\n")).collect()
 }
 
-/// Tokens of a prompt.
+/// Number of tokens of a prompt, rounded up.
 pub fn prompt_tokens(prompt: &str) -> u64 {
     prompt.len().div_ceil(BYTES_PER_TOKEN) as u64
 }
--- a/src/standin/batch.rs
+++ b/src/standin/batch.rs
@@ -1,9 +1,9 @@
-//! Continuous batching: slots, prompt processing and generation.
+//! Continuous batching: slots, prefill and decoding.
 //!
-//! A job that gets a slot first has its prompt processed, one prompt after another, and then
-//! generates one token in each step of the batch. The step takes longer the more jobs share it,
-//! so one stream slows down while the batch as a whole speeds up. Among waiting jobs the highest
-//! priority goes first, then the oldest.
+//! When a job gets a slot, its prompt is prefilled, one prompt at a time; then the job generates one
+//! token in each step of the batch. A step takes longer the more jobs share it, so that each stream
+//! becomes slower while the throughput of the batch increases. Waiting jobs get a slot in the order of
+//! their priority, jobs of equal priority in the order of arrival.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,22 +12,24 @@
 
 use crate::standin::streams::{Phase, Stream};
 
-/// Share by which each further job lengthens a step.
-pub const STEP_GROWTH: f64 = 0.03;
+/// Fraction of the time of a step by which each job after the first one lengthens the step.
+pub const STEP_GROWTH_PER_JOB: f64 = 0.03;
 
-/// Waiting jobs for each slot; further ones are refused.
-pub const QUEUE_FACTOR: u32 = 4;
+/// Capacity of the queue for each slot; further jobs are refused.
+pub const MAX_WAITING_PER_SLOT: u32 = 4;
 
 /// The batch of one engine.
 #[derive(Debug)]
 pub struct Batch {
     slots: usize,
-    speed: Rate,
-    prefill: Rate,
+    decode_rate: Rate,
+    prefill_rate: Rate,
     waiting: Vec<Job>,
     running: Vec<Job>,
-    prefill_end: Instant,
-    generated: u64,
+    /// Time at which the prefill of all admitted jobs is done.
+    prefill_free_at: Instant,
+    /// Tokens generated since [`Batch::take_generated`] was last called.
+    generated_tokens: u64,
 }
 
 /// One request in the batch.
@@ -35,92 +37,94 @@
 struct Job {
     stream: Rc<Stream>,
     priority: u8,
-    /// Prompt tokens that are not cached.
-    prompt: Tokens,
-    /// Time at which its prompt is processed.
-    ready: Instant,
+    /// Prompt tokens that are not in the prefix cache.
+    uncached_prompt: Tokens,
+    /// Time at which its prefill is done.
+    prefill_done: Instant,
 }
 
 impl Batch {
-    /// An idle batch.
-    pub fn new(slots: Slots, speed: Rate, prefill: Rate) -> Batch {
+    /// An idle batch; both rates are in tokens per second.
+    pub fn new(slots: Slots, decode_rate: Rate, prefill_rate: Rate) -> Batch {
         Batch {
             slots: slots.0 as usize,
-            speed,
-            prefill,
+            decode_rate,
+            prefill_rate,
             waiting: Vec::new(),
             running: Vec::new(),
-            prefill_end: Instant::now(),
-            generated: 0,
+            prefill_free_at: Instant::now(),
+            generated_tokens: 0,
         }
     }
 
-    /// Whether a further job would wait in a full queue.
+    /// Whether the queue is full, so that further jobs have to be refused.
     pub fn is_full(&self) -> bool {
-        self.waiting.len() >= self.slots * QUEUE_FACTOR as usize
+        self.waiting.len() >= self.slots * MAX_WAITING_PER_SLOT as usize
     }
 
-    /// Queues `stream`, of whose prompt `prompt` tokens are not cached.
-    pub fn push(&mut self, stream: Rc<Stream>, priority: u8, prompt: Tokens) {
-        let job = Job { stream, priority, prompt, ready: self.prefill_end };
-        let place = self.waiting.partition_point(|it| it.priority >= priority);
-        self.waiting.insert(place, job);
+    /// Queues `stream`, of whose prompt `uncached_prompt` tokens are not in the prefix cache.
+    pub fn push(&mut self, stream: Rc<Stream>, priority: u8, uncached_prompt: Tokens) {
+        let job = Job { stream, priority, uncached_prompt, prefill_done: self.prefill_free_at };
+        let index = self.waiting.partition_point(|it| it.priority >= priority);
+        self.waiting.insert(index, job);
     }
 
-    /// Generates one token of each ready job; returns the time of the next step, or `None` when
-    /// nothing runs.
+    /// Generates one token for each running job whose prefill is done; returns the time of the next
+    /// step, or `None` when no job is running. `slowdown` multiplies all times.
     pub fn step(&mut self, now: Instant, slowdown: f64) -> Option<Instant> {
-        for job in self.running.iter().filter(|it| it.ready <= now) {
+        for job in self.running.iter().filter(|it| it.prefill_done <= now) {
             if job.stream.phase() == Phase::Running {
-                job.stream.advance();
-                self.generated += 1;
+                job.stream.generate_token();
+                self.generated_tokens += 1;
             }
         }
         self.running.retain(|it| it.stream.phase() == Phase::Running);
         self.admit(now, slowdown);
-        let first = self.running.iter().map(|it| it.ready).min()?;
+        let first = self.running.iter().map(|it| it.prefill_done).min()?;
         Some(first.max(now + self.step_time(slowdown)))
     }
 
-    /// Jobs that have a slot.
+    /// Number of jobs that have a slot.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Jobs that wait for a slot.
+    /// Number of jobs that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Prompt tokens of waiting jobs that are not cached.
+    /// Prompt tokens of waiting jobs that are not in the prefix cache.
     pub fn backlog(&self) -> Tokens {
-        Tokens(self.waiting.iter().map(|it| it.prompt.0).sum())
+        Tokens(self.waiting.iter().map(|it| it.uncached_prompt.0).sum())
     }
 
-    /// Takes the number of tokens generated since the last call.
+    /// Returns the number of tokens generated since the last call.
     pub fn take_generated(&mut self) -> u64 {
-        std::mem::take(&mut self.generated)
+        std::mem::take(&mut self.generated_tokens)
     }
 
     fn admit(&mut self, now: Instant, slowdown: f64) {
         self.waiting.retain(|it| {
             if it.stream.deadline.is_some_and(|deadline| deadline < now) {
-                it.stream.enter(Phase::Expired);
+                it.stream.set_phase(Phase::Expired);
             }
             it.stream.phase() == Phase::Waiting
         });
         while self.running.len() < self.slots && !self.waiting.is_empty() {
             let mut job = self.waiting.remove(0);
-            let seconds = job.prompt.0 as f64 / self.prefill.get() * slowdown;
-            self.prefill_end = self.prefill_end.max(now) + Duration::from_secs_f64(seconds);
-            job.ready = self.prefill_end;
-            job.stream.enter(Phase::Running);
+            let seconds = job.uncached_prompt.0 as f64 / self.prefill_rate.get() * slowdown;
+            self.prefill_free_at = self.prefill_free_at.max(now) + Duration::from_secs_f64(seconds);
+            job.prefill_done = self.prefill_free_at;
+            job.stream.set_phase(Phase::Running);
             self.running.push(job);
         }
     }
 
     fn step_time(&self, slowdown: f64) -> Duration {
         let others = self.running.len().saturating_sub(1) as f64;
-        Duration::from_secs_f64((1.0 + STEP_GROWTH * others) * slowdown / self.speed.get())
+        Duration::from_secs_f64(
+            (1.0 + STEP_GROWTH_PER_JOB * others) * slowdown / self.decode_rate.get(),
+        )
     }
 }
--- a/src/standin/completions.rs
+++ b/src/standin/completions.rs
@@ -16,13 +16,13 @@
     standin::{
         CRASH_MARKER, answer,
         faults::AnswerFault,
-        http::{self, Answer, LostAnswer, echo, events, json, refusal},
+        http::{self, Answer, ConnectionAborted, events, json, refusal, with_request_id},
         streams::{Phase, Reader, Stream},
         upstream::Upstream,
     },
 };
 
-const STREAMS: &str = "/v1/streams/";
+const STREAMS_PATH: &str = "/v1/streams/";
 
 /// The fields of a completion request that an engine reads.
 #[derive(Debug, Deserialize)]
@@ -49,19 +49,19 @@
     upstream: Rc<Upstream>,
     id: SmolStr,
     request: Request<Incoming>,
-) -> Result<Answer, LostAnswer> {
+) -> Result<Answer, ConnectionAborted> {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::POST, "/v1/chat/completions") => complete(upstream, id, request, true).await,
         (&Method::POST, "/v1/completions") => complete(upstream, id, request, false).await,
         (&Method::GET, "/v1/models") => Ok(models(&upstream)),
         (&Method::POST, "/v1/orders") => Ok(order(&upstream, request).await),
-        (&Method::GET, it) if it.starts_with(STREAMS) => {
+        (&Method::GET, it) if it.starts_with(STREAMS_PATH) => {
             let offset = offset(request.uri().query());
-            Ok(resume(&upstream, &it[STREAMS.len()..], offset))
+            Ok(resume(&upstream, &it[STREAMS_PATH.len()..], offset))
         }
-        (&Method::DELETE, it) if it.starts_with(STREAMS) => {
-            Ok(cancel(&upstream, &it[STREAMS.len()..]))
+        (&Method::DELETE, it) if it.starts_with(STREAMS_PATH) => {
+            Ok(cancel(&upstream, &it[STREAMS_PATH.len()..]))
         }
         _ => Ok(refusal(StatusCode::NOT_FOUND, "not_found", "there is nothing at this path")),
     }
@@ -71,53 +71,66 @@
     upstream: Rc<Upstream>,
     id: SmolStr,
     request: Request<Incoming>,
-    chat: bool,
-) -> Result<Answer, LostAnswer> {
+    is_chat: bool,
+) -> Result<Answer, ConnectionAborted> {
     let fault = upstream.faults.borrow_mut().next_answer_fault();
     if fault.dropped {
-        return Err(LostAnswer);
+        return Err(ConnectionAborted);
     }
-    let priority = number(&request, headers::PRIORITY).unwrap_or(0).min(u64::from(u8::MAX)) as u8;
-    let patience = number(&request, headers::DEADLINE).map(Duration::from_millis);
+    let priority =
+        header_number(&request, headers::PRIORITY).unwrap_or(0).min(u64::from(u8::MAX)) as u8;
+    let time_left = header_number(&request, headers::DEADLINE).map(Duration::from_millis);
     let Some(body) = http::body(request).await else {
-        return Err(LostAnswer);
+        return Err(ConnectionAborted);
     };
     let completion: Completion = match serde_json::from_slice(&body) {
         Ok(completion) => completion,
         Err(error) => {
             let message = error.to_string();
-            return Ok(echo(refusal(StatusCode::BAD_REQUEST, "invalid_request", &message), &id));
+            return Ok(with_request_id(
+                refusal(StatusCode::BAD_REQUEST, "invalid_request", &message),
+                &id,
+            ));
         }
     };
-    if let Some(refused) = admission(&upstream, &completion, fault) {
-        return Ok(echo(refused, &id));
+    if let Some(refused) = check_admission(&upstream, &completion, fault) {
+        return Ok(with_request_id(refused, &id));
     }
-    let stream = begin(&upstream, &id, &completion, (chat, priority, patience), fault);
+    let stream = start_stream(&upstream, &id, &completion, (is_chat, priority, time_left), fault);
     let Some(stream) = stream else {
-        return Err(LostAnswer);
+        return Err(ConnectionAborted);
     };
     let reader = Reader::new(Rc::clone(&stream));
-    if stream.started().await == Phase::Expired {
+    if stream.wait_started().await == Phase::Expired {
         let message = "the deadline passed in the queue";
-        return Ok(echo(refusal(StatusCode::SERVICE_UNAVAILABLE, "not_started", message), &id));
+        return Ok(with_request_id(
+            refusal(StatusCode::SERVICE_UNAVAILABLE, "not_started", message),
+            &id,
+        ));
     }
     sleep(fault.delay).await;
     if fault.lost {
-        return Err(LostAnswer);
+        return Err(ConnectionAborted);
     }
     if completion.stream {
-        return Ok(echo(replay(reader, 0), &stream.id));
+        return Ok(with_request_id(stream_events(reader, 0), &stream.id));
     }
-    match stream.ended().await {
-        Phase::Finished => Ok(echo(json(StatusCode::OK, &stream.whole()), &stream.id)),
-        _ => Err(LostAnswer),
+    match stream.wait_ended().await {
+        Phase::Finished => {
+            Ok(with_request_id(json(StatusCode::OK, &stream.complete_answer()), &stream.id))
+        }
+        _ => Err(ConnectionAborted),
     }
 }
 
-/// Why the request is not begun, if it isn't.
-fn admission(upstream: &Upstream, completion: &Completion, fault: AnswerFault) -> Option<Answer> {
+/// The refusal, if the request can't be accepted.
+fn check_admission(
+    upstream: &Upstream,
+    completion: &Completion,
+    fault: AnswerFault,
+) -> Option<Answer> {
     if fault.refused {
-        let message = "refused on purpose";
+        let message = "refused by an injected fault";
         return Some(refusal(StatusCode::SERVICE_UNAVAILABLE, "not_started", message));
     }
     let model = completion.model.as_str();
@@ -132,66 +145,67 @@
     None
 }
 
-/// Queues the request; `None` when it crashes the engine.
-fn begin(
+/// Queues the request; returns `None` if it crashes the engine.
+fn start_stream(
     upstream: &Rc<Upstream>,
     id: &SmolStr,
     completion: &Completion,
-    (chat, priority, patience): (bool, u8, Option<Duration>),
+    (is_chat, priority, time_left): (bool, u8, Option<Duration>),
     fault: AnswerFault,
 ) -> Option<Rc<Stream>> {
-    let mut prompt = if chat { chat_text(&completion.messages) } else { text(&completion.prompt) };
+    let mut prompt =
+        if is_chat { chat_text(&completion.messages) } else { text_of(&completion.prompt) };
     upstream.ledger.borrow_mut().begin(id);
     if upstream.settings.has_crash_marker && prompt.contains(CRASH_MARKER) {
         upstream.crash(None);
         return None;
     }
     let answer_id = upstream.answer_id(id, fault);
-    if fault.crossed {
+    if fault.misdelivered {
         prompt.push_str("of another request");
     }
     let limit = completion.max_completion_tokens.or(completion.max_tokens);
     let answer = answer::Answer::new(&prompt, limit);
     let length = answer::prompt_tokens(&prompt);
-    let cached = upstream.cache.borrow_mut().visit(&prompt);
-    let mut stream = Stream::new(answer_id, completion.model.clone(), chat, length, answer);
-    stream.deadline = patience.map(|it| Instant::now() + it);
+    let cached = upstream.cache.borrow_mut().insert_prompt(&prompt);
+    let mut stream = Stream::new(answer_id, completion.model.clone(), is_chat, length, answer);
+    stream.deadline = time_left.map(|it| Instant::now() + it);
     let stream = Rc::new(stream);
-    upstream.streams.put(Rc::clone(&stream));
-    let fresh = Tokens(length.saturating_sub(cached.0));
-    upstream.batch.borrow_mut().push(Rc::clone(&stream), priority, fresh);
-    upstream.queued.notify_one();
+    upstream.streams.insert(Rc::clone(&stream));
+    let uncached = Tokens(length.saturating_sub(cached.0));
+    upstream.batch.borrow_mut().push(Rc::clone(&stream), priority, uncached);
+    upstream.job_queued.notify_one();
     Some(stream)
 }
 
 fn chat_text(messages: &[Message]) -> String {
     let pairs: Vec<(&str, String)> =
-        messages.iter().map(|it| (it.role.as_str(), text(&it.content))).collect();
+        messages.iter().map(|it| (it.role.as_str(), text_of(&it.content))).collect();
     let pairs: Vec<(&str, &str)> = pairs.iter().map(|(a, b)| (*a, b.as_str())).collect();
     answer::chat_prompt(&pairs)
 }
 
-/// The text of a content that is a string or a list of parts.
-fn text(content: &Value) -> String {
+/// The text of a message's content, which is a string or a list of parts.
+fn text_of(content: &Value) -> String {
     match content {
         Value::String(text) => text.clone(),
-        Value::Array(parts) => parts.iter().map(|it| text(&it["text"])).collect(),
+        Value::Array(parts) => parts.iter().map(|it| text_of(&it["text"])).collect(),
         _ => String::new(),
     }
 }
 
-/// The events of a stream from number `offset` on.
-fn replay(reader: Reader, offset: usize) -> Answer {
+/// An answer with the events of a stream, starting with event number `offset`.
+fn stream_events(reader: Reader, offset: usize) -> Answer {
     let done = Bytes::from_static(b"data: [DONE]\n\n");
-    events(stream::unfold((reader, offset, false), move |(reader, n, is_over)| {
+    events(stream::unfold((reader, offset, false), move |(reader, n, has_ended)| {
         let done = done.clone();
         async move {
-            if is_over {
+            if has_ended {
                 return None;
             }
             let Some(chunk) = reader.0.event(n).await else {
-                let is_whole = reader.0.phase() == Phase::Finished;
-                let last = if is_whole { done } else { cancelled(&reader.0.id) };
+                let is_complete = reader.0.phase() == Phase::Finished;
+                let last = if is_complete { done } else { cancelled(&reader.0.id) };
                 return Some((last, (reader, n, true)));
             };
             let event = Bytes::from(format!("id: {n}\ndata: {chunk}\n\n"));
@@ -201,7 +215,8 @@
 }
 
 fn cancelled(id: &str) -> Bytes {
-    let error = json!({"id": id, "error": {"code": "cancelled", "message": "it was cancelled"}});
+    let error =
+        json!({"id": id, "error": {"code": "cancelled", "message": "the stream was cancelled"}});
     Bytes::from(format!("event: error\ndata: {error}\n\n"))
 }
 
@@ -209,7 +224,7 @@
     match upstream.streams.get(id) {
         Some(stream) => {
             let id = stream.id.clone();
-            echo(replay(Reader::new(stream), offset), &id)
+            with_request_id(stream_events(Reader::new(stream), offset), &id)
         }
         None => refusal(StatusCode::NOT_FOUND, "stream_not_found", "no such stream is kept"),
     }
@@ -218,7 +233,7 @@
 fn cancel(upstream: &Upstream, id: &str) -> Answer {
     match upstream.streams.get(id) {
         Some(stream) => {
-            stream.enter(Phase::Cancelled);
+            stream.set_phase(Phase::Cancelled);
             json(StatusCode::OK, &json!({"id": id, "phase": format!("{:?}", stream.phase())}))
         }
         None => refusal(StatusCode::NOT_FOUND, "stream_not_found", "no such stream is kept"),
@@ -231,7 +246,7 @@
     offset.and_then(|it| it.parse().ok()).unwrap_or(0)
 }
 
-fn number(request: &Request<Incoming>, name: &str) -> Option<u64> {
+fn header_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
     http::header(request.headers(), name)?.parse().ok()
 }
 
@@ -250,7 +265,7 @@
             return refusal(StatusCode::BAD_REQUEST, "invalid_request", &error.to_string());
         }
     };
-    match upstream.orders.borrow_mut().take(upstream.incarnation.get(), order) {
+    match upstream.orders.borrow_mut().accept(upstream.incarnation.get(), order) {
         Ok(()) => json(StatusCode::OK, &json!({"taken": true})),
         Err(error) => refusal(StatusCode::CONFLICT, "order_refused", &error.to_string()),
     }
--- a/src/standin/connection.rs
+++ b/src/standin/connection.rs
@@ -1,4 +1,4 @@
-//! Connections that can go silent while they stay open.
+//! Connections that can become unresponsive while they stay open.
 
 use std::{
     cell::Cell,
@@ -13,17 +13,17 @@
     net::TcpStream,
 };
 
-/// A TCP connection that carries no byte any more once its switch is set: what is written
-/// vanishes, nothing arrives, and it never closes.
+/// A TCP connection that transfers no more data once its flag is set: written data is discarded,
+/// nothing is received, and the connection never closes.
 pub struct Connection {
     inner: TcpStream,
-    silent: Rc<Cell<bool>>,
+    unresponsive: Rc<Cell<bool>>,
 }
 
 impl Connection {
-    /// Wraps `inner`; `silent` is its switch.
-    pub fn new(inner: TcpStream, silent: Rc<Cell<bool>>) -> Connection {
-        Connection { inner, silent }
+    /// Wraps `inner`; setting `unresponsive` to true stops all transfer.
+    pub fn new(inner: TcpStream, unresponsive: Rc<Cell<bool>>) -> Connection {
+        Connection { inner, unresponsive }
     }
 }
 
@@ -33,13 +33,13 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.silent.get() {
+        if self.unresponsive.get() {
             return Poll::Pending;
         }
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.inner).poll_read(cx, buffer);
-        // Bytes or a close that arrive after the switch was set are lost.
-        if self.silent.get() {
+        // Data or an end of the stream that was received after the flag was set is discarded.
+        if self.unresponsive.get() {
             buffer.set_filled(before);
             return Poll::Pending;
         }
@@ -53,21 +53,21 @@
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.silent.get() {
+        if self.unresponsive.get() {
             return Poll::Ready(Ok(bytes.len()));
         }
         Pin::new(&mut self.inner).poll_write(cx, bytes)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.silent.get() {
+        if self.unresponsive.get() {
             return Poll::Ready(Ok(()));
         }
         Pin::new(&mut self.inner).poll_flush(cx)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.silent.get() {
+        if self.unresponsive.get() {
             return Poll::Pending;
         }
         Pin::new(&mut self.inner).poll_shutdown(cx)
--- a/src/standin/control.rs
+++ b/src/standin/control.rs
@@ -1,4 +1,4 @@
-//! The control port of an upstream.
+//! The control port of an upstream, for tests.
 
 use std::{convert::Infallible, io, rc::Rc};
 
@@ -15,7 +15,7 @@
     upstream::Upstream,
 };
 
-/// Listens at the control port; it stays up while the upstream is down.
+/// Serves the control port, which stays available while the upstream is down.
 pub(super) async fn start(upstream: Rc<Upstream>) -> io::Result<()> {
     let listener = TcpListener::bind(upstream.settings.control).await?;
     spawn_local(async move {
@@ -34,7 +34,7 @@
     Ok(match (request.method(), path.as_str()) {
         (&Method::POST, "/faults") => inject(&upstream, request).await,
         (&Method::GET, "/runs") => json(StatusCode::OK, &*upstream.ledger.borrow()),
-        (&Method::GET, "/orders") => json(StatusCode::OK, &upstream.orders.borrow().taken),
+        (&Method::GET, "/orders") => json(StatusCode::OK, &upstream.orders.borrow().accepted),
         (&Method::GET, "/state") => state(&upstream),
         _ => refusal(StatusCode::NOT_FOUND, "not_found", "there is nothing at this path"),
     })
@@ -59,7 +59,7 @@
         "incarnation": upstream.incarnation.get(),
         "down": upstream.is_down(),
         "leaving": upstream.leaving.get(),
-        "running": batch.running() as u32 + upstream.calls.get(),
+        "running": batch.running() as u32 + upstream.running_calls.get(),
         "waiting": batch.waiting(),
         "streams": upstream.streams.len(),
         "models": book.models,
--- a/src/standin/faults.rs
+++ b/src/standin/faults.rs
@@ -1,153 +1,161 @@
-//! Faults that a test injects through the control port.
+//! Faults that tests inject through the control port.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// A fault, as JSON of `POST /faults`.
+/// A fault; the JSON body of `POST /faults`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// The upstream stops at once: connections break, streams and cache are lost. With
-    /// `restart_ms` it starts again as a new incarnation, else it stays down.
+    /// The upstream crashes: connections are closed, streams and cache are lost. With `restart_ms` it
+    /// restarts as a new incarnation, otherwise it stays down.
     Crash {
-        /// Time until it starts again, in milliseconds.
+        /// Time until it restarts, in milliseconds.
         #[serde(default)]
         restart_ms: Option<u64>,
     },
-    /// It takes connections but does nothing.
+    /// The upstream accepts connections but does nothing else.
     Freeze {
-        /// For so long, in milliseconds.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// Connections that are open now carry no byte any more; new ones work.
+    /// Open connections become unresponsive: they transfer no more data; new ones work.
     SilenceOpenConnections,
-    /// Connections that are open now break; what runs goes on.
+    /// Open connections are closed; running requests continue.
     CutOpenConnections,
-    /// The connection of the next calls breaks before the upstream takes them in: they don't run.
+    /// The connections of the next calls are closed before the upstream accepts the calls, which don't
+    /// run.
     DropCall {
         /// How many calls.
         count: u32,
     },
-    /// The next calls run, but their connection breaks before the answer.
+    /// The next calls run, but their connections are closed before the answer.
     LoseAnswer {
         /// How many calls.
         count: u32,
     },
-    /// The answers of the next calls come late.
+    /// The answers of the next calls are delayed.
     LateAnswer {
         /// How many calls.
         count: u32,
         /// Delay in milliseconds.
         delay_ms: u64,
     },
-    /// The next calls get an answer that belongs to another request.
+    /// The next calls get an answer that belongs to another request (misdelivered).
     CrossedAnswer {
         /// How many calls.
         count: u32,
     },
-    /// The next calls are refused as not started.
+    /// The next calls are refused with the error code `not_started`.
     Refuse {
         /// How many calls.
         count: u32,
     },
-    /// Everything takes `factor` times as long.
+    /// All work takes `factor` times as long.
     Slow {
-        /// The factor, above zero.
+        /// The factor; ignored unless it is above zero.
         factor: f64,
     },
-    /// Ends freezing, slowness and all faults of next calls.
+    /// Ends a freeze, a slowdown and all faults of future calls.
     Clear,
 }
 
-/// The faults in force.
+/// The active faults of an upstream.
 #[derive(Debug)]
 pub struct FaultState {
-    frozen: Option<Instant>,
-    dropped: u32,
-    lost: u32,
-    late: u32,
-    delay: Duration,
-    crossed: u32,
-    refused: u32,
-    /// Factor on the time that everything takes.
+    frozen_until: Option<Instant>,
+    // Calls that each fault still applies to.
+    calls_to_drop: u32,
+    answers_to_lose: u32,
+    answers_to_delay: u32,
+    answer_delay: Duration,
+    answers_to_misdeliver: u32,
+    calls_to_refuse: u32,
+    /// Factor by which all work takes longer.
     pub slowdown: f64,
 }
 
-/// The fault of the answer to one call.
+/// The faults that apply to one call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnswerFault {
-    /// The call is not taken in; its connection breaks.
+    /// The call is not accepted; its connection is closed.
     pub dropped: bool,
-    /// It is never sent.
+    /// The answer is not sent; the connection is closed.
     pub lost: bool,
-    /// It belongs to another request.
-    pub crossed: bool,
-    /// The call is refused as not started.
+    /// The answer belongs to another request.
+    pub misdelivered: bool,
+    /// The call is refused with the error code `not_started`.
     pub refused: bool,
-    /// It is sent so much later.
+    /// Additional delay of the answer.
     pub delay: Duration,
 }
 
 impl Default for FaultState {
     fn default() -> FaultState {
         FaultState {
-            frozen: None,
-            dropped: 0,
-            lost: 0,
-            late: 0,
-            delay: Duration::ZERO,
-            crossed: 0,
-            refused: 0,
+            frozen_until: None,
+            calls_to_drop: 0,
+            answers_to_lose: 0,
+            answers_to_delay: 0,
+            answer_delay: Duration::ZERO,
+            answers_to_misdeliver: 0,
+            calls_to_refuse: 0,
             slowdown: 1.0,
         }
     }
 }
 
 impl FaultState {
-    /// Puts a fault in force; those that concern connections or the process are the caller's part.
+    /// Activates a fault. The caller handles the faults of connections and of the whole process.
     pub fn inject(&mut self, fault: &Fault, now: Instant) {
         match fault {
-            Fault::Freeze { for_ms } => self.frozen = Some(now + Duration::from_millis(*for_ms)),
-            Fault::DropCall { count } => self.dropped = *count,
-            Fault::LoseAnswer { count } => self.lost = *count,
+            Fault::Freeze { for_ms } => {
+                self.frozen_until = Some(now + Duration::from_millis(*for_ms))
+            }
+            Fault::DropCall { count } => self.calls_to_drop = *count,
+            Fault::LoseAnswer { count } => self.answers_to_lose = *count,
             Fault::LateAnswer { count, delay_ms } => {
-                self.late = *count;
-                self.delay = Duration::from_millis(*delay_ms);
+                self.answers_to_delay = *count;
+                self.answer_delay = Duration::from_millis(*delay_ms);
             }
-            Fault::CrossedAnswer { count } => self.crossed = *count,
-            Fault::Refuse { count } => self.refused = *count,
+            Fault::CrossedAnswer { count } => self.answers_to_misdeliver = *count,
+            Fault::Refuse { count } => self.calls_to_refuse = *count,
             Fault::Slow { factor } if *factor > 0.0 => self.slowdown = *factor,
             Fault::Clear => *self = FaultState::default(),
             _ => {}
         }
     }
 
-    /// The end of the freezing, while it lasts.
+    /// The end of the current freeze; `None` if the upstream is not frozen.
     pub fn frozen_until(&self, now: Instant) -> Option<Instant> {
-        self.frozen.filter(|end| *end > now)
+        self.frozen_until.filter(|end| *end > now)
     }
 
-    /// Decides what happens to the next call.
+    /// Returns the faults of the next call and counts the call for each of them.
     pub fn next_answer_fault(&mut self) -> AnswerFault {
         let take = |count: &mut u32| {
-            let is_hit = *count > 0;
+            let applies = *count > 0;
             *count = count.saturating_sub(1);
-            is_hit
+            applies
         };
-        if take(&mut self.dropped) {
+        if take(&mut self.calls_to_drop) {
             return AnswerFault { dropped: true, ..AnswerFault::default() };
         }
-        if take(&mut self.refused) {
+        if take(&mut self.calls_to_refuse) {
             return AnswerFault { refused: true, ..AnswerFault::default() };
         }
         AnswerFault {
             dropped: false,
-            lost: take(&mut self.lost),
-            crossed: take(&mut self.crossed),
+            lost: take(&mut self.answers_to_lose),
+            misdelivered: take(&mut self.answers_to_misdeliver),
             refused: false,
-            delay: if take(&mut self.late) { self.delay } else { Duration::ZERO },
+            delay: if take(&mut self.answers_to_delay) {
+                self.answer_delay
+            } else {
+                Duration::ZERO
+            },
         }
     }
 }
--- a/src/standin/http.rs
+++ b/src/standin/http.rs
@@ -1,4 +1,4 @@
-//! HTTP answers of the stand-in.
+//! Helpers for HTTP requests and answers of the stand-in.
 
 use std::{io, pin::Pin};
 
@@ -16,21 +16,21 @@
 
 use crate::protocol::headers::REQUEST_ID;
 
-/// Largest request body that is read.
-const MAX_BODY: usize = 64 << 20;
+/// Largest body that is read.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Body of an answer, whole or as it comes.
+/// Body of an answer, complete or streamed.
 pub type AnswerBody = Pin<Box<dyn Body<Data = Bytes, Error = io::Error>>>;
 
-/// An answer.
+/// An HTTP response of an emulated upstream.
 pub type Answer = Response<AnswerBody>;
 
-/// The connection breaks instead of an answer.
+/// The error of a handler that makes the server close the connection without an answer.
 #[derive(Debug, Error)]
-#[error("the answer is lost on purpose")]
-pub struct LostAnswer;
+#[error("the connection is closed without an answer")]
+pub struct ConnectionAborted;
 
-/// A JSON answer.
+/// An answer with `body` as JSON.
 pub fn json<T: Serialize>(status: StatusCode, body: &T) -> Answer {
     let body = serde_json::to_vec(body).unwrap_or_default();
     let whole = Full::new(Bytes::from(body)).map_err(|never| match never {});
@@ -40,12 +40,12 @@
     answer
 }
 
-/// A refusal in the form that engines use; `code` tells programs why.
+/// An error answer in the JSON format of engines; `code` is the machine-readable reason.
 pub fn refusal(status: StatusCode, code: &str, message: &str) -> Answer {
     json(status, &json!({"error": {"code": code, "type": code, "message": message}}))
 }
 
-/// An answer of server-sent events.
+/// An answer with a stream of server-sent events.
 pub fn events(stream: impl Stream<Item = Bytes> + 'static) -> Answer {
     use futures_util::StreamExt;
 
@@ -56,26 +56,26 @@
     answer
 }
 
-/// Adds the id of the request that the answer belongs to.
-pub fn echo(mut answer: Answer, id: &str) -> Answer {
+/// Adds the header with the id of the request that the answer belongs to.
+pub fn with_request_id(mut answer: Answer, id: &str) -> Answer {
     if let Ok(value) = id.parse() {
         answer.headers_mut().insert(REQUEST_ID, value);
     }
     answer
 }
 
-/// Reads a request's body; `None` when it breaks off or is too large.
+/// Reads the body of a request; `None` if it is truncated or too large.
 pub async fn body(request: Request<Incoming>) -> Option<Bytes> {
-    let body = Limited::new(request.into_body(), MAX_BODY);
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES);
     body.collect().await.ok().map(|it| it.to_bytes())
 }
 
-/// A header as text.
+/// The value of a header as text; `None` if it is absent or not visible ASCII.
 pub fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Reads an answer to its end, so that its connection can be used again.
+/// Reads an answer to its end, so that its connection can be reused.
 pub async fn drain(answer: Response<Incoming>) {
-    let _ = Limited::new(answer.into_body(), MAX_BODY).collect().await;
+    let _ = Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await;
 }
--- a/src/standin/ledger.rs
+++ b/src/standin/ledger.rs
@@ -1,7 +1,7 @@
-//! What ran: how often each key, and with which answer.
+//! Records how often each key ran and with which answer.
 //!
-//! Keys come in an order that is not their own, and all are kept, so that a sorted vector would
-//! move megabytes for one insertion; a tree does not.
+//! Keys arrive in random order and are never removed, so that an insertion into a sorted vector would
+//! move megabytes; a tree does not.
 
 use std::collections::{BTreeMap, btree_map::Entry};
 
@@ -9,16 +9,16 @@
 use serde_json::Value;
 use smol_str::SmolStr;
 
-/// The runs of one upstream, kept across its crashes; sorted by key.
+/// The runs of one upstream, sorted by key; crashes of the upstream don't clear them.
 #[derive(Debug, Default, Serialize)]
 pub struct Ledger {
-    /// Runs of all keys.
+    /// Number of runs of all keys.
     pub total: u64,
     #[serde(serialize_with = "list")]
     runs: BTreeMap<SmolStr, Run>,
 }
 
-/// Writes the runs of each key as a list, sorted by key.
+/// Serializes the runs as a list, sorted by key.
 fn list<S: Serializer>(runs: &BTreeMap<SmolStr, Run>, target: S) -> Result<S::Ok, S::Error> {
     target.collect_seq(runs.values())
 }
@@ -28,14 +28,14 @@
 pub struct Run {
     /// The key.
     pub key: SmolStr,
-    /// How often it ran.
+    /// Number of runs.
     pub count: u64,
-    /// The answer of the last run, once it ended.
+    /// The answer of the last completed run.
     pub answer: Option<Value>,
 }
 
 impl Ledger {
-    /// Notes that `key` begins to run and returns how often it has run, this time included.
+    /// Records the start of a run of `key` and returns the number of its runs, including this one.
     ///
     /// ```
     /// use medlarlug::standin::ledger::Ledger;
@@ -47,21 +47,21 @@
     pub fn begin(&mut self, key: &str) -> u64 {
         self.total += 1;
         let run = match self.runs.entry(key.into()) {
-            Entry::Occupied(found) => found.into_mut(),
-            Entry::Vacant(place) => place.insert(Run { key: key.into(), count: 0, answer: None }),
+            Entry::Occupied(entry) => entry.into_mut(),
+            Entry::Vacant(entry) => entry.insert(Run { key: key.into(), count: 0, answer: None }),
         };
         run.count += 1;
         run.count
     }
 
-    /// Notes the answer of the last run of `key`.
+    /// Records the answer of the last run of `key`.
     pub fn end(&mut self, key: &str, answer: Value) {
         if let Some(run) = self.runs.get_mut(key) {
             run.answer = Some(answer);
         }
     }
 
-    /// The runs of `key`.
+    /// The runs of `key`; `None` if it never ran.
     pub fn get(&self, key: &str) -> Option<&Run> {
         self.runs.get(key)
     }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,23 +1,25 @@
-//! An emulator of upstreams: a model engine and a plain service.
+//! The stand-in: an emulator of upstreams, which are model engines and plain services.
 //!
 //! One process runs all upstreams that its settings list, on one thread. Each upstream has two
-//! ports: its own, at which it takes requests and orders as a real one would, and a control port,
-//! at which tests inject faults and read what ran.
+//! ports: one for requests and orders, like a real upstream, and a control port, through which tests
+//! inject faults and read what ran.
 //!
-//! An engine answers the usual JSON of chat completions, deterministically: the answer depends on
-//! the prompt alone, so a test computes it with [`answer::expected`]. It batches continuously
-//! ([`batch`]), keeps prompt prefixes in a bounded cache ([`cache`]) and lets streams be resumed
-//! and cancelled ([`streams`]). A plain service counts the runs of each idempotency key
-//! ([`service`]). Both announce themselves with a lagging load report ([`announcer`]).
+//! An engine implements the usual JSON API of chat completions. Its answers are deterministic: they
+//! depend only on the prompt and the limit of tokens, so a test computes them with
+//! [`answer::expected`]. An engine uses continuous batching ([`batch`]), keeps prompt prefixes in a
+//! bounded cache ([`cache`]) and supports resuming and cancelling of streams ([`streams`]). A plain
+//! service counts the runs of each idempotency key ([`service`]). Both send announcements with a
+//! delayed load report ([`announcer`]).
 //!
-//! Requests to an engine may carry `x-request-id`, `x-deadline-ms` and `x-priority`; every answer
-//! echoes the request id. A refusal whose JSON has the error code `not_started` was not begun.
+//! Requests to an engine may have the headers `x-request-id`, `x-deadline-ms` and `x-priority`; every
+//! answer returns the request id. A request that is refused with the error code `not_started` did not
+//! start.
 //!
-//! | control port | answer |
+//! | control port | effect or answer |
 //! | --- | --- |
 //! | `POST /faults` | injects a [`faults::Fault`] |
 //! | `GET /runs` | how often each key ran |
-//! | `GET /orders` | orders that were taken, in turn |
+//! | `GET /orders` | accepted orders, in order of arrival |
 //! | `GET /state` | load, loaded models and open streams |
 
 pub mod announcer;
@@ -38,5 +40,5 @@
 
 pub use process::run;
 
-/// A prompt that holds this text crashes an engine whose settings allow it.
+/// A prompt that contains this text crashes an engine whose settings have `crash_marker: true`.
 pub const CRASH_MARKER: &str = "CRASH-ME";
--- a/src/standin/orders.rs
+++ b/src/standin/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine, with or without a check of the fencing number.
+//! Orders to an engine, with or without a check of the fencing token.
 
 use medlarlug_core::{
     announcement::LoadedModel,
@@ -8,28 +8,28 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// An order is refused.
+/// Why an order is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum OrderError {
-    /// A newer order was taken, or another one under the same number.
-    #[error("the order's fencing number {old} is not above {newest}")]
+    /// A newer order, or another one with the same fencing token, was accepted before.
+    #[error("the fencing token {old} of the order is not above {newest}")]
     Stale {
-        /// Number of the refused order.
+        /// Fencing token of the refused order.
         old: FencingToken,
-        /// The newest number that was taken.
+        /// The newest accepted fencing token.
         newest: FencingToken,
     },
-    /// The order is meant for another incarnation.
-    #[error("the order is meant for incarnation {meant}, this is {own}")]
+    /// The order addresses another incarnation.
+    #[error("the order is for incarnation {addressed}, but this is incarnation {own}")]
     Incarnation {
-        /// Incarnation that the order names.
-        meant: Incarnation,
-        /// Incarnation of the engine.
+        /// Incarnation that the order addresses.
+        addressed: Incarnation,
+        /// Current incarnation of the engine.
         own: Incarnation,
     },
 }
 
-/// The orders that an engine took and what they led to.
+/// The accepted orders of an engine and the state that results from them.
 ///
 /// ```
 /// use medlarlug::standin::orders::OrderBook;
@@ -47,50 +47,51 @@
 ///     },
 /// };
 /// let mut book = OrderBook::new(true, Vec::new());
-/// assert!(book.take(Incarnation(1), order(2, Role::Decode)).is_ok());
-/// assert!(book.take(Incarnation(1), order(1, Role::Prefill)).is_err());
+/// assert!(book.accept(Incarnation(1), order(2, Role::Decode)).is_ok());
+/// assert!(book.accept(Incarnation(1), order(1, Role::Prefill)).is_err());
 /// assert_eq!(book.role, Role::Decode);
 /// ```
 #[derive(Debug)]
 pub struct OrderBook {
-    checks: bool,
-    /// Orders that were taken, in turn.
-    pub taken: Vec<Order>,
+    checks_fencing: bool,
+    /// Accepted orders, in order of arrival.
+    pub accepted: Vec<Order>,
     /// Loaded model versions, sorted.
     pub models: Vec<LoadedModel>,
-    /// The role.
+    /// Current role of the engine.
     pub role: Role,
 }
 
 impl OrderBook {
-    /// An engine that starts with `models` and that `checks` fencing numbers or doesn't.
-    pub fn new(checks: bool, models: Vec<LoadedModel>) -> OrderBook {
-        OrderBook { checks, taken: Vec::new(), models, role: Role::Mixed }
+    /// An engine that starts with `models`; `checks_fencing` tells whether it checks fencing tokens
+    /// and incarnations.
+    pub fn new(checks_fencing: bool, models: Vec<LoadedModel>) -> OrderBook {
+        OrderBook { checks_fencing, accepted: Vec::new(), models, role: Role::Mixed }
     }
 
-    /// Carries an order out. The last order sent again is carried out once.
+    /// Applies an order. If the last order is sent again, it is not applied a second time.
     ///
     /// # Errors
     ///
-    /// Fails when fencing numbers are checked and a newer one, or another order with the same
-    /// one, was taken before, or when the order is meant for another incarnation.
-    pub fn take(&mut self, own: Incarnation, order: Order) -> Result<(), OrderError> {
-        let newest = self.taken.iter().map(|it| it.fence).max().unwrap_or_default();
-        if self.checks && newest >= order.fence {
-            if self.taken.last() == Some(&order) {
+    /// If fencing tokens are checked: fails when a newer order, or another one with the same token,
+    /// was accepted before, or when the order addresses another incarnation.
+    pub fn accept(&mut self, own: Incarnation, order: Order) -> Result<(), OrderError> {
+        let newest = self.accepted.iter().map(|it| it.fence).max().unwrap_or_default();
+        if self.checks_fencing && newest >= order.fence {
+            if self.accepted.last() == Some(&order) {
                 return Ok(());
             }
             return Err(OrderError::Stale { old: order.fence, newest });
         }
-        if self.checks && order.task.incarnation != own {
-            return Err(OrderError::Incarnation { meant: order.task.incarnation, own });
+        if self.checks_fencing && order.task.incarnation != own {
+            return Err(OrderError::Incarnation { addressed: order.task.incarnation, own });
         }
-        self.carry_out(&order.task.kind);
-        self.taken.push(order);
+        self.apply(&order.task.kind);
+        self.accepted.push(order);
         Ok(())
     }
 
-    /// Whether it can serve `name`, which reads `model` or `model:adapter`.
+    /// Whether the engine can serve `name`, which is `model` or `model:adapter`.
     pub fn serves(&self, name: &str) -> bool {
         let (model, adapter) = match name.split_once(':') {
             Some((model, adapter)) => (model, Some(adapter)),
@@ -102,7 +103,7 @@
             .any(|it| adapter.is_none_or(|name| it.adapters.iter().any(|one| one.as_str() == name)))
     }
 
-    /// The names of what it serves.
+    /// Names of the loaded models.
     pub fn names(&self) -> Vec<SmolStr> {
         let mut names: Vec<SmolStr> =
             self.models.iter().map(|it| it.model.as_str().into()).collect();
@@ -110,7 +111,7 @@
         names
     }
 
-    fn carry_out(&mut self, kind: &OrderKind) {
+    fn apply(&mut self, kind: &OrderKind) {
         match kind {
             OrderKind::Load { model, version } => {
                 let is_known = |it: &LoadedModel| (&it.model, &it.version) == (model, version);
@@ -123,19 +124,19 @@
             OrderKind::Unload { model, version } => {
                 self.models.retain(|it| (&it.model, &it.version) != (model, version));
             }
-            OrderKind::LoadAdapter { model, adapter } => self.each_version(model, |it| {
-                if let Err(place) = it.adapters.binary_search(adapter) {
-                    it.adapters.insert(place, adapter.clone());
+            OrderKind::LoadAdapter { model, adapter } => self.for_each_version(model, |it| {
+                if let Err(index) = it.adapters.binary_search(adapter) {
+                    it.adapters.insert(index, adapter.clone());
                 }
             }),
             OrderKind::UnloadAdapter { model, adapter } => {
-                self.each_version(model, |it| it.adapters.retain(|one| one != adapter));
+                self.for_each_version(model, |it| it.adapters.retain(|one| one != adapter));
             }
             OrderKind::ChangeRole(role) => self.role = *role,
         }
     }
 
-    fn each_version(&mut self, model: &ModelId, change: impl Fn(&mut LoadedModel)) {
+    fn for_each_version(&mut self, model: &ModelId, change: impl Fn(&mut LoadedModel)) {
         self.models.iter_mut().filter(|it| it.model == *model).for_each(change);
     }
 }
--- a/src/standin/process.rs
+++ b/src/standin/process.rs
@@ -15,40 +15,41 @@
     standin::{control, upstream::Upstream},
 };
 
-/// Shortest time between the word that an upstream leaves and its end.
-pub const LINGER: Duration = Duration::from_secs(1);
+/// Shortest time from the announcement that an upstream is leaving until it stops.
+pub const MIN_LEAVE_TIME: Duration = Duration::from_secs(1);
 
-/// Longest such time; what runs then is cut.
-pub const MAX_LINGER: Duration = Duration::from_secs(60);
+/// Longest time until an upstream that is leaving stops; requests that still run are aborted.
+pub const MAX_LEAVE_TIME: Duration = Duration::from_secs(60);
 
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a stand-in process ends.
+/// Why a stand-in process fails.
 #[derive(Debug, Error)]
 pub enum StandinError {
-    /// A port can't be used.
-    #[error("upstream {id} can't listen at {address}")]
+    /// A port can't be bound.
+    #[error("upstream {id} failed to listen on {address}")]
     Listen {
         /// The upstream.
         id: UpstreamId,
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Signals can't be received.
-    #[error("signals can't be received")]
+    /// The signal handlers can't be installed.
+    #[error("failed to install signal handlers")]
     Signal(#[source] io::Error),
-    /// All upstreams crashed for good.
+    /// All upstreams crashed and none will restart.
     #[error("all upstreams have crashed")]
     Crashed,
 }
 
-/// Runs all upstreams until SIGTERM or SIGINT; then they leave, finish their work and stop.
+/// Runs all upstreams until SIGTERM or SIGINT. Then they announce that they are leaving, finish their
+/// requests and stop.
 ///
 /// # Errors
 ///
-/// Fails when a port can't be used, or once all upstreams have crashed for good.
+/// Fails when a port can't be bound, or once all upstreams have crashed and none will restart.
 pub async fn run(settings: StandinSettings) -> Result<(), StandinError> {
     LocalSet::new().run_until(run_local(settings)).await
 }
@@ -60,7 +61,7 @@
     for it in settings.upstreams {
         upstreams.push(start(it, settings.keys.clone()).await?);
     }
-    tracing::info!(upstreams = upstreams.len(), "the stand-in is up");
+    tracing::info!(upstreams = upstreams.len(), "stand-in started");
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
@@ -85,23 +86,23 @@
     Ok(upstream)
 }
 
-/// Returns once every upstream is down with no restart to come. A lone upstream that is down
-/// ends the process, as a crash of a real engine does.
+/// Returns once every upstream is down and none will restart. With a single upstream, its crash thus
+/// ends the process, like the crash of a real engine.
 async fn all_crashed(upstreams: &[Rc<Upstream>]) {
-    while upstreams.is_empty() || !upstreams.iter().all(|it| it.is_lost()) {
-        sleep(POLL).await;
+    while upstreams.is_empty() || !upstreams.iter().all(|it| it.is_permanently_down()) {
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 async fn drain(upstreams: &[Rc<Upstream>]) {
-    tracing::info!("the stand-in leaves");
+    tracing::info!("stand-in is leaving");
     upstreams.iter().for_each(|it| it.leave());
-    let begun = Instant::now();
+    let start = Instant::now();
     loop {
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
         let is_idle = upstreams.iter().all(|it| it.is_idle());
-        let waited = begun.elapsed();
-        if (is_idle && waited >= LINGER) || waited >= MAX_LINGER {
+        let waited = start.elapsed();
+        if (is_idle && waited >= MIN_LEAVE_TIME) || waited >= MAX_LEAVE_TIME {
             break;
         }
     }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -1,7 +1,7 @@
 //! The HTTP interface of a plain service.
 //!
-//! A `POST` runs each time that it comes, so that a doubled call shows in the ledger. `GET` of
-//! `/outcomes/{key}` tells whether a key was seen; any other `GET` is a look-up.
+//! Every `POST` that arrives runs, so that a duplicated call is visible in the ledger. `GET` of
+//! `/outcomes/{key}` returns whether a key has run; any other `GET` is a read-only call.
 
 use std::rc::Rc;
 
@@ -14,52 +14,55 @@
 use crate::{
     protocol::headers::IDEMPOTENCY_KEY,
     standin::{
-        http::{self, Answer, LostAnswer, echo, json, refusal},
+        http::{self, Answer, ConnectionAborted, json, refusal, with_request_id},
         upstream::Upstream,
     },
 };
 
-const OUTCOMES: &str = "/outcomes/";
+const OUTCOMES_PATH: &str = "/outcomes/";
 
 pub(super) async fn handle(
     upstream: Rc<Upstream>,
     id: SmolStr,
     request: Request<Incoming>,
-) -> Result<Answer, LostAnswer> {
+) -> Result<Answer, ConnectionAborted> {
     let path = request.uri().path().to_owned();
     if request.method() == Method::GET {
-        let answer = match path.strip_prefix(OUTCOMES) {
+        let answer = match path.strip_prefix(OUTCOMES_PATH) {
             Some(key) => outcome(&upstream, key),
             None => {
                 json(StatusCode::OK, &json!({"path": path, "runs": upstream.ledger.borrow().total}))
             }
         };
-        return Ok(echo(answer, &id));
+        return Ok(with_request_id(answer, &id));
     }
     let fault = upstream.faults.borrow_mut().next_answer_fault();
     if fault.dropped {
-        return Err(LostAnswer);
+        return Err(ConnectionAborted);
     }
     if fault.refused {
-        let message = "refused on purpose";
-        return Ok(echo(refusal(StatusCode::SERVICE_UNAVAILABLE, "not_started", message), &id));
+        let message = "refused by an injected fault";
+        return Ok(with_request_id(
+            refusal(StatusCode::SERVICE_UNAVAILABLE, "not_started", message),
+            &id,
+        ));
     }
     let key: SmolStr = http::header(request.headers(), IDEMPOTENCY_KEY).unwrap_or(&id).into();
     let Some(body) = http::body(request).await else {
-        return Err(LostAnswer);
+        return Err(ConnectionAborted);
     };
-    // The call runs to its end even if the connection breaks meanwhile.
+    // The call runs to its end even if the connection fails in the meantime.
     let call = Call { id: id.clone(), key, path, content: Fingerprint::of(&body) };
     let run = tokio::task::spawn_local(run(Rc::clone(&upstream), call));
     let Ok(answer) = run.await else {
-        return Err(LostAnswer);
+        return Err(ConnectionAborted);
     };
     sleep(fault.delay).await;
     if fault.lost {
-        return Err(LostAnswer);
+        return Err(ConnectionAborted);
     }
     let answer_id = upstream.answer_id(&id, fault);
-    Ok(echo(json(StatusCode::OK, &answer), &answer_id))
+    Ok(with_request_id(json(StatusCode::OK, &answer), &answer_id))
 }
 
 struct Call {
@@ -71,10 +74,10 @@
 
 async fn run(upstream: Rc<Upstream>, call: Call) -> Value {
     let count = upstream.ledger.borrow_mut().begin(&call.key);
-    upstream.calls.set(upstream.calls.get() + 1);
+    upstream.running_calls.set(upstream.running_calls.get() + 1);
     sleep(upstream.settings.service_time.mul_f64(upstream.slowdown())).await;
-    upstream.thaw().await;
-    upstream.calls.set(upstream.calls.get().saturating_sub(1));
+    upstream.wait_while_frozen().await;
+    upstream.running_calls.set(upstream.running_calls.get().saturating_sub(1));
     let answer = json!({
         "id": call.id,
         "key": call.key,
--- a/src/standin/streams.rs
+++ b/src/standin/streams.rs
@@ -1,7 +1,7 @@
-//! Generated streams, which can be read again from any event while they are kept.
+//! Generated streams, which can be read again from any event while they are retained.
 //!
-//! Event `n` carries token `n`; the event after the last token carries the reason of the end.
-//! A stream that nobody reads is cancelled, and a finished one forgotten, after [`KEEP`].
+//! Event `n` contains token `n`; the event after the last token contains the finish reason. A stream
+//! without a reader is cancelled and removed after [`RETENTION`].
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,94 +16,101 @@
 
 use crate::standin::answer::Answer;
 
-/// Time for which a stream without a reader is kept.
-pub const KEEP: Duration = Duration::from_secs(10);
+/// Time for which a stream without a reader is retained.
+pub const RETENTION: Duration = Duration::from_secs(10);
 
-/// Where the generation of a stream stands.
+/// State of the generation of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It waits for a slot.
+    /// The stream waits for a slot.
     Waiting,
-    /// It generates.
+    /// The stream has a slot and generates tokens.
     Running,
-    /// All tokens are there.
+    /// All tokens were generated.
     Finished,
-    /// It was cancelled.
+    /// The stream was cancelled.
     Cancelled,
-    /// Its deadline passed before it got a slot.
+    /// The deadline passed before the stream got a slot.
     Expired,
 }
 
 /// One generated answer.
 #[derive(Debug)]
 pub struct Stream {
-    /// The request.
+    /// Id under which the answer is sent: that of the request, unless a fault misdelivers the answer.
     pub id: SmolStr,
     /// The model, as the request named it.
     pub model: SmolStr,
-    /// Whether the answer is that of a chat.
-    pub chat: bool,
-    /// Tokens of the prompt.
-    pub prompt: u64,
-    /// The whole answer.
+    /// Whether the answer has the format of chat completions.
+    pub is_chat: bool,
+    /// Number of tokens of the prompt.
+    pub prompt_tokens: u64,
+    /// The complete answer, including tokens not generated yet.
     pub answer: Answer,
     /// Latest time at which it may get a slot.
     pub deadline: Option<Instant>,
-    produced: Cell<usize>,
+    produced_tokens: Cell<usize>,
     phase: Cell<Phase>,
     changed: Notify,
     readers: Cell<u32>,
-    idle: Cell<Instant>,
+    /// Time of the last change of the phase or end of a reader.
+    idle_since: Cell<Instant>,
 }
 
 impl Stream {
     /// A stream that waits for a slot.
-    pub fn new(id: SmolStr, model: SmolStr, chat: bool, prompt: u64, answer: Answer) -> Self {
+    pub fn new(
+        id: SmolStr,
+        model: SmolStr,
+        is_chat: bool,
+        prompt_tokens: u64,
+        answer: Answer,
+    ) -> Self {
         Stream {
             id,
             model,
-            chat,
-            prompt,
+            is_chat,
+            prompt_tokens,
             answer,
             deadline: None,
-            produced: Cell::new(0),
+            produced_tokens: Cell::new(0),
             phase: Cell::new(Phase::Waiting),
             changed: Notify::new(),
             readers: Cell::new(0),
-            idle: Cell::new(Instant::now()),
+            idle_since: Cell::new(Instant::now()),
         }
     }
 
-    /// Where its generation stands.
+    /// State of the generation.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Moves it to `phase`, unless it has ended.
-    pub fn enter(&self, phase: Phase) {
+    /// Changes the phase, unless the stream has ended.
+    pub fn set_phase(&self, phase: Phase) {
         if matches!(self.phase.get(), Phase::Waiting | Phase::Running) {
             self.phase.set(phase);
-            self.idle.set(Instant::now());
+            self.idle_since.set(Instant::now());
             self.changed.notify_waiters();
         }
     }
 
-    /// Generates one token; false when the answer is whole.
-    pub fn advance(&self) -> bool {
-        self.produced.set((self.produced.get() + 1).min(self.answer.len()));
-        let is_whole = self.produced.get() == self.answer.len();
-        if is_whole {
-            self.enter(Phase::Finished);
+    /// Generates one token; returns false once the answer is complete.
+    pub fn generate_token(&self) -> bool {
+        self.produced_tokens.set((self.produced_tokens.get() + 1).min(self.answer.len()));
+        let is_complete = self.produced_tokens.get() == self.answer.len();
+        if is_complete {
+            self.set_phase(Phase::Finished);
         }
         self.changed.notify_waiters();
-        !is_whole
+        !is_complete
     }
 
-    /// Waits until event `n` is there; `None` when the stream ended before.
+    /// Waits for event `n`; `None` if the stream ends before it.
     pub async fn event(&self, n: usize) -> Option<Value> {
         loop {
             let changed = self.changed.notified();
-            if n < self.produced.get() {
+            if n < self.produced_tokens.get() {
                 return Some(self.chunk(n));
             }
             match self.phase.get() {
@@ -114,8 +121,8 @@
         }
     }
 
-    /// Waits until it has a slot or has ended.
-    pub async fn started(&self) -> Phase {
+    /// Waits until the stream has a slot or has ended; returns its phase.
+    pub async fn wait_started(&self) -> Phase {
         loop {
             let changed = self.changed.notified();
             match self.phase.get() {
@@ -125,8 +132,8 @@
         }
     }
 
-    /// Waits until it has ended.
-    pub async fn ended(&self) -> Phase {
+    /// Waits until the stream has ended; returns its phase.
+    pub async fn wait_ended(&self) -> Phase {
         loop {
             let changed = self.changed.notified();
             match self.phase.get() {
@@ -136,26 +143,26 @@
         }
     }
 
-    /// The whole answer as one JSON object.
-    pub fn whole(&self) -> Value {
+    /// The complete answer as one JSON object.
+    pub fn complete_answer(&self) -> Value {
         let text = self.answer.text();
-        let choice = if self.chat {
+        let choice = if self.is_chat {
             let message = json!({"role": "assistant", "content": text});
             json!({"index": 0, "message": message, "finish_reason": "stop"})
         } else {
             json!({"index": 0, "text": text, "logprobs": null, "finish_reason": "stop"})
         };
-        let generated = self.answer.len() as u64;
+        let generated_tokens = self.answer.len() as u64;
         json!({
             "id": self.id,
-            "object": if self.chat { "chat.completion" } else { "text_completion" },
+            "object": if self.is_chat { "chat.completion" } else { "text_completion" },
             "created": 0,
             "model": self.model,
             "choices": [choice],
             "usage": {
-                "prompt_tokens": self.prompt,
-                "completion_tokens": generated,
-                "total_tokens": self.prompt + generated,
+                "prompt_tokens": self.prompt_tokens,
+                "completion_tokens": generated_tokens,
+                "total_tokens": self.prompt_tokens + generated_tokens,
             },
         })
     }
@@ -163,7 +170,7 @@
     fn chunk(&self, n: usize) -> Value {
         let reason = if n == self.answer.len() { Some("stop") } else { None };
         let text = self.answer.token(n).unwrap_or_default();
-        let choice = if self.chat {
+        let choice = if self.is_chat {
             let delta = match (n, reason) {
                 (_, Some(_)) => json!({}),
                 (0, None) => json!({"role": "assistant", "content": text}),
@@ -175,24 +182,24 @@
         };
         json!({
             "id": self.id,
-            "object": if self.chat { "chat.completion.chunk" } else { "text_completion" },
+            "object": if self.is_chat { "chat.completion.chunk" } else { "text_completion" },
             "created": 0,
             "model": self.model,
             "choices": [choice],
         })
     }
 
-    fn is_forgotten(&self, now: Instant) -> bool {
-        self.readers.get() == 0 && now.saturating_duration_since(self.idle.get()) > KEEP
+    fn is_past_retention(&self, now: Instant) -> bool {
+        self.readers.get() == 0 && now.saturating_duration_since(self.idle_since.get()) > RETENTION
     }
 }
 
-/// Counts a reader of a stream while it lives.
+/// A reader of a stream; the stream is not removed while it has readers.
 #[derive(Debug)]
 pub struct Reader(pub Rc<Stream>);
 
 impl Reader {
-    /// Begins to read `stream`.
+    /// Registers a reader of `stream`.
     pub fn new(stream: Rc<Stream>) -> Reader {
         stream.readers.set(stream.readers.get() + 1);
         Reader(stream)
@@ -202,49 +209,49 @@
 impl Drop for Reader {
     fn drop(&mut self) {
         self.0.readers.set(self.0.readers.get() - 1);
-        self.0.idle.set(Instant::now());
+        self.0.idle_since.set(Instant::now());
     }
 }
 
-/// The streams that are kept, by id; a tree for the same reason as the ledger's.
+/// The retained streams by id, in a tree for the same reason as in [`Ledger`](super::ledger::Ledger).
 #[derive(Debug, Default)]
 pub struct Streams(RefCell<BTreeMap<SmolStr, Rc<Stream>>>);
 
 impl Streams {
-    /// Keeps `stream` in the place of one with the same id.
-    pub fn put(&self, stream: Rc<Stream>) {
+    /// Adds `stream`; replaces one with the same id.
+    pub fn insert(&self, stream: Rc<Stream>) {
         self.0.borrow_mut().insert(stream.id.clone(), stream);
     }
 
-    /// The stream of this request.
+    /// The stream with this id, if it is retained.
     pub fn get(&self, id: &str) -> Option<Rc<Stream>> {
         self.0.borrow().get(id).cloned()
     }
 
-    /// Cancels streams that nobody reads any more and forgets ended ones.
-    pub fn sweep(&self, now: Instant) {
+    /// Cancels and removes streams that have had no reader for [`RETENTION`].
+    pub fn remove_unread(&self, now: Instant) {
         self.0.borrow_mut().retain(|_, it| {
-            let is_forgotten = it.is_forgotten(now);
-            if is_forgotten {
-                it.enter(Phase::Cancelled);
+            let is_past_retention = it.is_past_retention(now);
+            if is_past_retention {
+                it.set_phase(Phase::Cancelled);
             }
-            !is_forgotten
+            !is_past_retention
         });
     }
 
-    /// Cancels and forgets all.
+    /// Cancels and removes all streams.
     pub fn clear(&self) {
         for it in self.0.take().into_values() {
-            it.enter(Phase::Cancelled);
+            it.set_phase(Phase::Cancelled);
         }
     }
 
-    /// How many are kept.
+    /// Number of retained streams.
     pub fn len(&self) -> usize {
         self.0.borrow().len()
     }
 
-    /// Whether none is kept.
+    /// Whether no stream is retained.
     pub fn is_empty(&self) -> bool {
         self.0.borrow().is_empty()
     }
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -31,7 +31,7 @@
         completions,
         connection::Connection,
         faults::{AnswerFault, Fault, FaultState},
-        http::{self, Answer, LostAnswer},
+        http::{self, Answer, ConnectionAborted},
         ledger::Ledger,
         orders::OrderBook,
         service,
@@ -39,7 +39,7 @@
     },
 };
 
-const SWEEP: Duration = Duration::from_secs(1);
+const STREAM_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// One emulated upstream.
 pub(super) struct Upstream {
@@ -52,26 +52,25 @@
     pub orders: RefCell<OrderBook>,
     pub ledger: RefCell<Ledger>,
     pub faults: RefCell<FaultState>,
-    /// Calls of a plain service that run.
-    pub calls: Cell<u32>,
+    /// Running calls of a plain service.
+    pub running_calls: Cell<u32>,
     pub leaving: Cell<bool>,
     /// Wakes the batch after a job was queued.
-    pub queued: Notify,
-    /// Wakes the announcer when the upstream begins to leave.
-    pub left: Notify,
-    /// Ids of the last two requests, from which crossed answers take theirs.
-    pub recent: RefCell<Vec<SmolStr>>,
+    pub job_queued: Notify,
+    /// Wakes the announcer when the upstream starts to leave.
+    pub leave_started: Notify,
+    /// Ids of the last two requests; a misdelivered answer gets the one of another request.
+    pub recent_ids: RefCell<Vec<SmolStr>>,
     tasks: RefCell<Vec<AbortHandle>>,
-    open: RefCell<Vec<Open>>,
+    open_connections: RefCell<Vec<OpenConnection>>,
     down: Cell<bool>,
-    /// Whether it is down for good.
-    lost: Cell<bool>,
+    /// Whether it is down and will not restart.
+    permanently_down: Cell<bool>,
 }
 
-/// A connection that is open.
-struct Open {
+struct OpenConnection {
     task: AbortHandle,
-    silent: Rc<Cell<bool>>,
+    unresponsive: Rc<Cell<bool>>,
 }
 
 impl Upstream {
@@ -92,26 +91,26 @@
             ledger: RefCell::default(),
             faults: RefCell::default(),
             incarnation: Cell::new(next_incarnation()),
-            calls: Cell::new(0),
+            running_calls: Cell::new(0),
             leaving: Cell::new(false),
-            queued: Notify::new(),
-            left: Notify::new(),
-            recent: RefCell::default(),
+            job_queued: Notify::new(),
+            leave_started: Notify::new(),
+            recent_ids: RefCell::default(),
             tasks: RefCell::default(),
-            open: RefCell::default(),
+            open_connections: RefCell::default(),
             down: Cell::new(false),
-            lost: Cell::new(false),
+            permanently_down: Cell::new(false),
             settings,
             keys,
         })
     }
 
-    /// Listens and starts the tasks.
+    /// Binds the port and starts the tasks of the upstream.
     pub async fn start(self: &Rc<Self>) -> io::Result<()> {
         let listener = TcpListener::bind(self.settings.address).await?;
         let tasks = [
             spawn_local(accept(Rc::clone(self), listener)).abort_handle(),
-            spawn_local(generate(Rc::clone(self))).abort_handle(),
+            spawn_local(run_batch(Rc::clone(self))).abort_handle(),
             spawn_local(announcer::announce(Rc::clone(self))).abort_handle(),
         ];
         self.tasks.borrow_mut().extend(tasks);
@@ -119,84 +118,85 @@
         Ok(())
     }
 
-    /// Stops all tasks and breaks all connections.
+    /// Stops all tasks and closes all connections.
     pub fn stop(&self) {
         self.down.set(true);
         self.tasks.borrow_mut().drain(..).for_each(|it| it.abort());
-        self.open.borrow_mut().drain(..).for_each(|it| it.task.abort());
+        self.open_connections.borrow_mut().drain(..).for_each(|it| it.task.abort());
     }
 
-    /// Whether it crashed and has not started again.
+    /// Whether the upstream has crashed and not restarted yet.
     pub fn is_down(&self) -> bool {
         self.down.get()
     }
 
-    /// Whether it crashed and will not start again.
-    pub fn is_lost(&self) -> bool {
-        self.lost.get()
+    /// Whether the upstream has crashed and will not restart.
+    pub fn is_permanently_down(&self) -> bool {
+        self.permanently_down.get()
     }
 
-    /// Loses everything that a crash loses. What ran stays in the ledger.
+    /// Emulates a crash: drops all state except the ledger of runs; restarts after `restart`, if given.
     pub fn crash(self: &Rc<Self>, restart: Option<Duration>) {
-        tracing::warn!(upstream = %self.settings.id, "crashes");
+        tracing::warn!(upstream = %self.settings.id, "emulating a crash");
         self.stop();
         self.streams.clear();
         let settings = &self.settings;
         *self.batch.borrow_mut() =
             Batch::new(settings.slots, settings.decode_rate, settings.prefill_rate);
         *self.cache.borrow_mut() = PrefixCache::new(settings.cache);
-        self.calls.set(0);
+        self.running_calls.set(0);
         match restart {
-            Some(pause) => drop(spawn_local(restart_after(Rc::clone(self), pause))),
-            None => self.lost.set(true),
+            Some(delay) => drop(spawn_local(restart_after(Rc::clone(self), delay))),
+            None => self.permanently_down.set(true),
         }
     }
 
-    /// Puts a fault in force.
+    /// Activates a fault.
     pub fn inject(self: &Rc<Self>, fault: &Fault) {
         self.faults.borrow_mut().inject(fault, Instant::now());
         match fault {
             Fault::Crash { restart_ms } => self.crash(restart_ms.map(Duration::from_millis)),
             Fault::SilenceOpenConnections => {
-                self.open.borrow().iter().for_each(|it| it.silent.set(true));
+                self.open_connections.borrow().iter().for_each(|it| it.unresponsive.set(true));
             }
             Fault::CutOpenConnections => {
-                self.open.borrow_mut().drain(..).for_each(|it| it.task.abort());
+                self.open_connections.borrow_mut().drain(..).for_each(|it| it.task.abort());
             }
             _ => {}
         }
     }
 
-    /// Begins to leave: it finishes what it has and asks for no more.
+    /// Starts to leave: the upstream announces it and finishes the requests that it has.
     pub fn leave(&self) {
         self.leaving.set(true);
-        self.left.notify_waiters();
+        self.leave_started.notify_waiters();
     }
 
-    /// Whether nothing runs or waits.
+    /// Whether no request is running or waiting.
     pub fn is_idle(&self) -> bool {
         let batch = self.batch.borrow();
-        batch.running() + batch.waiting() == 0 && self.calls.get() == 0
+        batch.running() + batch.waiting() == 0 && self.running_calls.get() == 0
     }
 
-    /// The load at this moment, with the changes of the cache since the last reading.
-    pub fn read_load(&self, since: Duration) -> LoadReport {
+    /// The current load, with the changes of the cache since the last sample, which was taken
+    /// `elapsed` ago.
+    pub fn sample_load(&self, elapsed: Duration) -> LoadReport {
         let mut batch = self.batch.borrow_mut();
         let (cached, evicted) = self.cache.borrow_mut().take_changes();
         let generated = batch.take_generated() as f64;
         LoadReport {
             age: Duration::ZERO,
-            running: batch.running() as u32 + self.calls.get(),
+            running: batch.running() as u32 + self.running_calls.get(),
             waiting: batch.waiting() as u32,
             backlog: batch.backlog(),
-            speed: if since.is_zero() { 0.0 } else { generated / since.as_secs_f64() },
+            speed: if elapsed.is_zero() { 0.0 } else { generated / elapsed.as_secs_f64() },
             cached,
             evicted,
         }
     }
 
     /// Waits while the upstream is frozen.
-    pub async fn thaw(&self) {
+    pub async fn wait_while_frozen(&self) {
         loop {
             let until = self.faults.borrow().frozen_until(Instant::now());
             match until {
@@ -206,22 +206,22 @@
         }
     }
 
-    /// Factor on the time that everything takes.
+    /// Factor by which all work takes longer.
     pub fn slowdown(&self) -> f64 {
         self.faults.borrow().slowdown
     }
 
-    /// Notes a request and returns the id under which its answer goes out.
+    /// Records a request and returns the id under which its answer is sent.
     pub fn answer_id(&self, id: &str, fault: AnswerFault) -> SmolStr {
-        let mut recent = self.recent.borrow_mut();
-        let other = recent.iter().find(|it| it.as_str() != id).cloned();
-        recent.insert(0, id.into());
-        recent.truncate(2);
-        if fault.crossed { other.unwrap_or_else(|| "crossed".into()) } else { id.into() }
+        let mut recent_ids = self.recent_ids.borrow_mut();
+        let other = recent_ids.iter().find(|it| it.as_str() != id).cloned();
+        recent_ids.insert(0, id.into());
+        recent_ids.truncate(2);
+        if fault.misdelivered { other.unwrap_or_else(|| "crossed".into()) } else { id.into() }
     }
 
-    fn note_open(&self, open: Open) {
-        let mut all = self.open.borrow_mut();
+    fn track_connection(&self, open: OpenConnection) {
+        let mut all = self.open_connections.borrow_mut();
         all.retain(|it| !it.task.is_finished());
         all.push(open);
     }
@@ -232,11 +232,11 @@
     Incarnation(age.as_micros() as u64)
 }
 
-async fn restart_after(upstream: Rc<Upstream>, pause: Duration) {
-    sleep(pause).await;
+async fn restart_after(upstream: Rc<Upstream>, delay: Duration) {
+    sleep(delay).await;
     upstream.incarnation.set(next_incarnation());
     if let Err(error) = upstream.start().await {
-        tracing::error!(upstream = %upstream.settings.id, %error, "can't start again");
+        tracing::error!(upstream = %upstream.settings.id, %error, "failed to restart");
     }
 }
 
@@ -247,25 +247,26 @@
             continue;
         };
         let _ = socket.set_nodelay(true);
-        let silent = Rc::new(Cell::new(false));
-        let task = spawn_local(serve(Rc::clone(&upstream), socket, Rc::clone(&silent)));
-        upstream.note_open(Open { task: task.abort_handle(), silent });
+        let unresponsive = Rc::new(Cell::new(false));
+        let task =
+            spawn_local(serve_connection(Rc::clone(&upstream), socket, Rc::clone(&unresponsive)));
+        upstream.track_connection(OpenConnection { task: task.abort_handle(), unresponsive });
     }
 }
 
-async fn serve(upstream: Rc<Upstream>, socket: TcpStream, silent: Rc<Cell<bool>>) {
-    let connection = TokioIo::new(Connection::new(socket, silent));
+async fn serve_connection(upstream: Rc<Upstream>, socket: TcpStream, unresponsive: Rc<Cell<bool>>) {
+    let connection = TokioIo::new(Connection::new(socket, unresponsive));
     let service = service_fn(move |request| handle(Rc::clone(&upstream), request));
     if let Err(error) = http1::Builder::new().serve_connection(connection, service).await {
-        tracing::debug!(%error, "a connection ended early");
+        tracing::debug!(%error, "connection closed with an error");
     }
 }
 
 async fn handle(
     upstream: Rc<Upstream>,
     request: hyper::Request<hyper::body::Incoming>,
-) -> Result<Answer, LostAnswer> {
-    upstream.thaw().await;
+) -> Result<Answer, ConnectionAborted> {
+    upstream.wait_while_frozen().await;
     let id: SmolStr =
         http::header(request.headers(), headers::REQUEST_ID).unwrap_or("local").into();
     match upstream.settings.kind {
@@ -274,22 +275,22 @@
     }
 }
 
-async fn generate(upstream: Rc<Upstream>) {
-    let mut swept = Instant::now();
+async fn run_batch(upstream: Rc<Upstream>) {
+    let mut last_sweep = Instant::now();
     loop {
-        upstream.thaw().await;
+        upstream.wait_while_frozen().await;
         let now = Instant::now();
-        if now.duration_since(swept) > SWEEP {
-            upstream.streams.sweep(now);
-            swept = now;
+        if now.duration_since(last_sweep) > STREAM_SWEEP_INTERVAL {
+            upstream.streams.remove_unread(now);
+            last_sweep = now;
         }
         let slowdown = upstream.slowdown();
         let next = upstream.batch.borrow_mut().step(now, slowdown);
         match next {
             Some(next) => sleep_until(next).await,
             None => tokio::select! {
-                () = upstream.queued.notified() => {}
-                () = sleep(SWEEP) => {}
+                () = upstream.job_queued.notified() => {}
+                () = sleep(STREAM_SWEEP_INTERVAL) => {}
             },
         }
     }
--- a/tests/testsuite/batching.rs
+++ b/tests/testsuite/batching.rs
@@ -82,18 +82,18 @@
     let mut cache = PrefixCache::new(Tokens(128));
     let prompt = |letter: &str| letter.repeat(256);
     for letter in ["a", "b", "a", "c"] {
-        cache.visit(&prompt(letter));
+        cache.insert_prompt(&prompt(letter));
     }
 
-    assert_eq!(cache.visit(&prompt("a")), Tokens(64));
-    assert_eq!(cache.visit(&prompt("b")), Tokens(0));
+    assert_eq!(cache.insert_prompt(&prompt("a")), Tokens(64));
+    assert_eq!(cache.insert_prompt(&prompt("b")), Tokens(0));
 }
 
 #[test]
 fn some_changes_of_the_cache_are_never_reported() {
     let mut cache = PrefixCache::new(Tokens(1_000_000));
     for index in 0..70 {
-        cache.visit(&format!("{index:0>256}"));
+        cache.insert_prompt(&format!("{index:0>256}"));
     }
 
     let (cached, evicted) = cache.take_changes();
