--- a/src/settings/cluster.rs
+++ b/src/settings/cluster.rs
@@ -280,8 +280,8 @@
     let address = address(field, text)?;
     match used.binary_search(&address) {
         Ok(_) => Err(duplicate(field, text)),
-        Err(place) => {
-            used.insert(place, address);
+        Err(index) => {
+            used.insert(index, address);
             Ok(address)
         }
     }
--- a/src/settings/source.rs
+++ b/src/settings/source.rs
@@ -111,7 +111,7 @@
 
 /// Checks a rate per second.
 pub(super) fn rate(field: &str, value: &Lined<f64>) -> Result<Rate, LineFault> {
-    let valid = "a number above zero, in events per second";
+    let valid = "a number above zero, in events a second";
     Rate::try_from(value.value).map_err(|_| invalid(field, value, valid))
 }
 
--- a/src/standin/http.rs
+++ b/src/standin/http.rs
@@ -33,8 +33,8 @@
 /// An answer with `body` as JSON.
 pub fn json<T: Serialize>(status: StatusCode, body: &T) -> Answer {
     let body = serde_json::to_vec(body).unwrap_or_default();
-    let whole = Full::new(Bytes::from(body)).map_err(|never| match never {});
-    let mut answer: Answer = Response::new(Box::pin(whole));
+    let full = Full::new(Bytes::from(body)).map_err(|never| match never {});
+    let mut answer: Answer = Response::new(Box::pin(full));
     *answer.status_mut() = status;
     answer.headers_mut().insert(CONTENT_TYPE, "application/json".parse().expect("a constant"));
     answer
--- a/src/state/frame.rs
+++ b/src/state/frame.rs
@@ -40,11 +40,11 @@
 
 /// Number and payload of the frame at the start of `bytes`; `None` if it is not intact.
 pub(super) fn decode(bytes: &[u8]) -> Option<(u64, &[u8])> {
-    let rest = bytes.strip_prefix(&MAGIC)?;
-    let (length, rest) = rest.split_first_chunk::<4>()?;
-    let (number, rest) = rest.split_first_chunk::<8>()?;
-    let (stored, rest) = rest.split_first_chunk::<CHECKSUM_BYTES>()?;
-    let payload = rest.get(..u32::from_le_bytes(*length) as usize)?;
+    let remaining = bytes.strip_prefix(&MAGIC)?;
+    let (length, remaining) = remaining.split_first_chunk::<4>()?;
+    let (number, remaining) = remaining.split_first_chunk::<8>()?;
+    let (stored, remaining) = remaining.split_first_chunk::<CHECKSUM_BYTES>()?;
+    let payload = remaining.get(..u32::from_le_bytes(*length) as usize)?;
     let number = u64::from_le_bytes(*number);
     (checksum(number, payload) == *stored).then_some((number, payload))
 }
--- a/src/state/journal.rs
+++ b/src/state/journal.rs
@@ -281,9 +281,9 @@
     let mut content =
         JournalContent { groups, next_frame: 1, checkpoint_bytes: start, length_bytes: start };
     while content.length_bytes < bytes.len() as u64 {
-        let rest = &bytes[content.length_bytes as usize..];
-        let Some((number, payload)) = frame::decode(rest) else {
-            if frame::has_later_frame(rest) {
+        let remaining = &bytes[content.length_bytes as usize..];
+        let Some((number, payload)) = frame::decode(remaining) else {
+            if frame::has_later_frame(remaining) {
                 return Err(corrupt(content.length_bytes));
             }
             break;
