--- a/benches/routing/decision.rs
+++ b/benches/routing/decision.rs
@@ -1,4 +1,4 @@
-//! Time of one decision among 600 upstreams of one zone.
+//! Measures the time of one routing decision among 600 upstreams of one zone.
 
 use std::time::{Duration, Instant};
 
@@ -15,30 +15,30 @@
 
 use crate::deployment::KOORDINATU;
 
-const UPSTREAMS: u128 = 600;
-const DECISIONS: u32 = 200_000;
+const UPSTREAM_COUNT: u128 = 600;
+const DECISION_COUNT: u32 = 200_000;
 
 pub fn measure() {
     let own =
         Seed { id: id("e0"), kind: InstanceKind::Entry, zone: id("riga-a"), region: id("riga") };
     let settings = Settings { own, incarnation: Incarnation(1), peers: Vec::new() };
     let mut membership = Membership::new(Time::ZERO, settings);
-    for it in 0..UPSTREAMS {
+    for it in 0..UPSTREAM_COUNT {
         membership.handle(Time::ZERO, Event::Announced(announcement(it)), &mut Vec::new());
     }
     let configuration = KOORDINATU.configuration();
     let lease = ConfigurationLease::Valid;
     let view = View { membership: &membership, configuration: &configuration, lease };
     let mut router = Router::new(Time::ZERO, 1);
-    let origin = origin();
+    let caller_request = caller_request();
 
     let start = Instant::now();
-    for _ in 0..DECISIONS {
-        std::hint::black_box(router.decide(Time::ZERO, view, &origin).unwrap());
+    for _ in 0..DECISION_COUNT {
+        std::hint::black_box(router.decide(Time::ZERO, view, &caller_request).unwrap());
     }
-    let each: Duration = start.elapsed() / DECISIONS;
+    let each: Duration = start.elapsed() / DECISION_COUNT;
 
-    println!("one decision among {UPSTREAMS} upstreams: {each:?}");
+    println!("one decision among {UPSTREAM_COUNT} upstreams: {each:?}");
 }
 
 fn announcement(number: u128) -> Announcement {
@@ -63,7 +63,7 @@
     }
 }
 
-fn origin() -> CallerRequest {
+fn caller_request() -> CallerRequest {
     let prefixes = (0..3u8).map(|it| Prefix {
         fingerprint: Fingerprint::of(&[it]),
         tokens: Tokens(1_500 / (u64::from(it) + 1)),
--- a/benches/routing/driver/news.rs
+++ b/benches/routing/driver/messages.rs
@@ -1,11 +1,11 @@
-//! Announcements of the engines, and messages between entry instances.
+//! Announcements of engines, and messages between entry instances.
 
 use std::time::Duration;
 
 use medlarlug_core::{
     announcement::{Announcement, LoadReport, LoadedModel, UpstreamKind},
     ids::{Incarnation, InstanceId},
-    membership::{Effect, Event as News},
+    membership::{Effect, Event as MembershipEvent},
     units::Slots,
 };
 use rand::RngExt;
@@ -13,23 +13,25 @@
 
 use crate::{
     deployment::Fault,
-    driver::{Driver, NEAR, What, engine_id},
+    driver::{Driver, SimulationEvent, ZONE_DELAY_SECONDS, engine_id},
     engine::SLOTS,
 };
 
-/// Share of cache events that are lost.
-const EVENT_LOSS: f64 = 0.2;
+/// Probability that a cache event is missing from a load report.
+const EVENT_LOSS_PROBABILITY: f64 = 0.2;
 
 impl Driver {
-    pub(super) fn is_cut(&self, a: usize, b: usize) -> bool {
+    pub(super) fn is_partitioned(&self, a: usize, b: usize) -> bool {
         let is_apart = (a == 0) != (b == 0);
-        self.scenario.fault == Fault::ZoneCut && is_apart && self.scenario.is_faulty_at(self.now)
+        self.scenario.fault == Fault::ZonePartitioned
+            && is_apart
+            && self.scenario.is_faulty_at(self.now)
     }
 
-    pub(super) fn feed(&mut self, entry: usize, news: News) {
+    pub(super) fn handle_membership(&mut self, entry: usize, event: MembershipEvent) {
         let now = self.clock();
         let mut effects = Vec::new();
-        self.entries[entry].membership.handle(now, news, &mut effects);
+        self.entries[entry].membership.handle(now, event, &mut effects);
         for effect in effects {
             let Effect::Send { to, message } = effect else {
                 continue;
@@ -37,10 +39,14 @@
             let from = self.entries[entry].membership.own().id.clone();
             let to = self.entry(&to);
             let zones = (self.entries[entry].zone, self.entries[to].zone);
-            if !self.is_cut(zones.0, zones.1) {
-                let delay = if zones.0 == zones.1 { NEAR } else { self.deployment.far };
-                let news = Box::new(News::Message { from, message });
-                self.after(delay, What::Deliver { entry: to, news });
+            if !self.is_partitioned(zones.0, zones.1) {
+                let delay = if zones.0 == zones.1 {
+                    ZONE_DELAY_SECONDS
+                } else {
+                    self.deployment.cross_region_delay
+                };
+                let event = Box::new(MembershipEvent::Message { from, message });
+                self.after(delay, SimulationEvent::Deliver { entry: to, event });
             }
         }
     }
@@ -49,17 +55,17 @@
         self.entries.iter().position(|it| it.membership.own().id == *id).unwrap()
     }
 
-    /// Reads the load; the announcement with it goes out half a second later.
-    pub(super) fn read(&mut self, engine: usize) {
-        self.after(1.0, What::Read { engine });
+    /// Reads the load of an engine, which is announced half a second later.
+    pub(super) fn read_load(&mut self, engine: usize) {
+        self.after(1.0, SimulationEvent::ReadLoad { engine });
         if !self.engines[engine].is_up {
             return;
         }
         let mut load = self.engines[engine].report(self.now);
         load.age = Duration::from_millis(500);
-        load.cached.retain(|_| !self.random.random_bool(EVENT_LOSS));
-        load.evicted.retain(|_| !self.random.random_bool(EVENT_LOSS));
-        self.after(0.5, What::Announce { engine, load: Box::new(load) });
+        load.cached.retain(|_| !self.random.random_bool(EVENT_LOSS_PROBABILITY));
+        load.evicted.retain(|_| !self.random.random_bool(EVENT_LOSS_PROBABILITY));
+        self.after(0.5, SimulationEvent::Announce { engine, load: Box::new(load) });
     }
 
     pub(super) fn announce(&mut self, engine: usize, load: LoadReport) {
@@ -82,10 +88,10 @@
             load,
         };
         let first: usize = self.deployment.entries[..zone].iter().sum();
-        for turn in 0..2 {
-            let entry = first + (engine + turn) % self.deployment.entries[zone];
-            let news = Box::new(News::Announced(announcement.clone()));
-            self.after(NEAR, What::Deliver { entry, news });
+        for offset in 0..2 {
+            let entry = first + (engine + offset) % self.deployment.entries[zone];
+            let event = Box::new(MembershipEvent::Announced(announcement.clone()));
+            self.after(ZONE_DELAY_SECONDS, SimulationEvent::Deliver { entry, event });
         }
     }
 }
--- a/benches/routing/driver/mod.rs
+++ b/benches/routing/driver/mod.rs
@@ -1,7 +1,7 @@
-//! One loop over entry instances, engines and callers.
+//! The event loop that simulates entry instances, engines and callers.
 
 mod fault;
-mod news;
+mod messages;
 mod request;
 mod serving;
 
@@ -13,7 +13,7 @@
 use medlarlug_core::{
     announcement::LoadReport,
     ids::{Incarnation, UpstreamId},
-    membership::{Event as News, InstanceKind, Membership, Seed, Settings},
+    membership::{Event as MembershipEvent, InstanceKind, Membership, Seed, Settings},
     release::Configuration,
     routing::{AttemptId, CallerRequest, Router},
     time::Time,
@@ -23,33 +23,33 @@
 use test_support::id;
 
 use crate::{
-    deployment::{Deployment, Fault, SECONDS, Scenario},
+    deployment::{Deployment, Fault, RUN_SECONDS, Scenario},
     engine::{Engine, Job},
     figures::Figures,
     policy::Decider,
     traffic::Traffic,
 };
 
-/// Seconds before measuring begins.
-const WARM_UP: f64 = 15.0;
-/// Seconds one way inside a zone.
-const NEAR: f64 = 0.001;
-/// Seconds after which a lost answer counts as a failure.
-const LOSS: f64 = 1.0;
+/// Requests that arrive before this time, in simulated seconds, are not measured.
+const WARM_UP_SECONDS: f64 = 15.0;
+/// One-way delay within a zone, in seconds.
+const ZONE_DELAY_SECONDS: f64 = 0.001;
+/// Seconds after which an attempt without an answer counts as failed.
+const ATTEMPT_TIMEOUT_SECONDS: f64 = 1.0;
 
-enum What {
+enum SimulationEvent {
     Arrive { region: usize },
     Tick { entry: usize },
-    Deliver { entry: usize, news: Box<News> },
-    Read { engine: usize },
+    Deliver { entry: usize, event: Box<MembershipEvent> },
+    ReadLoad { engine: usize },
     Announce { engine: usize, load: Box<LoadReport> },
-    Reach { attempt: usize, engine: usize },
-    Cross { attempt: usize, zone: usize },
-    FirstToken { attempt: usize },
-    End { attempt: usize, engine: usize, epoch: u64 },
-    Lost { attempt: usize },
-    Returned { attempt: usize },
-    GiveUp { attempt: usize },
+    ReachEngine { request_index: usize, engine: usize },
+    ReachZone { request_index: usize, zone: usize },
+    FirstToken { request_index: usize },
+    End { request_index: usize, engine: usize, epoch: u64 },
+    AttemptFailed { request_index: usize },
+    ForwardRefused { request_index: usize },
+    GiveUp { request_index: usize },
     Fault,
     Repair,
 }
@@ -60,17 +60,17 @@
     decider: Decider,
 }
 
-/// One request; retries reuse it.
+/// A request of a caller with the state of its current attempt.
 struct Request {
-    origin: CallerRequest,
+    caller_request: CallerRequest,
     entry: usize,
     arrived: f64,
     job: Job,
-    tries: u32,
+    attempts: u32,
     attempt_id: Option<AttemptId>,
-    server: Option<(usize, Option<AttemptId>)>,
+    serving_entry: Option<(usize, Option<AttemptId>)>,
     engine: Option<(usize, u64)>,
-    is_away: bool,
+    is_remote: bool,
     is_started: bool,
     is_over: bool,
 }
@@ -79,13 +79,13 @@
     deployment: Deployment,
     scenario: Scenario,
     configuration: Configuration,
-    /// Draws of the traffic, which is the same for every router.
+    /// Has its own random generator, so that the traffic is identical for both routers.
     traffic: Traffic,
     random: ChaCha8Rng,
     now: f64,
     sequence: u64,
     heap: BinaryHeap<Reverse<(u64, u64)>>,
-    pending: BTreeMap<u64, What>,
+    pending: BTreeMap<u64, SimulationEvent>,
     entries: Vec<Entry>,
     engines: Vec<Engine>,
     announced: Vec<u64>,
@@ -97,11 +97,11 @@
     let mut driver = Driver::new(deployment, scenario, is_real, seed);
     while let Some(Reverse((micros, sequence))) = driver.heap.pop() {
         driver.now = micros as f64 / 1e6;
-        if driver.now > SECONDS + deployment.deadline {
+        if driver.now > RUN_SECONDS + deployment.deadline {
             break;
         }
-        let what = driver.pending.remove(&sequence).unwrap();
-        driver.happen(what);
+        let event = driver.pending.remove(&sequence).unwrap();
+        driver.handle(event);
     }
     driver.figures
 }
@@ -127,17 +127,17 @@
         driver.add_entries(is_real);
         for engine in 0..deployment.engines {
             let phase = driver.random.random_range(0.0..1.0);
-            driver.at(phase, What::Read { engine });
+            driver.at(phase, SimulationEvent::ReadLoad { engine });
         }
         for region in 0..3 {
-            driver.at(3.0, What::Arrive { region });
+            driver.at(3.0, SimulationEvent::Arrive { region });
         }
         if scenario.fault == Fault::SlowIdle {
-            driver.engines[0].slowness = 10.0;
+            driver.engines[0].slowdown = 10.0;
             driver.engines[0].reports_idle = true;
         }
-        driver.at(SECONDS / 3.0, What::Fault);
-        driver.at(SECONDS * 2.0 / 3.0, What::Repair);
+        driver.at(RUN_SECONDS / 3.0, SimulationEvent::Fault);
+        driver.at(RUN_SECONDS * 2.0 / 3.0, SimulationEvent::Repair);
         driver
     }
 
@@ -148,53 +148,61 @@
             seeds.extend((0..count).map(|it| (zone, seed(zone, it, zone_name, region))));
         }
         let peers: Vec<Seed> = seeds.iter().map(|it| it.1.clone()).collect();
-        for (place, (zone, own)) in seeds.into_iter().enumerate() {
+        for (index, (zone, own)) in seeds.into_iter().enumerate() {
             let settings = Settings { own, incarnation: Incarnation(1), peers: peers.clone() };
             let membership = Membership::new(Time::ZERO, settings);
             let decider = if is_real {
-                Decider::Real(Box::new(Router::new(Time::ZERO, place as u64)))
+                Decider::Real(Box::new(Router::new(Time::ZERO, index as u64)))
             } else {
-                Decider::Naive { turn: place }
+                Decider::Naive { next_index: index }
             };
             self.entries.push(Entry { zone, membership, decider });
-            self.at(0.01 * place as f64, What::Tick { entry: place });
+            self.at(0.01 * index as f64, SimulationEvent::Tick { entry: index });
         }
     }
 
-    fn at(&mut self, time: f64, what: What) {
+    fn at(&mut self, time: f64, event: SimulationEvent) {
         self.sequence += 1;
         let micros = (time.max(self.now) * 1e6) as u64;
         self.heap.push(Reverse((micros, self.sequence)));
-        self.pending.insert(self.sequence, what);
+        self.pending.insert(self.sequence, event);
     }
 
-    fn after(&mut self, delay: f64, what: What) {
-        self.at(self.now + delay, what);
+    fn after(&mut self, delay: f64, event: SimulationEvent) {
+        self.at(self.now + delay, event);
     }
 
     fn clock(&self) -> Time {
         Time::from_micros((self.now * 1e6) as u64)
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Arrive { region } => self.arrive(region),
-            What::Tick { entry } => {
-                self.feed(entry, News::Tick);
-                self.after(0.25, What::Tick { entry });
+    fn handle(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Arrive { region } => self.arrive(region),
+            SimulationEvent::Tick { entry } => {
+                self.handle_membership(entry, MembershipEvent::Tick);
+                self.after(0.25, SimulationEvent::Tick { entry });
             }
-            What::Deliver { entry, news } => self.feed(entry, *news),
-            What::Read { engine } => self.read(engine),
-            What::Announce { engine, load } => self.announce(engine, *load),
-            What::Reach { attempt, engine } => self.reach(attempt, engine),
-            What::Cross { attempt, zone } => self.cross(attempt, zone),
-            What::FirstToken { attempt } => self.first_token(attempt),
-            What::End { attempt, engine, epoch } => self.end(attempt, engine, epoch),
-            What::Lost { attempt } => self.lost(attempt),
-            What::Returned { attempt } => self.returned(attempt),
-            What::GiveUp { attempt } => self.give_up(attempt),
-            What::Fault => self.fault(),
-            What::Repair => self.repair(),
+            SimulationEvent::Deliver { entry, event } => self.handle_membership(entry, *event),
+            SimulationEvent::ReadLoad { engine } => self.read_load(engine),
+            SimulationEvent::Announce { engine, load } => self.announce(engine, *load),
+            SimulationEvent::ReachEngine { request_index, engine } => {
+                self.reach_engine(request_index, engine)
+            }
+            SimulationEvent::ReachZone { request_index, zone } => {
+                self.reach_zone(request_index, zone)
+            }
+            SimulationEvent::FirstToken { request_index } => self.first_token(request_index),
+            SimulationEvent::End { request_index, engine, epoch } => {
+                self.end(request_index, engine, epoch)
+            }
+            SimulationEvent::AttemptFailed { request_index } => self.attempt_failed(request_index),
+            SimulationEvent::ForwardRefused { request_index } => {
+                self.forward_refused(request_index)
+            }
+            SimulationEvent::GiveUp { request_index } => self.give_up(request_index),
+            SimulationEvent::Fault => self.fault(),
+            SimulationEvent::Repair => self.repair(),
         }
     }
 
@@ -203,8 +211,8 @@
     }
 }
 
-fn seed(zone: usize, place: usize, zone_name: &str, region: &str) -> Seed {
-    let name = format!("e{zone}-{place}");
+fn seed(zone: usize, index: usize, zone_name: &str, region: &str) -> Seed {
+    let name = format!("e{zone}-{index}");
     Seed { id: id(&name), kind: InstanceKind::Entry, zone: id(zone_name), region: id(region) }
 }
 
--- a/benches/routing/driver/request.rs
+++ b/benches/routing/driver/request.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival to the decision, and what follows a failed attempt.
+//! A request from its arrival to the routing decision, and its retry after a failed attempt.
 
 use std::time::Duration;
 
@@ -11,91 +11,104 @@
 use test_support::id;
 
 use crate::{
-    deployment::SECONDS,
-    driver::{Driver, LOSS, NEAR, Request, WARM_UP, What, engine_id},
+    deployment::RUN_SECONDS,
+    driver::{
+        ATTEMPT_TIMEOUT_SECONDS, Driver, Request, SimulationEvent, WARM_UP_SECONDS,
+        ZONE_DELAY_SECONDS, engine_id,
+    },
     policy::Decision,
 };
 
-/// Attempts at most for one request.
-const ATTEMPTS: u32 = 3;
+/// Largest number of attempts of one request.
+const MAX_ATTEMPTS: u32 = 3;
 
 impl Driver {
     pub(super) fn arrive(&mut self, region: usize) {
         let rate = self.scenario.demand()[region]
             * self.deployment.engine_rate()
             * (self.deployment.engines / 3) as f64;
-        let gap = self.traffic.gap(rate);
-        if self.now + gap < SECONDS {
-            self.after(gap, What::Arrive { region });
+        let gap = self.traffic.interarrival_seconds(rate);
+        if self.now + gap < RUN_SECONDS {
+            self.after(gap, SimulationEvent::Arrive { region });
         }
         let request = self.request(region);
         self.requests.push(request);
-        let attempt = self.requests.len() - 1;
-        if self.is_measured(attempt) {
+        let request_index = self.requests.len() - 1;
+        if self.is_measured(request_index) {
             self.figures.requests += 1;
         }
-        self.after(self.deployment.deadline, What::GiveUp { attempt });
-        self.decide(attempt);
+        self.after(self.deployment.deadline, SimulationEvent::GiveUp { request_index });
+        self.decide(request_index);
     }
 
     pub(super) fn request(&mut self, region: usize) -> Request {
-        let attempt = self.requests.len();
-        let (facts, job) = self.traffic.request(region, attempt);
+        let request_index = self.requests.len();
+        let (facts, job) = self.traffic.request(region, request_index);
         Request {
-            origin: CallerRequest::new(facts),
+            caller_request: CallerRequest::new(facts),
             entry: self.traffic.entry(region),
             arrived: self.now,
             job,
-            tries: 0,
+            attempts: 0,
             attempt_id: None,
-            server: None,
+            serving_entry: None,
             engine: None,
-            is_away: false,
+            is_remote: false,
             is_started: false,
             is_over: false,
         }
     }
 
-    pub(super) fn is_measured(&self, attempt: usize) -> bool {
-        self.requests[attempt].arrived >= WARM_UP
+    pub(super) fn is_measured(&self, request_index: usize) -> bool {
+        self.requests[request_index].arrived >= WARM_UP_SECONDS
     }
 
-    pub(super) fn decide(&mut self, attempt: usize) {
+    pub(super) fn decide(&mut self, request_index: usize) {
         let now = self.clock();
-        let request = &mut self.requests[attempt];
+        let request = &mut self.requests[request_index];
         if request.is_over {
             return;
         }
-        request.tries += 1;
+        request.attempts += 1;
         let spent = self.now - request.arrived;
         let left = (self.deployment.deadline - spent).max(0.0);
-        request.origin.facts.deadline = Duration::from_secs_f64(left);
-        if request.tries > ATTEMPTS {
-            return self.refuse(attempt);
+        request.caller_request.facts.deadline = Duration::from_secs_f64(left);
+        if request.attempts > MAX_ATTEMPTS {
+            return self.refuse(request_index);
         }
         let entry = &mut self.entries[request.entry];
-        let decision =
-            entry.decider.origin(now, &entry.membership, &self.configuration, &request.origin);
+        let decision = entry.decider.decide(
+            now,
+            &entry.membership,
+            &self.configuration,
+            &request.caller_request,
+        );
         match decision {
             Decision::Serve(upstream, attempt_id) => {
                 request.attempt_id = None;
-                request.server = Some((request.entry, attempt_id));
-                request.is_away = false;
-                self.send(attempt, &upstream);
+                request.serving_entry = Some((request.entry, attempt_id));
+                request.is_remote = false;
+                self.send(request_index, &upstream);
             }
             Decision::Forward(zone, attempt_id) => {
                 request.attempt_id = attempt_id;
-                request.server = None;
-                request.is_away = true;
+                request.serving_entry = None;
+                request.is_remote = true;
                 let zone = self.zone(&zone);
-                let own = self.entries[self.requests[attempt].entry].zone;
-                if self.is_cut(own, zone) {
-                    self.after(LOSS, What::Lost { attempt });
+                let own = self.entries[self.requests[request_index].entry].zone;
+                if self.is_partitioned(own, zone) {
+                    self.after(
+                        ATTEMPT_TIMEOUT_SECONDS,
+                        SimulationEvent::AttemptFailed { request_index },
+                    );
                 } else {
-                    self.after(self.deployment.far, What::Cross { attempt, zone });
+                    self.after(
+                        self.deployment.cross_region_delay,
+                        SimulationEvent::ReachZone { request_index, zone },
+                    );
                 }
             }
-            Decision::Refuse => self.refuse(attempt),
+            Decision::Refuse => self.refuse(request_index),
         }
     }
 
@@ -103,70 +116,73 @@
         self.deployment.zones.iter().position(|it| it.0 == zone.as_str()).unwrap()
     }
 
-    pub(super) fn send(&mut self, attempt: usize, upstream: &UpstreamId) {
+    pub(super) fn send(&mut self, request_index: usize, upstream: &UpstreamId) {
         let engine = upstream.as_str()[1..].parse().unwrap();
-        self.after(NEAR, What::Reach { attempt, engine });
+        self.after(ZONE_DELAY_SECONDS, SimulationEvent::ReachEngine { request_index, engine });
     }
 
-    pub(super) fn cross(&mut self, attempt: usize, zone: usize) {
+    pub(super) fn reach_zone(&mut self, request_index: usize, zone: usize) {
         let now = self.clock();
-        let entry_place = self.entry_of_zone(zone);
+        let serving_index = self.entry_of_zone(zone);
         let own = id(self.deployment.zones[zone].1);
-        let request = &mut self.requests[attempt];
-        let header = header(&self.configuration, &request.origin, &own);
+        let request = &mut self.requests[request_index];
+        let header = header(&self.configuration, &request.caller_request, &own);
         let forwarded = ForwardedRequest::receive(header, &self.configuration, &own).unwrap();
-        let entry = &mut self.entries[entry_place];
+        let entry = &mut self.entries[serving_index];
         let decision =
-            entry.decider.forwarded(now, &entry.membership, &self.configuration, &forwarded);
+            entry.decider.decide_forwarded(now, &entry.membership, &self.configuration, &forwarded);
         match decision {
             Decision::Serve(upstream, attempt_id) => {
-                request.server = Some((entry_place, attempt_id));
-                self.send(attempt, &upstream);
+                request.serving_entry = Some((serving_index, attempt_id));
+                self.send(request_index, &upstream);
             }
             _ => {
-                request.origin.exclude_zone(id(self.deployment.zones[zone].0));
-                self.after(self.deployment.far, What::Returned { attempt });
+                request.caller_request.exclude_zone(id(self.deployment.zones[zone].0));
+                self.after(
+                    self.deployment.cross_region_delay,
+                    SimulationEvent::ForwardRefused { request_index },
+                );
             }
         }
     }
 
-    pub(super) fn returned(&mut self, attempt: usize) {
-        self.settle(attempt, Event::Failed);
-        self.decide(attempt);
+    pub(super) fn forward_refused(&mut self, request_index: usize) {
+        self.finish_attempt(request_index, Event::Failed);
+        self.decide(request_index);
     }
 
-    pub(super) fn refuse(&mut self, attempt: usize) {
-        self.requests[attempt].is_over = true;
-        if self.is_measured(attempt) {
+    pub(super) fn refuse(&mut self, request_index: usize) {
+        self.requests[request_index].is_over = true;
+        if self.is_measured(request_index) {
             self.figures.refused += 1;
         }
     }
 
-    pub(super) fn give_up(&mut self, attempt: usize) {
-        if self.requests[attempt].is_over {
+    pub(super) fn give_up(&mut self, request_index: usize) {
+        if self.requests[request_index].is_over {
             return;
         }
-        self.refuse(attempt);
-        if let Some((engine, epoch)) = self.requests[attempt].engine
+        self.refuse(request_index);
+        if let Some((engine, epoch)) = self.requests[request_index].engine
             && self.engines[engine].epoch == epoch
-            && self.engines[engine].cancel(attempt)
+            && self.engines[engine].cancel(request_index)
         {
-            self.settle(attempt, Event::Ended);
+            self.finish_attempt(request_index, Event::Ended);
         }
     }
 
-    /// The attempt's answer was lost before the first token.
-    pub(super) fn lost(&mut self, attempt: usize) {
-        self.settle(attempt, Event::Failed);
-        let request = &mut self.requests[attempt];
+    /// Handles an attempt that failed before its first token: excludes its engine, if any, and retries.
+    pub(super) fn attempt_failed(&mut self, request_index: usize) {
+        self.finish_attempt(request_index, Event::Failed);
+        let request = &mut self.requests[request_index];
         if let Some((engine, _)) = request.engine.take() {
             let upstream = engine_id(engine);
-            if let Err(place) = request.origin.facts.excluded.binary_search(&upstream) {
-                request.origin.facts.excluded.insert(place, upstream);
+            if let Err(index) = request.caller_request.facts.excluded.binary_search(&upstream) {
+                request.caller_request.facts.excluded.insert(index, upstream);
             }
         }
         request.is_started = false;
-        self.decide(attempt);
+        self.decide(request_index);
     }
 
     pub(super) fn entry_of_zone(&mut self, zone: usize) -> usize {
@@ -177,10 +193,11 @@
 
 fn header(
     configuration: &Configuration,
-    origin: &CallerRequest,
+    caller_request: &CallerRequest,
     region: &RegionId,
 ) -> ForwardHeader {
     let lease = ConfigurationLease::Valid;
-    let permit = Permit::check(configuration, lease, &origin.facts, region, region).unwrap();
-    origin.header(&permit)
+    let permit =
+        Permit::check(configuration, lease, &caller_request.facts, region, region).unwrap();
+    caller_request.header(&permit)
 }
--- a/benches/routing/engine.rs
+++ b/benches/routing/engine.rs
@@ -1,34 +1,34 @@
-//! Stand-in's batching and prefix-cache model: slots, one prompt processor, a small LRU cache.
+//! The stand-in's model of batching and prefix caching: slots, sequential prefill, an LRU cache.
 
 use std::collections::VecDeque;
 
 use medlarlug_core::{announcement::LoadReport, fingerprint::Fingerprint, units::Tokens};
 
-/// Prompt tokens that an engine processes a second.
+/// Prompt tokens that an engine processes per second.
 pub const PREFILL_TOKENS_PER_SECOND: f64 = 8_000.0;
-/// Tokens of one stream a second.
-pub const STREAM_SPEED: f64 = 1.0 / 0.029;
-/// Requests that an engine runs at once.
+/// Tokens that an engine generates per second for each stream: one every 29 ms.
+pub const STREAM_TOKENS_PER_SECOND: f64 = 1.0 / 0.029;
+/// Requests that an engine runs concurrently.
 pub const SLOTS: u32 = 16;
-/// Prefixes that fit its cache.
-const CACHE: usize = 12;
+/// Prefixes that fit into the cache of an engine.
+const CACHE_CAPACITY: usize = 12;
 
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
-    pub attempt: usize,
+    pub request_index: usize,
     pub prefix: Fingerprint,
     pub prefix_tokens: u64,
-    pub prompt: u64,
-    pub answer: f64,
+    pub prompt_tokens: u64,
+    pub answer_tokens: f64,
 }
 
-/// A job that got a slot, and the times of its first token and its end, in seconds.
+/// A job that got a slot, with the times of its first token and its end in simulated seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Started {
-    pub attempt: usize,
-    pub first: f64,
-    pub end: f64,
-    pub processed: u64,
+    pub request_index: usize,
+    pub first_token_at: f64,
+    pub end_at: f64,
+    pub prefill_tokens: u64,
     pub is_hit: bool,
 }
 
@@ -36,11 +36,11 @@
 pub struct Engine {
     pub is_up: bool,
     pub epoch: u64,
-    pub slowness: f64,
+    pub slowdown: f64,
     pub reports_idle: bool,
     running: u32,
     queue: VecDeque<Job>,
-    free_at: f64,
+    prefill_free_at: f64,
     cache: VecDeque<Fingerprint>,
     cached: Vec<Fingerprint>,
     evicted: Vec<Fingerprint>,
@@ -48,13 +48,13 @@
 
 impl Engine {
     pub fn new() -> Engine {
-        Engine { is_up: true, slowness: 1.0, ..Engine::default() }
+        Engine { is_up: true, slowdown: 1.0, ..Engine::default() }
     }
 
-    /// Stops the engine; a later start has a cold cache.
+    /// Stops the engine and drops its jobs and its cache.
     pub fn crash(&mut self) {
-        let (epoch, slowness) = (self.epoch + 1, self.slowness);
-        *self = Engine { epoch, slowness, ..Engine::default() };
+        let (epoch, slowdown) = (self.epoch + 1, self.slowdown);
+        *self = Engine { epoch, slowdown, ..Engine::default() };
     }
 
     pub fn accept(&mut self, now: f64, job: Job) -> Option<Started> {
@@ -65,13 +65,13 @@
         None
     }
 
-    pub fn cancel(&mut self, attempt: usize) -> bool {
+    pub fn cancel(&mut self, request_index: usize) -> bool {
         let before = self.queue.len();
-        self.queue.retain(|it| it.attempt != attempt);
+        self.queue.retain(|it| it.request_index != request_index);
         self.queue.len() < before
     }
 
-    pub fn end(&mut self, now: f64) -> Option<Started> {
+    pub fn finish(&mut self, now: f64) -> Option<Started> {
         self.running -= 1;
         let job = self.queue.pop_front()?;
         Some(self.start(now, job))
@@ -79,43 +79,45 @@
 
     fn start(&mut self, now: f64, job: Job) -> Started {
         self.running += 1;
-        let is_hit = self.touch(job.prefix);
-        let processed = if is_hit { job.prompt - job.prefix_tokens } else { job.prompt };
-        let begin = now.max(self.free_at);
-        let first = begin + processed as f64 / PREFILL_TOKENS_PER_SECOND * self.slowness;
-        self.free_at = first;
-        let end = first + job.answer / STREAM_SPEED * self.slowness;
-        Started { attempt: job.attempt, first, end, processed, is_hit }
+        let is_hit = self.use_prefix(job.prefix);
+        let prefill_tokens =
+            if is_hit { job.prompt_tokens - job.prefix_tokens } else { job.prompt_tokens };
+        let begin = now.max(self.prefill_free_at);
+        let first_token_at =
+            begin + prefill_tokens as f64 / PREFILL_TOKENS_PER_SECOND * self.slowdown;
+        self.prefill_free_at = first_token_at;
+        let end_at = first_token_at + job.answer_tokens / STREAM_TOKENS_PER_SECOND * self.slowdown;
+        Started { request_index: job.request_index, first_token_at, end_at, prefill_tokens, is_hit }
     }
 
-    fn touch(&mut self, prefix: Fingerprint) -> bool {
+    fn use_prefix(&mut self, prefix: Fingerprint) -> bool {
         let found = self.cache.iter().position(|it| *it == prefix);
-        if let Some(place) = found {
-            self.cache.remove(place);
+        if let Some(index) = found {
+            self.cache.remove(index);
         } else {
             self.cached.push(prefix);
         }
         self.cache.push_back(prefix);
-        if self.cache.len() > CACHE {
+        if self.cache.len() > CACHE_CAPACITY {
             self.evicted.extend(self.cache.pop_front());
         }
         found.is_some()
     }
 
-    /// The load now; cache events are handed out once.
+    /// The current load, with the cache events since the last report.
     pub fn report(&mut self, now: f64) -> LoadReport {
         let cached = std::mem::take(&mut self.cached);
         let evicted = std::mem::take(&mut self.evicted);
         if self.reports_idle {
             return LoadReport { cached, evicted, ..LoadReport::default() };
         }
-        let queued: u64 = self.queue.iter().map(|it| it.prompt).sum();
-        let in_work = ((self.free_at - now).max(0.0) * PREFILL_TOKENS_PER_SECOND) as u64;
+        let queued: u64 = self.queue.iter().map(|it| it.prompt_tokens).sum();
+        let in_prefill = ((self.prefill_free_at - now).max(0.0) * PREFILL_TOKENS_PER_SECOND) as u64;
         LoadReport {
             running: self.running,
             waiting: self.queue.len() as u32,
-            backlog: Tokens(queued + in_work),
-            speed: f64::from(self.running) * STREAM_SPEED,
+            backlog: Tokens(queued + in_prefill),
+            speed: f64::from(self.running) * STREAM_TOKENS_PER_SECOND,
             cached,
             evicted,
             ..LoadReport::default()
--- a/benches/routing/figures.rs
+++ b/benches/routing/figures.rs
@@ -1,35 +1,38 @@
-//! Figures of one run, and their summary.
+//! Measurements of simulation runs and their summary.
 
 #[derive(Debug, Clone, Default)]
 pub struct Figures {
-    pub first_tokens: Vec<f64>,
+    pub first_token_times: Vec<f64>,
     pub cost: f64,
     pub requests: usize,
-    pub good: usize,
+    pub within_deadline: usize,
     pub refused: usize,
-    pub away: usize,
-    pub hits: usize,
+    pub remote: usize,
+    pub cache_hits: usize,
     pub starts: usize,
 }
 
-/// The figures of one run.
+/// Summary of the pooled runs of one router in one scenario.
+///
+/// `cost` is per 1,000 served requests, `remote` and `refused` are shares of all requests, and
+/// `cache_hits` is a share of the requests that an engine started.
 #[derive(Debug, Clone, Copy)]
 pub struct Summary {
     pub p50: f64,
     pub p95: f64,
     pub p99: f64,
-    /// Percentiles over all requests, of which the lost ones take the deadline.
+    /// Percentiles over all requests; the deadline is the time of those without a first token.
     pub all_p95: f64,
     pub all_p99: f64,
     pub cost: f64,
-    pub away: f64,
-    pub hits: f64,
-    pub good: f64,
+    pub remote: f64,
+    pub cache_hits: f64,
+    pub within_deadline: f64,
     pub refused: f64,
 }
 
 pub fn summarize(mut figures: Figures, deadline: f64) -> Summary {
-    let times = &mut figures.first_tokens;
+    let times = &mut figures.first_token_times;
     times.sort_by(f64::total_cmp);
     let at = |share: f64| percentile(times, share);
     let mut all = times.clone();
@@ -44,9 +47,9 @@
         all_p95: percentile(&all, 0.95),
         all_p99: percentile(&all, 0.99),
         cost: figures.cost / served * 1_000.0,
-        away: figures.away as f64 / requests,
-        hits: figures.hits as f64 / figures.starts as f64,
-        good: figures.good as f64,
+        remote: figures.remote as f64 / requests,
+        cache_hits: figures.cache_hits as f64 / figures.starts as f64,
+        within_deadline: figures.within_deadline as f64,
         refused: figures.refused as f64 / requests,
     }
 }
--- a/benches/routing/plot.rs
+++ b/benches/routing/plot.rs
@@ -1,4 +1,4 @@
-//! The plot: 99th percentile of the time to the first token over the load.
+//! Plots the 99th percentile of the time to first token over the load.
 
 use plotters::prelude::*;
 
--- a/benches/routing/policy.rs
+++ b/benches/routing/policy.rs
@@ -1,4 +1,4 @@
-//! The two deciders that are compared: the product's router, and a naive one.
+//! The two routers that are compared: the routing core and a naive one.
 
 use medlarlug_core::{
     ids::{UpstreamId, ZoneId},
@@ -14,10 +14,10 @@
 #[derive(Debug)]
 pub enum Decider {
     Real(Box<Router>),
-    Naive { turn: usize },
+    Naive { next_index: usize },
 }
 
-/// What was decided; the attempt id is the real router's.
+/// The outcome of a routing decision. Only the routing core assigns attempt ids.
 #[derive(Debug)]
 pub enum Decision {
     Serve(UpstreamId, Option<AttemptId>),
@@ -26,7 +26,7 @@
 }
 
 impl Decider {
-    pub fn origin(
+    pub fn decide(
         &mut self,
         now: Time,
         membership: &Membership,
@@ -53,11 +53,13 @@
                     Err(_) => Decision::Refuse,
                 }
             }
-            Decider::Naive { turn } => naive(now, membership, configuration, request, turn),
+            Decider::Naive { next_index } => {
+                naive(now, membership, configuration, request, next_index)
+            }
         }
     }
 
-    pub fn forwarded(
+    pub fn decide_forwarded(
         &mut self,
         now: Time,
         membership: &Membership,
@@ -76,25 +78,26 @@
                 let route = authorized.route();
                 Decision::Serve(route.upstream.clone(), Some(route.attempt_id))
             }
-            Decider::Naive { turn } => local(now, membership, turn)
+            Decider::Naive { next_index } => next_local_upstream(now, membership, next_index)
                 .map_or(Decision::Refuse, |it| Decision::Serve(it, None)),
         }
     }
 
-    pub fn learn(&mut self, now: Time, event: Event) {
+    pub fn apply(&mut self, now: Time, event: Event) {
         if let Decider::Real(router) = self {
             router.handle(now, event);
         }
     }
 }
 
-/// Home zone, round robin, spill when all are full.
+/// Round robin in the local zone; forwards to the first permitted zone with free slots if all local
+/// upstreams are full.
 fn naive(
     now: Time,
     membership: &Membership,
     configuration: &Configuration,
     request: &CallerRequest,
-    turn: &mut usize,
+    next_index: &mut usize,
 ) -> Decision {
     let own = &membership.own().region;
     let is_full = membership.upstreams(now).all(|it| free_slots(&it.announcement) == 0);
@@ -109,7 +112,8 @@
             return Decision::Forward(zone.zone.clone(), None);
         }
     }
-    local(now, membership, turn).map_or(Decision::Refuse, |it| Decision::Serve(it, None))
+    next_local_upstream(now, membership, next_index)
+        .map_or(Decision::Refuse, |it| Decision::Serve(it, None))
 }
 
 fn is_permitted(
@@ -121,9 +125,13 @@
     Permit::check(configuration, ConfigurationLease::Valid, facts, own, region).is_ok()
 }
 
-fn local(now: Time, membership: &Membership, turn: &mut usize) -> Option<UpstreamId> {
+fn next_local_upstream(
+    now: Time,
+    membership: &Membership,
+    next_index: &mut usize,
+) -> Option<UpstreamId> {
     let upstreams: Vec<_> = membership.upstreams(now).collect();
-    *turn += 1;
-    let chosen = upstreams.get(*turn % upstreams.len().max(1))?;
+    *next_index += 1;
+    let chosen = upstreams.get(*next_index % upstreams.len().max(1))?;
     Some(chosen.announcement.id.clone())
 }
--- a/benches/routing/table.rs
+++ b/benches/routing/table.rs
@@ -1,11 +1,11 @@
-//! The printed table.
+//! Prints the results as a table.
 
 use crate::{
     deployment::{Deployment, Scenario},
     figures::Summary,
 };
 
-/// One row of the table.
+/// Results of both routers in one scenario of one deployment.
 pub struct Row {
     pub deployment: Deployment,
     pub scenario: Scenario,
@@ -14,10 +14,14 @@
 }
 
 pub fn print(rows: &[Row]) {
-    println!("First token in seconds, cost per 1,000 served, shares in percent; refused counts");
-    println!("refusals and callers that gave up at the deadline; forced is the away share that");
-    println!("lost or exceeded capacity forces; p95* and p99* are over all requests, with the");
-    println!("deadline as the time of the lost ones.");
+    println!("Time to first token in seconds, cost per 1,000 served, shares in percent; refused");
+    println!(
+        "counts refusals and callers that gave up at the deadline; away counts requests served in"
+    );
+    println!(
+        "a remote zone, forced those for which local capacity is lacking; p95* and p99* are over"
+    );
+    println!("all requests, with the deadline as the time of those without a first token.");
     println!(
         "{:<17}{:<12}{:<6}{:>7}{:>7}{:>7}{:>7}{:>7}{:>7}{:>7}{:>7}{:>7}{:>7}{:>9}",
         "deployment",
@@ -48,10 +52,10 @@
                 it.all_p95,
                 it.all_p99,
                 it.cost,
-                it.away * 100.0,
-                row.scenario.forced() * 100.0,
-                it.hits * 100.0,
-                it.good,
+                it.remote * 100.0,
+                row.scenario.forced_share() * 100.0,
+                it.cache_hits * 100.0,
+                it.within_deadline,
                 it.refused * 100.0
             );
         }
--- a/crates/test-support/src/deployment/requests.rs
+++ b/crates/test-support/src/deployment/requests.rs
@@ -162,11 +162,11 @@
     let request = request.body(body.to_owned()).expect("a valid request");
     let Ok(mut answer) = agent.run(request) else { return none };
     let id = answer.headers().get("x-request-id").and_then(|it| it.to_str().ok());
-    let request = id.unwrap_or_default().to_owned();
+    let request_id = id.unwrap_or_default().to_owned();
     let status = answer.status().as_u16();
     let Ok(text) = answer.body_mut().read_to_string() else {
-        return Reply { request_id: request, ..none };
+        return Reply { request_id, ..none };
     };
     let json = serde_json::from_str(&text).unwrap_or_default();
-    Reply { status, request_id: request, text, json }
+    Reply { status, request_id, text, json }
 }
--- a/crates/test-support/src/stream.rs
+++ b/crates/test-support/src/stream.rs
@@ -63,15 +63,10 @@
             };
         };
         let status = answer.status().as_u16();
-        let request = answer.headers().get("x-request-id").and_then(|it| it.to_str().ok());
-        let request = request.unwrap_or_default().to_owned();
+        let request_id = answer.headers().get("x-request-id").and_then(|it| it.to_str().ok());
+        let request_id = request_id.unwrap_or_default().to_owned();
         let reader = BufReader::new(answer.into_body().into_reader());
-        OpenStream {
-            status,
-            request_id: request,
-            reader: Some(Box::new(reader)),
-            text: String::new(),
-        }
+        OpenStream { status, request_id, reader: Some(Box::new(reader)), text: String::new() }
     }
 
     /// Requests a streamed completion and reads it to its end.
