--- a/benches/failover.rs
+++ b/benches/failover.rs
@@ -1,8 +1,8 @@
-//! Real keepers: commits, a killed leader, and release notes.
+//! Measures commits, failover and release notes with real keeper processes.
 //!
-//! `cargo bench --bench failover` prints every part; `-- commits`, `leader` and `release` ask for
-//! some. Processes run on loopback, with data folders in the temporary folder of the system and real
-//! syncs; a relay delays the links between regions.
+//! `cargo bench --bench failover` prints every part; `-- commits`, `leader` and `release` select
+//! some. Processes run on loopback and sync to data folders in the temporary folder of the system.
+//! Relays delay the links between keepers where a row says so.
 
 use std::{
     path::Path,
@@ -29,11 +29,13 @@
 };
 
 const KEEPERS: [&str; 3] = ["keeper-1", "keeper-2", "keeper-3"];
-const COMMIT_RUN: Duration = Duration::from_secs(4);
+const COMMIT_RUN_TIME: Duration = Duration::from_secs(4);
+/// One-way delay between keepers, as between regions.
 const WAN_DELAY: Duration = Duration::from_millis(55);
 const ROUNDS: usize = 6;
-const ANSWER_LIMIT: Duration = Duration::from_secs(2);
-const POLL: Duration = Duration::from_millis(5);
+/// Longest wait for the next answer; calls without one are printed and given up.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 fn deployment() -> Deployment {
     let binaries = Path::new(env!("CARGO_BIN_EXE_medlarlug")).parent().expect("a folder");
@@ -79,16 +81,16 @@
     found.expect("a leader")
 }
 
-/// A client that calls a home group over links of its own, in the place of an entry instance.
+/// A client that calls a home group directly, over the links of an entry instance.
 struct Client {
     links: Links,
     incoming: Incoming,
     leader: InstanceId,
-    last: u64,
+    last_call: u64,
 }
 
 impl Client {
-    /// Takes the place of the instance `bench`, whose process has to be stopped.
+    /// Listens at the address of the instance `bench`, whose process must have been stopped.
     fn start(deployment: &Deployment) -> Client {
         let settings = EntrySettings::load(&deployment.settings("bench")).expect("settings");
         let own = settings.peer().clone();
@@ -98,13 +100,13 @@
             links.add_peer(peer.id.clone(), peer.peers);
         }
         let leader = wait_leader(deployment).parse().expect("an instance");
-        Client { links, incoming, leader, last: 0 }
+        Client { links, incoming, leader, last_call: 0 }
     }
 
     fn call(&mut self) -> bool {
-        self.last += 1;
+        self.last_call += 1;
         let record = RequestRecord {
-            id: id(&format!("riga.bench.1.{}", self.last)),
+            id: id(&format!("riga.bench.1.{}", self.last_call)),
             team: id("survey"),
             target: ItemKey::Service(id("jobdesk")),
             outcome: Some(Outcome::Answered),
@@ -112,34 +114,35 @@
         };
         let request = GroupRequest::Act(Action::Records(vec![record]));
         let group = GroupId::Home(id("riga"));
-        let message = Message::Call { call: self.last, group, request };
+        let message = Message::Call { call: self.last_call, group, request };
         self.links.send(&self.leader, message).is_ok()
     }
 
-    /// Keeps `clients` calls under way; tells the commits and their latency in microseconds.
+    /// Keeps `clients` calls in flight. Returns the number of commits and their latency in
+    /// microseconds.
     async fn run(&mut self, clients: u64) -> (usize, Histogram<u64>) {
         let mut latency = Histogram::new(3).expect("a histogram");
-        let mut begun: Vec<(u64, Instant)> = Vec::new();
+        let mut in_flight: Vec<(u64, Instant)> = Vec::new();
         let mut commits = 0;
-        let end = Instant::now() + COMMIT_RUN;
+        let end = Instant::now() + COMMIT_RUN_TIME;
         for _ in 0..clients {
-            assert!(self.call(), "a call is sent");
-            begun.push((self.last, Instant::now()));
+            assert!(self.call(), "the call could not be sent");
+            in_flight.push((self.last_call, Instant::now()));
         }
-        while !begun.is_empty() {
-            let next = tokio::time::timeout(ANSWER_LIMIT, self.incoming.receive()).await;
+        while !in_flight.is_empty() {
+            let next = tokio::time::timeout(ANSWER_TIMEOUT, self.incoming.receive()).await;
             let Ok(Some((_, message))) = next else {
-                println!("{} calls were not answered", begun.len());
+                println!("{} calls were not answered", in_flight.len());
                 break;
             };
             let Message::Reply { call, reply } = message else { continue };
-            let Some(place) = begun.iter().position(|it| it.0 == call) else { continue };
+            let Some(index) = in_flight.iter().position(|it| it.0 == call) else { continue };
             assert!(matches!(reply, GroupReply::Acted(_)), "{reply:?}");
-            let (_, start) = begun.swap_remove(place);
+            let (_, start) = in_flight.swap_remove(index);
             latency.record(start.elapsed().as_micros() as u64).expect("a latency");
             commits += 1;
             if Instant::now() < end && self.call() {
-                begun.push((self.last, Instant::now()));
+                in_flight.push((self.last_call, Instant::now()));
             }
         }
         (commits, latency)
@@ -150,7 +153,7 @@
     println!("| commits | commits/s | p50 ms | p99 ms |\n| --- | ---: | ---: | ---: |");
     let mut deployment = deployment();
     deployment.kill("bench");
-    // Keepers that never heard the instance don't replace their links to it.
+    // A restarted keeper has received nothing from the instance and does not replace its link to it.
     KEEPERS.iter().for_each(|it| deployment.restart(it));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("a runtime");
@@ -173,11 +176,11 @@
     }
 }
 
-/// Kills the leader of the home group and measures until the next leader and the next booking.
+/// Measures the time from a kill of the home group's leader to the next leader and booking.
 fn killed_leader() {
     let mut deployment = deployment();
-    let mut leads = Vec::new();
-    let mut books = Vec::new();
+    let mut leader_times = Vec::new();
+    let mut booking_times = Vec::new();
     for round in 0..ROUNDS {
         wait_for("a booking", || {
             deployment.book("entry-1", &format!("before-{round}"), "{}").status == 200
@@ -185,22 +188,22 @@
         let killed = wait_leader(&deployment);
         deployment.kill(killed);
         let start = Instant::now();
-        let (lead, book) = std::thread::scope(|scope| {
+        let (leader_time, booking_time) = std::thread::scope(|scope| {
             let shared = &deployment;
-            let lead = scope.spawn(move || {
+            let leader_watch = scope.spawn(move || {
                 while leader(shared, "home-riga").is_none() {
-                    sleep(POLL);
+                    sleep(POLL_INTERVAL);
                 }
                 start.elapsed()
             });
-            let mut tries = 0;
-            while shared.book("entry-1", &format!("after-{round}-{tries}"), "{}").status != 200 {
-                tries += 1;
+            let mut attempts = 0;
+            while shared.book("entry-1", &format!("after-{round}-{attempts}"), "{}").status != 200 {
+                attempts += 1;
             }
-            (lead.join().expect("no panic"), start.elapsed())
+            (leader_watch.join().expect("no panic"), start.elapsed())
         });
-        leads.push(lead);
-        books.push(book);
+        leader_times.push(leader_time);
+        booking_times.push(booking_time);
         deployment.start_process(killed);
         wait_for("the killed keeper to follow", || {
             let groups = deployment.operator_get(killed, "/status").json["groups"].clone();
@@ -208,8 +211,8 @@
             !groups.is_empty() && groups.iter().all(|it| it["leader"].is_string())
         });
     }
-    print_durations("new leader after a kill", leads);
-    print_durations("first booking after a kill", books);
+    print_durations("new leader after a kill", leader_times);
+    print_durations("first booking after a kill", booking_times);
 }
 
 fn release() {
@@ -226,11 +229,11 @@
             panic!("the note was refused: {}", reply.text)
         };
         while !instances.iter().all(|it| revision(it).is_some_and(|it| it >= accepted)) {
-            sleep(POLL);
+            sleep(POLL_INTERVAL);
         }
         times.push(start.elapsed());
     }
-    print_durations("release note in force at 6 instances", times);
+    print_durations("release note in effect at 6 instances", times);
 }
 
 fn print_durations(name: &str, mut times: Vec<Duration>) {
@@ -241,14 +244,14 @@
 
 fn main() {
     let parts: Vec<String> = std::env::args().skip(1).filter(|it| !it.starts_with('-')).collect();
-    let is_asked = |part: &str| parts.is_empty() || parts.iter().any(|it| it == part);
-    if is_asked("commits") {
+    let is_selected = |part: &str| parts.is_empty() || parts.iter().any(|it| it == part);
+    if is_selected("commits") {
         commits();
     }
-    if is_asked("leader") {
+    if is_selected("leader") {
         killed_leader();
     }
-    if is_asked("release") {
+    if is_selected("release") {
         release();
     }
 }
--- a/benches/gateway.rs
+++ b/benches/gateway.rs
@@ -1,7 +1,7 @@
-//! What one entry instance adds to a request, how many it carries, and how callers spread.
+//! Measures the latency, throughput and memory of an entry instance, and the spread of callers.
 //!
 //! `cargo bench --bench gateway` starts processes on loopback; `-- latency`, `rate`, `memory` and
-//! `spread` ask for parts. Figures of time depend on what else the machine does.
+//! `spread` select parts. Times depend on the other load of the machine, which is printed first.
 
 use std::{
     cell::{Cell, RefCell},
@@ -37,17 +37,17 @@
     time::{sleep, timeout},
 };
 
-const FAST: &str = "fast";
-const SLOW: &str = "slow";
+const FAST_MODEL: &str = "fast";
+const SLOW_MODEL: &str = "slow";
 const LIMITS: CallLimits =
     CallLimits { connect: Duration::from_secs(5), head: Duration::from_secs(30) };
 const RUNS: usize = 3;
 const RATE_TIME: Duration = Duration::from_secs(5);
-const OPEN_STREAMS: usize = 1_000;
-const CALLERS: usize = 200;
-const ENTRIES: usize = 8;
-/// Time in which callers spread, and time in which they are counted.
-const SPREADING: [Duration; 2] = [Duration::from_secs(30), Duration::from_secs(10)];
+const STREAM_COUNT: usize = 1_000;
+const CALLER_COUNT: usize = 200;
+const ENTRY_COUNT: usize = 8;
+/// Time in which callers spread over the entry instances, and time in which answers are counted.
+const SPREAD_TIMES: [Duration; 2] = [Duration::from_secs(30), Duration::from_secs(10)];
 const TICKS_PER_SECOND: f64 = 100.0;
 
 fn items() -> Vec<Item> {
@@ -70,26 +70,27 @@
     let policy =
         Policy { latency_weight: price(1.0), cost_weight: price(1.0), deadline_ms: 120_000 };
     let region = region("riga", &["riga-a"]);
-    vec![region, model(FAST), model(SLOW), Item::Policy(policy), Item::Team(survey)]
+    vec![region, model(FAST_MODEL), model(SLOW_MODEL), Item::Policy(policy), Item::Team(survey)]
 }
 
-/// One zone with a keeper, so many entry instances and two pools of engines.
+/// Starts one zone with a keeper, `entries` entry instances and two pools of engines.
 fn start(entries: usize) -> Deployment {
     let binaries = Path::new(env!("CARGO_BIN_EXE_medlarlug")).parent().expect("a folder");
-    let mut made = Deployment::new(binaries, &[("riga-a", "riga")]).keeper("keeper-1", "riga-a");
+    let mut deployment =
+        Deployment::new(binaries, &[("riga-a", "riga")]).keeper("keeper-1", "riga-a");
     for number in 1..=entries {
-        made = made.entry(&format!("entry-{number}"), "riga-a");
+        deployment = deployment.entry(&format!("entry-{number}"), "riga-a");
     }
-    let made = made
-        .pool("fast", "riga-a", Pool { model: FAST, count: 4, slots: 64, speed: 10_000 })
-        .pool("slow", "riga-a", Pool { model: SLOW, count: 16, slots: 128, speed: 20 })
+    let deployment = deployment
+        .pool("fast", "riga-a", Pool { model: FAST_MODEL, count: 4, slots: 64, speed: 10_000 })
+        .pool("slow", "riga-a", Pool { model: SLOW_MODEL, count: 16, slots: 128, speed: 20 })
         .start();
-    made.configure(items());
+    deployment.configure(items());
     for number in 1..=entries {
-        made.wait_upstreams(&format!("entry-{number}"), 20);
+        deployment.wait_upstreams(&format!("entry-{number}"), 20);
     }
     std::thread::sleep(Duration::from_secs(3));
-    made
+    deployment
 }
 
 struct Timing {
@@ -98,7 +99,7 @@
     status: u16,
 }
 
-/// One completion, read to its end.
+/// Sends a completion request and reads the answer to its end. Returns `None` if that fails.
 async fn complete(
     client: &HttpClient,
     address: SocketAddr,
@@ -144,7 +145,7 @@
         Times { first: histogram.clone(), whole: histogram, failed: 0 }
     }
 
-    fn note(&mut self, timing: Option<Timing>) {
+    fn record(&mut self, timing: Option<Timing>) {
         match timing {
             Some(it) if it.status == 200 => {
                 self.first.record(it.first.as_micros() as u64).expect("a time");
@@ -155,21 +156,26 @@
     }
 }
 
-/// Requests on `streams` connections each, `count` on each, in turn at the engine and through the
-/// entry instance, so that both meet the same state of the machine.
-async fn times(engine: SocketAddr, entry: SocketAddr, streams: usize, count: usize) -> [Times; 2] {
+/// Measures `count` requests on each of `streams` connections, directly to the engine and through
+/// the entry instance. The two alternate, so that the load of the machine affects both alike.
+async fn compare(
+    engine: SocketAddr,
+    entry: SocketAddr,
+    streams: usize,
+    count: usize,
+) -> [Times; 2] {
     let client = HttpClient::default();
     let all = Rc::new(RefCell::new([Times::new(), Times::new()]));
     let one = |_| {
         let (client, all) = (client.clone(), all.clone());
         async move {
             for address in [engine, entry] {
-                complete(&client, address, FAST, 8, true).await;
+                complete(&client, address, FAST_MODEL, 8, true).await;
             }
             for _ in 0..count {
-                for (place, address) in [engine, entry].into_iter().enumerate() {
-                    let timing = complete(&client, address, FAST, 8, true).await;
-                    all.borrow_mut()[place].note(timing);
+                for (index, address) in [engine, entry].into_iter().enumerate() {
+                    let timing = complete(&client, address, FAST_MODEL, 8, true).await;
+                    all.borrow_mut()[index].record(timing);
                 }
             }
         }
@@ -203,13 +209,13 @@
     for (streams, count) in [(1, 400), (64, 40)] {
         for run in 1..=RUNS {
             println!("run {run}:");
-            let [direct, through] = times(engine, entry, streams, count).await;
+            let [direct, through] = compare(engine, entry, streams, count).await;
             print_added(streams, &direct, &through);
         }
     }
 }
 
-/// Processor seconds and resident megabytes of a process.
+/// Processor time in seconds and resident memory in MiB of a process.
 fn usage(pid: u32) -> (f64, f64) {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).expect("a running process");
     let fields = stat.rsplit(')').next().unwrap_or_default();
@@ -233,10 +239,10 @@
             let (client, done) = (client.clone(), done.clone());
             async move {
                 while start.elapsed() < RATE_TIME {
-                    let timing = complete(&client, entry, FAST, 1, false).await;
-                    let place = usize::from(timing.is_none_or(|it| it.status != 200));
+                    let timing = complete(&client, entry, FAST_MODEL, 1, false).await;
+                    let index = usize::from(timing.is_none_or(|it| it.status != 200));
                     let mut counts = done.get();
-                    counts[place] += 1;
+                    counts[index] += 1;
                     done.set(counts);
                 }
             }
@@ -260,14 +266,14 @@
     let pid = deployment.pid("entry-1");
     let client = HttpClient::default();
     let before = usage(pid);
-    let first = Rc::new(Cell::new(0usize));
-    let open = (0..OPEN_STREAMS).map(|_| {
-        let (client, first) = (client.clone(), first.clone());
+    let still_open = Rc::new(Cell::new(0usize));
+    let open = (0..STREAM_COUNT).map(|_| {
+        let (client, still_open) = (client.clone(), still_open.clone());
         async move {
             let limit = Duration::from_secs(12);
-            let read = complete(&client, entry, SLOW, 100_000, true);
+            let read = complete(&client, entry, SLOW_MODEL, 100_000, true);
             let ended = timeout(limit, read).await;
-            first.set(first.get() + usize::from(ended.is_err()));
+            still_open.set(still_open.get() + usize::from(ended.is_err()));
         }
     });
     let watch = async {
@@ -278,16 +284,16 @@
     };
     let (_, (early, late)) = futures_util::join!(join_all(open), watch);
     println!(
-        "{} of {OPEN_STREAMS} streams open: resident {:.1} MB (before {:.1} MB), processor {:.1}% \
+        "{} of {STREAM_COUNT} streams open: resident {:.1} MB (before {:.1} MB), processor {:.1}% \
          of a core while they run",
-        first.get(),
+        still_open.get(),
         late.1,
         before.1,
         (late.0 - early.0) / 5.0 * 100.0
     );
 }
 
-/// The address that the directory of `entry` names first.
+/// Fetches the directory from `entry`. Returns its first address and its lifetime.
 async fn directory(client: &HttpClient, entry: SocketAddr) -> Option<(SocketAddr, Duration)> {
     let request = Request::builder()
         .uri("/v1/entries")
@@ -308,7 +314,7 @@
         deployment.instances.iter().filter(|it| it.is_entry).map(|it| it.callers).collect();
     let counts = Rc::new(RefCell::new(vec![[0u64; 2]; entries.len()]));
     let start = Instant::now();
-    let [spreading, counted] = SPREADING;
+    let [spreading, counted] = SPREAD_TIMES;
     let caller = |number: usize| {
         let (client, counts, entries) = (HttpClient::default(), counts.clone(), entries.clone());
         async move {
@@ -320,23 +326,23 @@
                     let Some((next, lifetime)) = directory(&client, entry).await else { continue };
                     (entry, due) = (next, Instant::now() + lifetime);
                 }
-                let timing = complete(&client, entry, SLOW, 8, true).await;
-                let place = usize::from(timing.is_none_or(|it| it.status != 200));
+                let timing = complete(&client, entry, SLOW_MODEL, 8, true).await;
+                let outcome = usize::from(timing.is_none_or(|it| it.status != 200));
                 let found = entries.iter().position(|it| *it == entry).unwrap_or(0);
                 if start.elapsed() >= spreading {
-                    counts.borrow_mut()[found][place] += 1;
+                    counts.borrow_mut()[found][outcome] += 1;
                 }
             }
         }
     };
-    join_all((0..CALLERS).map(caller)).await;
+    join_all((0..CALLER_COUNT).map(caller)).await;
     let counts = counts.borrow();
     let answered: Vec<u64> = counts.iter().map(|it| it[0]).collect();
     let failed: u64 = counts.iter().map(|it| it[1]).sum();
     let mean = answered.iter().sum::<u64>() as f64 / answered.len() as f64;
     let busiest = *answered.iter().max().expect("entry instances") as f64;
     println!(
-        "{CALLERS} callers, {ENTRIES} entry instances: {answered:?} answered in {} s, busiest \
+        "{CALLER_COUNT} callers, {ENTRY_COUNT} entry instances: {answered:?} answered in {} s, busiest \
          {:.2} times the mean; {failed} not answered",
         counted.as_secs(),
         busiest / mean
@@ -345,28 +351,28 @@
 
 fn main() {
     let names: Vec<String> = std::env::args().skip(1).filter(|arg| !arg.starts_with('-')).collect();
-    let is_asked = |name: &str| names.is_empty() || names.iter().any(|own| own == name);
+    let is_selected = |name: &str| names.is_empty() || names.iter().any(|own| own == name);
     let load = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     println!("load of the machine at the start: {}", load.trim());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("a runtime");
-    if ["latency", "rate", "memory"].into_iter().any(is_asked) {
+    if ["latency", "rate", "memory"].into_iter().any(is_selected) {
         let deployment = start(1);
         let parts = async {
-            if is_asked("latency") {
+            if is_selected("latency") {
                 measure_latency(&deployment).await;
             }
-            if is_asked("rate") {
+            if is_selected("rate") {
                 measure_rate(&deployment).await;
             }
-            if is_asked("memory") {
+            if is_selected("memory") {
                 measure_memory(&deployment).await;
             }
         };
         LocalSet::new().block_on(&runtime, parts);
     }
-    if is_asked("spread") {
-        let deployment = start(ENTRIES);
+    if is_selected("spread") {
+        let deployment = start(ENTRY_COUNT);
         LocalSet::new().block_on(&runtime, measure_spread(&deployment));
     }
 }
--- a/benches/replication.rs
+++ b/benches/replication.rs
@@ -1,8 +1,8 @@
-//! Commits a second, latency, recovery and size of a replicated group with real syncs.
+//! Measures throughput, latency, recovery time and journal size of a replication group.
 //!
 //! `cargo bench --bench replication` prints one table; `-- storage`, `commits`, `recovery` and `size`
-//! ask for parts of it. The data folders lie under the target
-//! folder, three replicas share one thread, and messages between them take no time.
+//! select parts of it. Writes are synced to data folders below the target folder. The three replicas
+//! of a group share one thread, and messages between them take no time.
 
 use std::{
     collections::VecDeque,
@@ -25,7 +25,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 
 const COMMAND_BYTES: usize = 200;
-const RUN: Duration = Duration::from_secs(5);
+const RUN_TIME: Duration = Duration::from_secs(5);
 const TABLE: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
 
 fn folder() -> TempDir {
@@ -66,12 +66,12 @@
     Histogram::new(3).expect("a histogram")
 }
 
-/// Synced writes, one after another, of `count` records each.
+/// Measures consecutive synced writes of `count` records each.
 fn measure_writes(name: &str, count: u64, mut write: impl FnMut(u64)) {
     let mut latency = histogram();
     let start = Instant::now();
     let mut sequence = 0;
-    while start.elapsed() < RUN {
+    while start.elapsed() < RUN_TIME {
         sequence += 1;
         let before = Instant::now();
         write(sequence);
@@ -101,24 +101,24 @@
     });
 }
 
-/// An unreplicated log under the same clients: the journal's writer alone.
-fn measure_plain(clients: usize) {
+/// Measures an unreplicated log, which is the journal's writer alone, with the same load.
+fn measure_unreplicated(clients: usize) {
     let path = folder();
     let (_folder, journal) = journal(path.path(), 1);
     let (writer, mut reports) = Writer::start(journal).expect("a writer");
     let mut latency = histogram();
-    let mut open = VecDeque::new();
+    let mut in_flight = VecDeque::new();
     let (mut sequence, mut done) = (0, 0);
     let start = Instant::now();
-    while start.elapsed() < RUN {
-        while open.len() < clients {
+    while start.elapsed() < RUN_TIME {
+        while in_flight.len() < clients {
             sequence += 1;
             writer.persist(group(), batch(sequence, 1));
-            open.push_back((sequence, Instant::now()));
+            in_flight.push_back((sequence, Instant::now()));
         }
         let synced = reports.blocking_recv().expect("a report").expect("a sync");
-        while open.front().is_some_and(|(own, _)| *own <= synced.sequence) {
-            let Some((_, begun)) = open.pop_front() else { break };
+        while in_flight.front().is_some_and(|(own, _)| *own <= synced.sequence) {
+            let Some((_, begun)) = in_flight.pop_front() else { break };
             latency.record(begun.elapsed().as_micros() as u64).expect("a latency");
             done += 1;
         }
@@ -148,8 +148,9 @@
 struct Bench {
     hosts: Vec<Host>,
     start: Instant,
-    mail: VecDeque<(usize, InstanceId, Message)>,
-    open: Vec<(u64, Instant)>,
+    messages: VecDeque<(usize, InstanceId, Message)>,
+    /// Ticket and start of each command in flight.
+    in_flight: Vec<(u64, Instant)>,
     latency: Histogram<u64>,
     done: usize,
 }
@@ -159,8 +160,8 @@
         Bench {
             hosts: (0..3).map(host).collect(),
             start: Instant::now(),
-            mail: VecDeque::new(),
-            open: Vec::new(),
+            messages: VecDeque::new(),
+            in_flight: Vec::new(),
             latency: histogram(),
             done: 0,
         }
@@ -175,30 +176,30 @@
                 Effect::Send { to, message } => {
                     let receiver = (0..3).find(|number| instance(*number) == to);
                     let receiver = receiver.expect("a receiver");
-                    self.mail.push_back((receiver, instance(at), message));
+                    self.messages.push_back((receiver, instance(at), message));
                 }
                 Effect::Persist(batch) => self.hosts[at].writer.persist(group(), batch),
-                Effect::Committed { ticket, .. } => self.settle(ticket),
+                Effect::Committed { ticket, .. } => self.record_commit(ticket),
                 _ => {}
             }
         }
     }
 
-    fn settle(&mut self, ticket: u64) {
-        if let Some(at) = self.open.iter().position(|(own, _)| *own == ticket) {
-            let (_, begun) = self.open.swap_remove(at);
+    fn record_commit(&mut self, ticket: u64) {
+        if let Some(index) = self.in_flight.iter().position(|(own, _)| *own == ticket) {
+            let (_, begun) = self.in_flight.swap_remove(index);
             self.latency.record(begun.elapsed().as_micros() as u64).expect("a latency");
             self.done += 1;
         }
     }
 
-    fn turn(&mut self, next_tick: &mut Instant) {
+    fn step(&mut self, next_tick: &mut Instant) {
         if Instant::now() >= *next_tick {
             *next_tick = Instant::now() + Duration::from_millis(20);
             (0..3).for_each(|at| self.handle(at, Event::Tick));
         }
         let mut is_idle = true;
-        while let Some((to, from, message)) = self.mail.pop_front() {
+        while let Some((to, from, message)) = self.messages.pop_front() {
             is_idle = false;
             self.handle(to, Event::Message { from, message });
         }
@@ -223,18 +224,18 @@
     let mut bench = Bench::new();
     let mut next_tick = Instant::now();
     while bench.leader().is_none() {
-        bench.turn(&mut next_tick);
+        bench.step(&mut next_tick);
     }
     let leader = bench.leader().expect("a leader");
     let start = Instant::now();
     let mut ticket = 0;
-    while start.elapsed() < RUN {
-        while bench.open.len() < clients {
+    while start.elapsed() < RUN_TIME {
+        while bench.in_flight.len() < clients {
             ticket += 1;
-            bench.open.push((ticket, Instant::now()));
+            bench.in_flight.push((ticket, Instant::now()));
             bench.handle(leader, Event::Propose { ticket, command: vec![1; COMMAND_BYTES] });
         }
-        bench.turn(&mut next_tick);
+        bench.step(&mut next_tick);
     }
     let name = format!("three replicas, {clients} clients");
     print_row(&name, bench.done, start.elapsed(), &bench.latency);
@@ -290,20 +291,20 @@
 
 fn main() {
     let names: Vec<String> = std::env::args().skip(1).filter(|arg| !arg.starts_with('-')).collect();
-    let is_asked = |name: &str| names.is_empty() || names.iter().any(|own| own == name);
-    if is_asked("storage") {
+    let is_selected = |name: &str| names.is_empty() || names.iter().any(|own| own == name);
+    if is_selected("storage") {
         [1, 64].into_iter().for_each(compare_storage);
     }
-    if is_asked("commits") {
+    if is_selected("commits") {
         for clients in [1, 64] {
-            measure_plain(clients);
+            measure_unreplicated(clients);
             measure_group(clients);
         }
     }
-    if is_asked("recovery") {
+    if is_selected("recovery") {
         [1_000, 10_000, 100_000].into_iter().for_each(measure_recovery);
     }
-    if is_asked("size") {
+    if is_selected("size") {
         [true, false].into_iter().for_each(measure_size);
     }
 }
