--- a/benches/capacity/demand.rs
+++ b/benches/capacity/demand.rs
@@ -1,4 +1,4 @@
-//! Demand reports between the entry instances of one region.
+//! Measures demand reports between the entry instances of one region.
 
 use std::time::Duration;
 
@@ -15,21 +15,22 @@
 
 use crate::wire;
 
-const BEATS: u64 = 60;
-const WARM_UP: u64 = 20;
-/// Time between two reports, as entry instances send them.
-const BEAT: Duration = Duration::from_secs(1);
+/// Number of report rounds, of which the first [`WARM_UP_ROUNDS`] are not measured.
+const ROUNDS: u64 = 60;
+const WARM_UP_ROUNDS: u64 = 20;
+/// Interval at which entry instances send their reports.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 pub struct Sample {
-    /// Mean frame of a report.
+    /// Mean size of the frame of a report in bytes.
     pub report: f64,
-    /// Bytes a second that one instance sends to all others, as they were sent.
+    /// Bytes per second that one instance sends to all others, from the sizes of its actual reports.
     pub sent: f64,
-    /// Share of a core at one instance.
+    /// Share of a core that one instance uses.
     pub processor: f64,
 }
 
-/// A region of `instances`, in which `rate` requests a second arrive in total.
+/// Simulates a region of `instances` entry instances that receive `rate` requests per second in total.
 pub fn measure(scale: &Scale, instances: usize, rate: f64) -> Sample {
     let teams: Vec<Team> = (0..scale.teams).map(|it| scale.team(it)).collect();
     let instance = |number: usize| {
@@ -44,11 +45,11 @@
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let (mut bytes, mut reports) = (0.0, 0.0);
     let mut processor = 0.0;
-    for beat in 1..=BEATS {
-        if beat == WARM_UP + 1 {
+    for round in 1..=ROUNDS {
+        if round == WARM_UP_ROUNDS + 1 {
             processor = wire::processor_seconds();
         }
-        let now = Time::ZERO + BEAT * beat as u32;
+        let now = Time::ZERO + REPORT_INTERVAL * round as u32;
         let mut out = Vec::new();
         for _ in 0..rate as u32 {
             // A few teams send most of the requests.
@@ -59,17 +60,18 @@
         region.iter_mut().for_each(|it| it.handle(now, Event::Heartbeat, &mut out));
         for effect in out {
             let Effect::Broadcast(report) = effect else { continue };
-            if beat > WARM_UP {
+            if round > WARM_UP_ROUNDS {
                 bytes += wire::frame_bytes(Message::Demand { report: report.clone() }) as f64;
                 reports += 1.0;
             }
             for limits in &mut region {
-                let heard = Event::ReportReceived { report: report.clone(), age: Duration::ZERO };
-                limits.handle(now, heard, &mut Vec::new());
+                let received =
+                    Event::ReportReceived { report: report.clone(), age: Duration::ZERO };
+                limits.handle(now, received, &mut Vec::new());
             }
         }
     }
-    let seconds = (BEATS - WARM_UP) as f64;
+    let seconds = (ROUNDS - WARM_UP_ROUNDS) as f64;
     let report: f64 = bytes / reports;
     Sample {
         report,
--- a/benches/capacity/fit.rs
+++ b/benches/capacity/fit.rs
@@ -1,6 +1,6 @@
-//! Least squares over measured points.
+//! Least-squares fits of measured points.
 
-/// One measured quantity over a size.
+/// Measured values of one quantity at several sizes.
 pub struct Slope {
     pub name: &'static str,
     pub over: &'static str,
@@ -8,7 +8,7 @@
     pub points: Vec<(f64, f64)>,
 }
 
-/// A line through the points, and the power that they grow with.
+/// A line fitted to the points, and the exponent of a power law fitted to them.
 pub struct Fit {
     pub base: f64,
     pub rate: f64,
@@ -23,17 +23,17 @@
     }
 
     pub fn fit(&self) -> Fit {
-        let (base, rate) = line(&self.points);
+        let (base, rate) = fit_line(&self.points);
         let logs: Vec<(f64, f64)> =
             self.points.iter().filter(|it| it.1 > 0.0).map(|(x, y)| (x.ln(), y.ln())).collect();
-        let (_, exponent) = line(&logs);
+        let (_, exponent) = fit_line(&logs);
         let largest = self.points.iter().map(|it| it.1.abs()).fold(f64::MIN_POSITIVE, f64::max);
         let distance = |(x, y): &(f64, f64)| (y - base - rate * x).abs();
         let residual = self.points.iter().map(distance).fold(0.0, f64::max) / largest;
         Fit { base, rate, exponent, residual }
     }
 
-    /// The fitted value at a size, which may lie beyond the measured ones.
+    /// The fitted value at `size`, which may lie outside the measured range.
     pub fn at(&self, size: f64) -> f64 {
         let fit = self.fit();
         fit.base + fit.rate * size
@@ -57,7 +57,8 @@
     }
 }
 
-fn line(points: &[(f64, f64)]) -> (f64, f64) {
+/// The intercept and the slope of the least-squares line.
+fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|it| it.0).sum::<f64>() / count;
     let mean_y = points.iter().map(|it| it.1).sum::<f64>() / count;
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -1,10 +1,10 @@
-//! Slopes of the capacity page, measured on the real cores and codecs.
+//! Measures the slopes of the capacity page: how resource use grows with the size of a deployment.
 //!
 //! `cargo bench --bench capacity` prints every slope with its fit and draws
 //! `docs/plots/capacity.svg`; `-- membership`, `demand`, `configuration`, `replication`, `records`,
-//! `links` and `processes` ask for parts, which draw nothing. Bytes are whole frames, sent plus received,
-//! without the headers of nng, TCP and IP. Processor time is that of the bench's one thread and
-//! includes its driver.
+//! `links` and `processes` select parts and draw nothing. Except in `processes`, the real
+//! cores and codecs run in this process. Bytes are whole frames, sent plus received, without the headers of nng, TCP and IP.
+//! Processor time is that of the benchmark's single thread and includes its driver.
 
 mod configuration;
 mod demand;
@@ -23,20 +23,20 @@
 use crate::membership::Traffic;
 
 /// Voters of the configuration group.
-const VOTERS: usize = 5;
+const VOTER_COUNT: usize = 5;
 /// Entry instances of the largest region.
-const REGION: usize = 48;
-/// Prefixes that enter an engine's cache between two reports, at five requests a second.
-const BUSY_PREFIXES: usize = 3;
-/// Requests a second of one region, on average.
-const REGION_RATE: f64 = 400.0;
+const REGION_INSTANCES: usize = 48;
+/// Prefixes that enter an engine's cache between two load reports, at five requests per second.
+const PREFIXES_PER_REPORT: usize = 3;
+/// Mean number of requests per second in one region.
+const REGION_REQUESTS_PER_SECOND: f64 = 400.0;
 
-/// A measurement and its name on the command line.
+/// A part of the benchmark: its name on the command line and its measurement.
 type Part = (&'static str, fn() -> Vec<Slope>);
 
 fn main() {
     let names: Vec<String> = std::env::args().skip(1).filter(|arg| !arg.starts_with('-')).collect();
-    let is_asked = |name: &str| names.is_empty() || names.iter().any(|own| own == name);
+    let is_selected = |name: &str| names.is_empty() || names.iter().any(|own| own == name);
     let parts: [Part; 6] = [
         ("configuration", measure_configuration),
         ("links", measure_links),
@@ -47,20 +47,21 @@
     ];
     let mut slopes = Vec::new();
     for (name, measure) in parts {
-        if is_asked(name) {
+        if is_selected(name) {
             println!("# {name}");
             let part = measure();
             part.iter().for_each(Slope::print);
             slopes.extend(part);
         }
     }
-    if is_asked("processes") {
+    if is_selected("processes") {
         println!("# processes");
         processes::measure();
     }
     if names.is_empty() {
-        let is_drawn = |it: &&Slope| !["zones", "models"].contains(&it.over) && it.unit != "msg/s";
-        plot::draw(&slopes.iter().filter(is_drawn).collect::<Vec<&Slope>>());
+        let is_plotted =
+            |it: &&Slope| !["zones", "models"].contains(&it.over) && it.unit != "msg/s";
+        plot::draw(&slopes.iter().filter(is_plotted).collect::<Vec<&Slope>>());
     }
 }
 
@@ -88,33 +89,43 @@
     let mut entry = Slope::new("membership, entry", over, "B/s");
     let mut speaker = Slope::new("membership, speaker", over, "B/s");
     let mut keeper = Slope::new("membership, keeper", over, "B/s");
-    let mut beats = Slope::new("of it heartbeats, entry", over, "B/s");
-    let mut upstreams = Slope::new("of it upstreams, entry", over, "B/s");
-    let mut summaries = Slope::new("of it summaries, entry", over, "B/s");
-    let mut spoken = Slope::new("of it summaries, speaker", over, "B/s");
+    let mut heartbeats = Slope::new("of which heartbeats, entry", over, "B/s");
+    let mut upstreams = Slope::new("of which upstreams, entry", over, "B/s");
+    let mut summaries = Slope::new("of which summaries, entry", over, "B/s");
+    let mut speaker_summaries = Slope::new("of which summaries, speaker", over, "B/s");
     let mut messages = Slope::new("membership, entry", over, "msg/s");
     let mut processor = Slope::new("membership, a node", over, "% core");
     for (size, scale) in sizes {
-        let sample = membership::measure(scale, BUSY_PREFIXES);
+        let sample = membership::measure(scale, PREFIXES_PER_REPORT);
         entry.points.push((*size, total(&sample.entry)));
         speaker.points.push((*size, total(&sample.speaker)));
         keeper.points.push((*size, total(&sample.keeper)));
-        beats.points.push((*size, sample.entry.kinds[0]));
+        heartbeats.points.push((*size, sample.entry.kinds[0]));
         upstreams.points.push((*size, sample.entry.kinds[1]));
         summaries.points.push((*size, sample.entry.kinds[2]));
-        spoken.points.push((*size, sample.speaker.kinds[2]));
+        speaker_summaries.points.push((*size, sample.speaker.kinds[2]));
         messages.points.push((*size, sample.entry.messages));
         processor.points.push((*size, sample.processor * 100.0));
     }
-    vec![entry, speaker, keeper, beats, upstreams, summaries, spoken, messages, processor]
+    vec![
+        entry,
+        speaker,
+        keeper,
+        heartbeats,
+        upstreams,
+        summaries,
+        speaker_summaries,
+        messages,
+        processor,
+    ]
 }
 
 fn measure_demand() -> Vec<Slope> {
     let mut report = Slope::new("demand report", "instances", "B");
     let mut sent = Slope::new("demand reports, entry, sent + received", "instances", "B/s");
     let mut processor = Slope::new("demand reports, entry", "instances", "% core");
-    for instances in [12, 24, REGION] {
-        let sample = demand::measure(&TARGET_SCALE, instances, REGION_RATE);
+    for instances in [12, 24, REGION_INSTANCES] {
+        let sample = demand::measure(&TARGET_SCALE, instances, REGION_REQUESTS_PER_SECOND);
         report.points.push((instances as f64, sample.report));
         sent.points.push((instances as f64, 2.0 * sample.sent));
         processor.points.push((instances as f64, sample.processor * 100.0));
@@ -123,7 +134,7 @@
     let mut shares = Slope::new("demand reports, entry", "teams", "% core");
     for count in [675, 1_350, 2_700] {
         let scale = Scale { teams: count, ..TARGET_SCALE };
-        let sample = demand::measure(&scale, REGION, REGION_RATE);
+        let sample = demand::measure(&scale, REGION_INSTANCES, REGION_REQUESTS_PER_SECOND);
         teams.points.push((count as f64, sample.report));
         shares.points.push((count as f64, sample.processor * 100.0));
     }
@@ -146,15 +157,18 @@
     for teams in [1, 5, 50] {
         push.points.push((teams as f64, configuration::push_bytes(&TARGET_SCALE, teams) as f64));
     }
-    let (ask, answer) = configuration::ask_bytes();
-    let mut asked = Slope::new("questions of followers, voter of 5", "nodes", "B/s");
+    let (request, response) = configuration::update_request_bytes();
+    let mut update_requests =
+        Slope::new("update requests of followers, voter of 5", "nodes", "B/s");
     for nodes in [85, 170, 340] {
-        let questions = nodes as f64 / VOTER_REQUEST_INTERVAL as f64 / VOTERS as f64;
-        asked.points.push((nodes as f64, questions * (ask + answer) as f64));
+        let requests = nodes as f64 / VOTER_REQUEST_INTERVAL as f64 / VOTER_COUNT as f64;
+        update_requests.points.push((nodes as f64, requests * (request + response) as f64));
     }
     let (call, reply) = configuration::confirm_bytes();
-    println!("question {ask} B, answer {answer} B; confirming call {call} B, reply {reply} B");
-    vec![bytes, memory, decode, change, push, asked]
+    println!(
+        "update request {request} B, response {response} B; confirming call {call} B, reply {reply} B"
+    );
+    vec![bytes, memory, decode, change, push, update_requests]
 }
 
 fn measure_replication() -> Vec<Slope> {
--- a/benches/capacity/membership.rs
+++ b/benches/capacity/membership.rs
@@ -1,6 +1,7 @@
-//! Heartbeats, upstreams and summaries: every instance's core, with real frames between them.
+//! Measures membership messages: heartbeats, upstreams and summaries.
 //!
-//! Instances tick one after the other and messages take no time.
+//! Runs the core of every instance and encodes each message as a real frame. Instances tick one
+//! after the other and messages take no time.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -16,10 +17,10 @@
 
 use crate::wire;
 
-const WARM_UP: Duration = Duration::from_secs(5);
-const MEASURED: Duration = Duration::from_secs(20);
-/// Entry instances that an engine announces itself to.
-const ANNOUNCED_TO: usize = 2;
+const WARM_UP_TIME: Duration = Duration::from_secs(5);
+const MEASURED_TIME: Duration = Duration::from_secs(20);
+/// Number of entry instances to which an engine announces itself.
+const ANNOUNCED_INSTANCES: usize = 2;
 /// Ticks between two announcements of an engine: 500 ms.
 const TICKS_PER_RENEWAL: u64 = 2;
 
@@ -33,12 +34,12 @@
     pub kinds: [f64; 3],
 }
 
-/// Means over the instances of a role, a second.
+/// Traffic per second, averaged over the instances of a role.
 pub struct Sample {
     pub entry: Traffic,
     pub speaker: Traffic,
     pub keeper: Traffic,
-    /// Share of a core for one node, the bench's own driver included.
+    /// Share of a core that one node uses, including the driver of the benchmark.
     pub processor: f64,
 }
 
@@ -51,8 +52,8 @@
     keys: DeploymentKeys,
     seeds: Vec<Seed>,
     hosts: Vec<Host>,
-    mail: VecDeque<(usize, Vec<u8>)>,
-    counts: bool,
+    messages: VecDeque<(usize, Vec<u8>)>,
+    is_counting: bool,
 }
 
 impl Network {
@@ -68,7 +69,7 @@
             traffic: Traffic::default(),
         };
         let hosts = seeds.iter().map(host).collect();
-        Network { keys: wire::keys(), seeds, hosts, mail: VecDeque::new(), counts: false }
+        Network { keys: wire::keys(), seeds, hosts, messages: VecDeque::new(), is_counting: false }
     }
 
     fn handle(&mut self, now: Time, at: usize, event: Event) {
@@ -83,27 +84,27 @@
 
     fn send(&mut self, at: usize, to: &InstanceId, message: Body) {
         let receiver = self.seeds.binary_search_by(|it| it.id.cmp(to)).expect("an instance");
-        let (kind, news) = (kind_of(&message), news_bytes(&message));
+        let (kind, updates) = (kind_of(&message), update_bytes(&message));
         let envelope = wire::envelope(&self.seeds[at].id, to, Message::Membership(message));
         let frame = frame::encode(&self.keys, &envelope).expect("a frame");
-        if self.counts {
+        if self.is_counting {
             let bytes = frame.len() as f64;
             let sender = &mut self.hosts[at].traffic;
             sender.sent += bytes;
             sender.messages += 1.0;
-            sender.kinds[kind] += bytes - news;
-            sender.kinds[1] += news;
+            sender.kinds[kind] += bytes - updates;
+            sender.kinds[1] += updates;
             let traffic = &mut self.hosts[receiver].traffic;
             traffic.received += bytes;
             traffic.messages += 1.0;
-            traffic.kinds[kind] += bytes - news;
-            traffic.kinds[1] += news;
+            traffic.kinds[kind] += bytes - updates;
+            traffic.kinds[1] += updates;
         }
-        self.mail.push_back((receiver, frame));
+        self.messages.push_back((receiver, frame));
     }
 
     fn deliver(&mut self, now: Time) {
-        while let Some((to, frame)) = self.mail.pop_front() {
+        while let Some((to, frame)) = self.messages.pop_front() {
             let envelope = frame::decode(&self.keys, &self.seeds[to].id, &frame).expect("a frame");
             let Message::Membership(message) = envelope.message else { continue };
             let from = envelope.from;
@@ -120,33 +121,33 @@
     }
 }
 
-/// Bytes of the news of upstreams that a heartbeat carries.
-fn news_bytes(message: &membership::Message) -> f64 {
+/// Bytes of the updates of upstreams that a heartbeat carries, which count as upstream traffic.
+fn update_bytes(message: &membership::Message) -> f64 {
     match message {
-        Body::Heartbeat(beat) => {
-            let bytes = postcard::to_stdvec(&beat.updates).expect("news");
+        Body::Heartbeat(heartbeat) => {
+            let bytes = postcard::to_stdvec(&heartbeat.updates).expect("updates");
             (bytes.len() - 1) as f64
         }
         _ => 0.0,
     }
 }
 
-/// Every engine's report names so many prefixes that entered its cache, and as many that left.
+/// Simulates a deployment whose load reports name `prefixes` cached and as many evicted prefixes.
 pub fn measure(scale: &Scale, prefixes: usize) -> Sample {
     let mut network = Network::new(scale);
     let mut engines = scale.announcements();
-    let entries_of = |zone: &medlarlug_core::ids::ZoneId| -> Vec<usize> {
-        let is_there = |it: &Seed| it.zone == *zone && it.kind == InstanceKind::Entry;
-        (0..network.seeds.len()).filter(|it| is_there(&network.seeds[*it])).collect()
+    let entries_in = |zone: &medlarlug_core::ids::ZoneId| -> Vec<usize> {
+        let is_zone_entry = |it: &Seed| it.zone == *zone && it.kind == InstanceKind::Entry;
+        (0..network.seeds.len()).filter(|it| is_zone_entry(&network.seeds[*it])).collect()
     };
-    let targets: Vec<Vec<usize>> = engines.iter().map(|it| entries_of(&it.zone)).collect();
-    let ticks = (WARM_UP + MEASURED).as_millis() / TICK.as_millis();
-    let first = WARM_UP.as_millis() / TICK.as_millis();
+    let targets: Vec<Vec<usize>> = engines.iter().map(|it| entries_in(&it.zone)).collect();
+    let ticks = (WARM_UP_TIME + MEASURED_TIME).as_millis() / TICK.as_millis();
+    let warm_up_ticks = WARM_UP_TIME.as_millis() / TICK.as_millis();
     let mut processor = 0.0;
     for tick in 0..ticks as u64 {
         let now = Time::ZERO + TICK * tick as u32;
-        if u128::from(tick) == first {
-            network.counts = true;
+        if u128::from(tick) == warm_up_ticks {
+            network.is_counting = true;
             processor = wire::processor_seconds();
         }
         for (number, engine) in engines.iter_mut().enumerate() {
@@ -157,8 +158,8 @@
             engine.load = scale::load_report(tick * 1_000 + number as u64);
             engine.load.cached.truncate(prefixes);
             engine.load.evicted.truncate(prefixes);
-            for step in 0..ANNOUNCED_TO.min(targets[number].len()) {
-                let at = targets[number][(number + step) % targets[number].len()];
+            for offset in 0..ANNOUNCED_INSTANCES.min(targets[number].len()) {
+                let at = targets[number][(number + offset) % targets[number].len()];
                 network.handle(now, at, Event::Announced(engine.clone()));
             }
             network.deliver(now);
@@ -168,7 +169,7 @@
             network.deliver(now);
         }
     }
-    let seconds = MEASURED.as_secs_f64();
+    let seconds = MEASURED_TIME.as_secs_f64();
     let processor = (wire::processor_seconds() - processor) / seconds / scale.nodes as f64;
     let mean = |select: &dyn Fn(&Host) -> bool| mean_of(&network.hosts, select, seconds);
     let is_entry = |it: &Host| it.core.own().kind == InstanceKind::Entry;
--- a/benches/capacity/plot.rs
+++ b/benches/capacity/plot.rs
@@ -1,4 +1,4 @@
-//! One chart for each chosen slope.
+//! Plots one chart for each given slope.
 
 use plotters::prelude::*;
 
@@ -6,11 +6,12 @@
 
 const PATH: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/docs/plots/capacity.svg");
 const COLUMNS: usize = 3;
-const CHART: (u32, u32) = (340, 240);
+/// Width and height of a chart in pixels.
+const CHART_SIZE: (u32, u32) = (340, 240);
 
 pub fn draw(slopes: &[&Slope]) {
     let rows = slopes.len().div_ceil(COLUMNS);
-    let size = (CHART.0 * COLUMNS as u32, CHART.1 * rows as u32);
+    let size = (CHART_SIZE.0 * COLUMNS as u32, CHART_SIZE.1 * rows as u32);
     let root = SVGBackend::new(PATH, size).into_drawing_area();
     root.fill(&WHITE).unwrap();
     for (area, slope) in root.split_evenly((rows, COLUMNS)).iter().zip(slopes) {
--- a/benches/capacity/processes.rs
+++ b/benches/capacity/processes.rs
@@ -1,5 +1,5 @@
-//! Eight entry instances, three keepers and 120 emulated engines as processes on this machine,
-//! beside what the slopes predict for them.
+//! Measures eight entry instances, three keepers and 120 emulated engines as processes on this
+//! machine, and prints the values that the slopes predict for them.
 
 use std::{fs, path::Path, sync::Arc, thread, time::Duration};
 
@@ -19,16 +19,16 @@
 
 use crate::{configuration, demand, membership, replication};
 
-/// Today's size, with more engines.
-const TODAY: Scale =
+/// The size of today's deployments, with more engines.
+const CURRENT_SCALE: Scale =
     Scale { nodes: 11, keepers: 3, engines: 120, regions: 2, zones: 4, teams: 2_700, models: 1 };
 const ENGINE_SLOTS: u32 = 8;
-const WINDOW: Duration = Duration::from_secs(10);
-/// Requests a second at each entry instance under the small load.
-const RATE: f64 = 10.0;
+const MEASURED_TIME: Duration = Duration::from_secs(10);
+/// Requests per second at each entry instance in the run with load.
+const REQUESTS_PER_SECOND: f64 = 10.0;
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What one process has used since its start.
+/// Processor seconds and bytes sent and received since the start of a process, and its resident MiB.
 #[derive(Debug, Clone, Copy)]
 struct Usage {
     processor: f64,
@@ -39,25 +39,26 @@
 
 fn deployment() -> Deployment {
     let binaries = Path::new(env!("CARGO_BIN_EXE_medlarlug")).parent().expect("a folder");
-    let zone = |number: usize| TODAY.zone_name(number % TODAY.zones);
-    let names: Vec<(String, String)> = (0..TODAY.zones)
-        .map(|it| (TODAY.zone_name(it), Scale::region_name(TODAY.region_of(it))))
+    let zone = |number: usize| CURRENT_SCALE.zone_name(number % CURRENT_SCALE.zones);
+    let names: Vec<(String, String)> = (0..CURRENT_SCALE.zones)
+        .map(|it| (CURRENT_SCALE.zone_name(it), Scale::region_name(CURRENT_SCALE.region_of(it))))
         .collect();
     let zones: Vec<(&str, &str)> = names.iter().map(|it| (it.0.as_str(), it.1.as_str())).collect();
-    let mut made = Deployment::new(binaries, &zones);
-    for number in 0..TODAY.nodes - TODAY.keepers {
-        made = made.entry(&format!("entry-{number:03}"), &zone(number));
+    let mut deployment = Deployment::new(binaries, &zones);
+    for number in 0..CURRENT_SCALE.nodes - CURRENT_SCALE.keepers {
+        deployment = deployment.entry(&format!("entry-{number:03}"), &zone(number));
     }
-    for number in 0..TODAY.keepers {
-        made = made.keeper(&format!("keeper-{number:03}"), &zone(number));
+    for number in 0..CURRENT_SCALE.keepers {
+        deployment = deployment.keeper(&format!("keeper-{number:03}"), &zone(number));
     }
-    let engines = TODAY.engines / TODAY.zones;
-    for number in 0..TODAY.zones {
+    let engines = CURRENT_SCALE.engines / CURRENT_SCALE.zones;
+    for number in 0..CURRENT_SCALE.zones {
         let pool = format!("pool-{number}");
-        let equal = Pool { model: "model-00", count: engines, slots: ENGINE_SLOTS, speed: 10_000 };
-        made = made.pool(&pool, &zone(number), equal);
+        let settings =
+            Pool { model: "model-00", count: engines, slots: ENGINE_SLOTS, speed: 10_000 };
+        deployment = deployment.pool(&pool, &zone(number), settings);
     }
-    made
+    deployment
 }
 
 fn items() -> Vec<Item> {
@@ -69,7 +70,7 @@
         ..team("survey", "region-0")
     };
     let price = |value: f64| value.try_into().expect("a price");
-    let mut items = TODAY.configuration().items().to_vec();
+    let mut items = CURRENT_SCALE.configuration().items().to_vec();
     items.push(Item::Team(survey));
     items.push(Item::Policy(Policy {
         latency_weight: price(1.0),
@@ -100,8 +101,8 @@
     }
 }
 
-/// Prints what every process used a second during `work`.
-fn observe(deployment: &Deployment, name: &str, work: impl FnOnce()) {
+/// Prints the resources that every process used per second while `work` ran.
+fn measure_during(deployment: &Deployment, name: &str, work: impl FnOnce()) {
     let ids: Vec<String> = deployment.instances.iter().map(|it| it.id.clone()).collect();
     let before: Vec<Usage> = ids.iter().map(|it| usage(deployment, it)).collect();
     let start = std::time::Instant::now();
@@ -126,11 +127,11 @@
         .map(|entry| {
             let (deployment, entry) = (deployment.clone(), entry.id.clone());
             thread::spawn(move || {
-                let count = (WINDOW.as_secs_f64() * RATE) as u32;
+                let count = (MEASURED_TIME.as_secs_f64() * REQUESTS_PER_SECOND) as u32;
                 let start = std::time::Instant::now();
                 let mut answered = 0;
                 for number in 0..count {
-                    let due = Duration::from_secs_f64(f64::from(number) / RATE);
+                    let due = Duration::from_secs_f64(f64::from(number) / REQUESTS_PER_SECOND);
                     thread::sleep(due.saturating_sub(start.elapsed()));
                     let prompt = format!("the mesh of net {number} at {entry}");
                     let reply = deployment.complete(&entry, "model-00", &prompt);
@@ -145,21 +146,23 @@
 }
 
 fn predict(prefixes: usize, rate: f64) {
-    let sample = membership::measure(&TODAY, prefixes);
-    let near = (TODAY.nodes - TODAY.keepers) / TODAY.regions;
-    let report = demand::measure(&TODAY, near, (rate * near as f64).max(1.0)).report;
-    let reports = report * (near - 1) as f64;
-    let (ask, answer) = configuration::ask_bytes();
+    let sample = membership::measure(&CURRENT_SCALE, prefixes);
+    let region_entries = (CURRENT_SCALE.nodes - CURRENT_SCALE.keepers) / CURRENT_SCALE.regions;
+    let report =
+        demand::measure(&CURRENT_SCALE, region_entries, (rate * region_entries as f64).max(1.0))
+            .report;
+    let reports = report * (region_entries - 1) as f64;
+    let (request, response) = configuration::update_request_bytes();
     let batches = rate.min(5.0);
     let requests = if batches > 0.0 { (rate / batches).round() as u64 } else { 0 };
     let records = batches * replication::batch_bytes(requests.max(1)) as f64;
     println!(
         "predicted at {rate} requests/s: entry sent {:.0} B/s, received {:.0} B/s",
-        sample.entry.sent + reports + ask as f64 + records,
-        sample.entry.received + reports + answer as f64 + batches * 60.0
+        sample.entry.sent + reports + request as f64 + records,
+        sample.entry.received + reports + response as f64 + batches * 60.0
     );
     println!(
-        "  of it membership {:.0} and {:.0}, demand {reports:.0} and {reports:.0}, records \
+        "  of which membership {:.0} and {:.0}, demand {reports:.0} and {reports:.0}, records \
          {records:.0}; speaker sent {:.0}, received {:.0} of membership; keeper sent {:.0}, \
          received {:.0} of membership",
         sample.entry.sent,
@@ -174,14 +177,14 @@
 pub fn measure() {
     let deployment = deployment().start();
     deployment.configure(items());
-    let each = TODAY.engines / TODAY.zones;
+    let each = CURRENT_SCALE.engines / CURRENT_SCALE.zones;
     for it in deployment.instances.iter().filter(|it| it.is_entry) {
         deployment.wait_upstreams(&it.id, each);
     }
     thread::sleep(Duration::from_secs(3));
-    observe(&deployment, "idle", || thread::sleep(WINDOW));
+    measure_during(&deployment, "idle", || thread::sleep(MEASURED_TIME));
     predict(0, 0.0);
     let deployment = Arc::new(deployment);
-    observe(&deployment, "loaded", || send_load(&deployment));
-    predict(1, RATE);
+    measure_during(&deployment, "loaded", || send_load(&deployment));
+    predict(1, REQUESTS_PER_SECOND);
 }
--- a/benches/capacity/replication.rs
+++ b/benches/capacity/replication.rs
@@ -1,4 +1,4 @@
-//! Replication groups without load, and the records of requests that a home group takes.
+//! Measures idle replication groups, and the size of the request records that a home group stores.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -18,21 +18,21 @@
 
 use crate::wire;
 
-/// Heartbeat of the configuration group.
-const HEARTBEAT: Duration = Duration::from_millis(250);
-/// Ticks between two reads by which its leader confirms the newest revision.
-const READ_TICKS: u32 = 25;
+/// Heartbeat interval of the configuration group.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// Ticks between two reads by which the leader confirms the newest revision.
+const READ_INTERVAL_TICKS: u32 = 25;
 const TICK: Duration = Duration::from_millis(20);
-const WARM_UP: u32 = 500;
-const TICKS: u32 = 1_000;
+const WARM_UP_TICKS: u32 = 500;
+const MEASURED_TICKS: u32 = 1_000;
 
-/// Bytes and messages a second.
+/// Bytes and messages per second of a leader and of one follower.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Sample {
     pub leader: f64,
     pub follower: f64,
     pub leader_messages: f64,
-    /// Share of a core at the leader and its followers together.
+    /// Share of a core that the leader and its followers use together.
     pub processor: f64,
 }
 
@@ -40,12 +40,12 @@
     id(&format!("keeper-{number:03}"))
 }
 
-/// A group of `voters` without a proposal.
+/// Simulates a group of `voters` without proposals.
 pub fn measure(voters: usize) -> Sample {
     let replica = |number: usize| {
         let key = MemberKey { id: instance(number), storage: StorageId(u64::MAX - number as u64) };
         let config = Config::new(key, (0..voters).map(instance).collect());
-        let config = config.with_heartbeat_interval(HEARTBEAT);
+        let config = config.with_heartbeat_interval(HEARTBEAT_INTERVAL);
         Replica::new(config, StoredState::default(), number as u64, Time::ZERO)
     };
     let mut replicas: Vec<Replica> = (0..voters).map(replica).collect();
@@ -53,14 +53,14 @@
     let mut messages = vec![0.0; voters];
     let mut processor = 0.0;
     let keys = wire::keys();
-    for tick in 0..WARM_UP + TICKS {
-        if tick == WARM_UP {
+    for tick in 0..WARM_UP_TICKS + MEASURED_TICKS {
+        if tick == WARM_UP_TICKS {
             processor = wire::processor_seconds();
         }
         let now = Time::ZERO + TICK * tick;
         let mut events: VecDeque<(usize, Event)> =
             (0..voters).map(|it| (it, Event::Tick)).collect();
-        if tick.is_multiple_of(READ_TICKS) {
+        if tick.is_multiple_of(READ_INTERVAL_TICKS) {
             let leader = (0..voters).find(|it| replicas[*it].role() == Role::Leader);
             events.extend(leader.map(|it| (it, Event::Read { ticket: u64::from(tick) })));
         }
@@ -76,10 +76,10 @@
                         let sent = Message::Replication { group, message };
                         let envelope = wire::envelope(&instance(at), &to, sent);
                         let frame = frame::encode(&keys, &envelope).expect("a frame");
-                        if tick >= WARM_UP {
-                            for place in [at, receiver] {
-                                bytes[place] += frame.len() as f64;
-                                messages[place] += 1.0;
+                        if tick >= WARM_UP_TICKS {
+                            for index in [at, receiver] {
+                                bytes[index] += frame.len() as f64;
+                                messages[index] += 1.0;
                             }
                         }
                         let decoded = frame::decode(&keys, &to, &frame).expect("a frame");
@@ -98,7 +98,7 @@
             }
         }
     }
-    let seconds = (TICK * TICKS).as_secs_f64();
+    let seconds = (TICK * MEASURED_TICKS).as_secs_f64();
     let leader = (0..voters).find(|it| replicas[*it].role() == Role::Leader).expect("a leader");
     let others = bytes.iter().sum::<f64>() - bytes[leader];
     Sample {
@@ -109,7 +109,7 @@
     }
 }
 
-/// The record of a request as it is sent when it was taken in, and when it has ended.
+/// The two records of a request: one sent when it is received, one when it has ended.
 pub fn records(sequence: u64) -> [RequestRecord; 2] {
     let request = RequestId {
         region: id("region-3"),
@@ -118,8 +118,8 @@
         sequence,
     };
     let step = |millis: u64, stage| TimelineEntry { after: Duration::from_millis(millis), stage };
-    let begun = vec![step(0, Stage::Received { instance: id("entry-117") })];
-    let mut ended = begun.clone();
+    let received = vec![step(0, Stage::Received { instance: id("entry-117") })];
+    let mut ended = received.clone();
     ended.push(step(1, Stage::Sent { upstream: id("engine-344") }));
     ended.push(step(700, Stage::FirstByte));
     let outcome = Outcome::Answered;
@@ -131,10 +131,10 @@
         outcome,
         timeline,
     };
-    [record(None, begun), record(Some(outcome), ended)]
+    [record(None, received), record(Some(outcome), ended)]
 }
 
-/// Frame of a batch with the records of so many requests, both of each.
+/// Size of the frame of a batch with both records of each of `requests` requests.
 pub fn batch_bytes(requests: u64) -> usize {
     let batch = (0..requests).flat_map(|it| records(1_000_000 + it)).collect();
     let request = GroupRequest::Act(home::Action::Records(batch));
@@ -145,7 +145,7 @@
     })
 }
 
-/// Frame that replicates such a batch to one follower.
+/// Size of the frame that replicates such a batch to one follower.
 pub fn append_bytes(requests: u64) -> usize {
     let batch = (0..requests).flat_map(|it| records(1_000_000 + it)).collect();
     let elapsed = Duration::from_millis(5);
--- a/benches/capacity/wire.rs
+++ b/benches/capacity/wire.rs
@@ -1,4 +1,4 @@
-//! Frames as processes exchange them, and what the process itself uses.
+//! Frames as processes exchange them, and the resource use of the benchmark's own process.
 
 use std::fs;
 
@@ -17,13 +17,13 @@
     Envelope { from: from.clone(), to: to.clone(), message }
 }
 
-/// Length of the frame of a message between two instances with names of usual length.
+/// Size in bytes of the frame of a message between two instances with ids of typical length.
 pub fn frame_bytes(message: Message) -> usize {
     let (from, to) = (test_support::id("entry-001"), test_support::id("entry-002"));
     frame::encode(&keys(), &envelope(&from, &to, message)).expect("a frame").len()
 }
 
-fn status(name: &str) -> f64 {
+fn status_value(name: &str) -> f64 {
     let text = fs::read_to_string("/proc/self/status").expect("the status of the process");
     let line = text.lines().find(|it| it.starts_with(name)).expect("a field of the status");
     let value = line.split_whitespace().nth(1).and_then(|it| it.parse().ok());
@@ -31,11 +31,11 @@
 }
 
 pub fn resident_bytes() -> f64 {
-    status("VmRSS:") * 1_024.0
+    status_value("VmRSS:") * 1_024.0
 }
 
-pub fn threads() -> f64 {
-    status("Threads:")
+pub fn thread_count() -> f64 {
+    status_value("Threads:")
 }
 
 /// Processor time of this process in seconds, with a resolution of 10 ms.
