--- a/src/standin/completions.rs
+++ b/src/standin/completions.rs
@@ -130,7 +130,7 @@
     fault: AnswerFault,
 ) -> Option<Answer> {
     if fault.refused {
-        let message = "refused by an injected fault";
+        let message = "refused on purpose";
         return Some(refusal(StatusCode::SERVICE_UNAVAILABLE, "not_started", message));
     }
     let model = completion.model.as_str();
@@ -215,8 +215,7 @@
 }
 
 fn cancelled(id: &str) -> Bytes {
-    let error =
-        json!({"id": id, "error": {"code": "cancelled", "message": "the stream was cancelled"}});
+    let error = json!({"id": id, "error": {"code": "cancelled", "message": "it was cancelled"}});
     Bytes::from(format!("event: error\ndata: {error}\n\n"))
 }
 
--- a/src/standin/orders.rs
+++ b/src/standin/orders.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum OrderError {
     /// A newer order, or another one with the same fencing token, was accepted before.
-    #[error("the fencing token {old} of the order is not above {newest}")]
+    #[error("the order's fencing number {old} is not above {newest}")]
     Stale {
         /// Fencing token of the refused order.
         old: FencingToken,
@@ -20,7 +20,7 @@
         newest: FencingToken,
     },
     /// The order addresses another incarnation.
-    #[error("the order is for incarnation {addressed}, but this is incarnation {own}")]
+    #[error("the order is meant for incarnation {addressed}, this is {own}")]
     Incarnation {
         /// Incarnation that the order addresses.
         addressed: Incarnation,
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -41,7 +41,7 @@
         return Err(ConnectionAborted);
     }
     if fault.refused {
-        let message = "refused by an injected fault";
+        let message = "refused on purpose";
         return Ok(with_request_id(
             refusal(StatusCode::SERVICE_UNAVAILABLE, "not_started", message),
             &id,
