--- a/crates/medlarlug-core/tests/testsuite/home_limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/home_limits.rs
@@ -243,9 +243,7 @@
 fn services_are_queried_only_for_unknown_outcomes_and_for_a_limited_time() {
     let mut group = founded(true);
     let queryable = |key: &str| Begin { queryable_service: Some(id("jobdesk")), ..begin(key, 3) };
-    for it in
-        [queryable("lost"), queryable("resolved"), queryable("done"), begin("not-queryable", 3)]
-    {
+    for it in [queryable("lost"), queryable("settled"), queryable("done"), begin("unaskable", 3)] {
         reply_to(&mut group, it);
     }
     finish(&mut group, &begin("done", 3), b"booked");
@@ -257,7 +255,7 @@
     let open = queried(&group);
     apply(&mut group, Duration::ZERO, Action::InstanceDead { instance, incarnation });
     let lost = queried(&group);
-    let Begin { team, key, request, .. } = begin("resolved", 3);
+    let Begin { team, key, request, .. } = begin("settled", 3);
     let answer =
         RecordedAnswer { status: 200, content_type: "text/plain".into(), body: Body::of(b"") };
     apply(&mut group, Duration::ZERO, Action::ResolveOutcome { team, key, request, answer });
@@ -265,7 +263,7 @@
     apply(&mut group, OUTCOME_QUERY_PERIOD + Duration::from_secs(1), Action::Tick);
 
     assert!(open.is_empty());
-    assert_eq!(lost, ["lost", "resolved"]);
+    assert_eq!(lost, ["lost", "settled"]);
     assert_eq!(resolved, ["lost"]);
     assert!(queried(&group).is_empty());
 }
