--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -2,9 +2,9 @@
 //!
 //! `cargo bench --bench capacity` prints every slope with its fit and draws
 //! `docs/plots/capacity.svg`; `-- membership`, `demand`, `configuration`, `replication`, `records`,
-//! `links` and `processes` select parts and draw nothing. Except in `processes`, the real
-//! cores and codecs run in this process. Bytes are whole frames, sent plus received, without the headers of nng, TCP and IP.
-//! Processor time is that of the benchmark's single thread and includes its driver.
+//! `links` and `processes` select parts and draw nothing. Except in `processes`, the real cores and
+//! codecs run in this process. Bytes are whole frames, sent plus received, without the headers of
+//! nng, TCP and IP. Processor time is that of the benchmark's single thread and includes its driver.
 
 mod configuration;
 mod demand;
--- a/benches/routing/main.rs
+++ b/benches/routing/main.rs
@@ -1,9 +1,10 @@
 //! Compares the routing core with a naive router in a simulation of two deployments.
 //!
 //! A seeded event loop drives the membership and routing cores over the stand-in's model of
-//! batching and prefix caching. It prints one table. A run of all scenarios with the default seeds
-//! also draws `docs/plots/routing.svg`, the plot of the documentation. Arguments: seeds to pool in place of the default ones, and
-//! names of the scenarios to run, as in `cargo bench --bench routing -- 11 12 "slow idle"`.
+//! batching and prefix caching. It prints one table. A run of all scenarios with the default
+//! seeds, which are those that the page shows, also draws `docs/plots/routing.svg`. Arguments: seeds
+//! to pool in place of the default ones, and names of the scenarios to run, as in
+//! `cargo bench --bench routing -- 11 12 "slow idle"`.
 
 mod decision;
 mod deployment;
--- a/crates/test-support/src/deployment/mod.rs
+++ b/crates/test-support/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! A deployment of real processes on loopback, for tests that need more than the cores.
+//! A deployment of real processes on loopback, for tests of behavior that only processes show.
 //!
 //! Processes are started and stopped by the test only; nothing restarts them. They are killed
 //! when the deployment is dropped.
--- a/crates/test-support/src/signals.rs
+++ b/crates/test-support/src/signals.rs
@@ -36,7 +36,8 @@
     }
 }
 
-/// Whether every thread of a process is stopped or has exited; true for a process that is gone.
+/// Whether every thread of a process is stopped or has exited; true for a process that
+/// no longer exists.
 pub fn is_stopped(id: u32) -> bool {
     let Ok(tasks) = fs::read_dir(format!("/proc/{id}/task")) else { return true };
     let states = tasks.flatten().filter_map(|it| fs::read_to_string(it.path().join("stat")).ok());
