--- a/crates/medlarlug-core/src/gateway/patience.rs
+++ b/crates/medlarlug-core/src/gateway/attempt_timeout.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::silence::StreamSource;
+use crate::gateway::stream_timeout::StreamSource;
 
 /// Timeout as a multiple of the predicted wait; predictions are rarely off by more.
 const PREDICTION_FACTOR: u32 = 4;
@@ -42,8 +42,8 @@
 /// ```
 /// use std::time::Duration;
 /// use medlarlug_core::gateway::{
-///     patience::{Attempt, first_token_timeout},
-///     silence::StreamSource,
+///     attempt_timeout::{Attempt, first_token_timeout},
+///     stream_timeout::StreamSource,
 /// };
 ///
 /// let second = Duration::from_secs(1);
--- a/crates/medlarlug-core/src/gateway/cold.rs
+++ b/crates/medlarlug-core/src/gateway/cold.rs
@@ -2,14 +2,14 @@
 //!
 //! The limit holds for all entry instances together. Instances that see the same peers agree on a
 //! single sender for each cold upstream, the instance with the highest rendezvous rank for it. It
-//! sends only while its [`view`](super::view) is settled. Behind a network partition, after a
-//! freeze or a start, and while keepers are down, a cold upstream gets no requests and becomes warm
-//! by itself.
+//! sends only while its [`keeper_view`](super::keeper_view) is settled. Behind a network partition,
+//! after a freeze or a start, and while keepers are down, a cold upstream gets no requests and
+//! becomes warm by itself.
 
 use std::time::Duration;
 
 use crate::{
-    gateway::{placing::rendezvous_rank, upstreams::KnownUpstream},
+    gateway::{placement::rendezvous_rank, upstreams::KnownUpstream},
     ids::{InstanceId, UpstreamId, ZoneId},
     time::Time,
 };
--- a/crates/medlarlug-core/src/gateway/health.rs
+++ b/crates/medlarlug-core/src/gateway/health.rs
@@ -2,7 +2,7 @@
 //!
 //! An upstream that refuses calls or can't be reached is avoided for a time that doubles with each
 //! further failure. An upstream that answers but fails some of its calls is not avoided: its
-//! failure rate adds to its cost in [`placing`](super::placing), so that it is used last.
+//! failure rate adds to its cost in [`placement`](super::placement), so that it is used last.
 
 use std::time::Duration;
 
--- a/crates/medlarlug-core/src/gateway/view.rs
+++ b/crates/medlarlug-core/src/gateway/keeper_view.rs
@@ -9,7 +9,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use crate::{gateway::stall::StallDetector, time::Time};
+use crate::{gateway::stall_detector::StallDetector, time::Time};
 
 /// Number of keepers that send an instance the heartbeats of the others.
 pub const KEEPER_SOURCES: usize = 2;
--- a/crates/medlarlug-core/src/gateway/load_exchange.rs
+++ b/crates/medlarlug-core/src/gateway/load_exchange.rs
@@ -16,7 +16,7 @@
 
 use std::time::Duration;
 
-use crate::{gateway::placing::rendezvous_rank, ids::InstanceId, ids::ZoneId};
+use crate::{gateway::placement::rendezvous_rank, ids::InstanceId, ids::ZoneId};
 
 /// Maximum number of entry instances in a region in which each reports to all others.
 const MAX_DIRECT_INSTANCES: usize = 8;
--- a/crates/medlarlug-core/src/gateway/refusing.rs
+++ b/crates/medlarlug-core/src/gateway/load_shedding.rs
@@ -58,7 +58,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::refusing::{CallForecast, Verdict, decide};
+/// use medlarlug_core::gateway::load_shedding::{CallForecast, Verdict, decide};
 ///
 /// let second = Duration::from_secs(1);
 /// let forecast = CallForecast {
--- a/crates/medlarlug-core/src/gateway/mod.rs
+++ b/crates/medlarlug-core/src/gateway/mod.rs
@@ -7,32 +7,33 @@
 //!
 //! Upstreams announce themselves to the keepers, which forward the announcements to every entry
 //! instance. [`upstreams`] orders announcements by incarnation and sequence number. An entry
-//! instance picks an upstream by [`placing`], using the in-flight load that the other instances of
+//! instance picks an upstream by [`placement`], using the in-flight load that the other instances of
 //! its region report ([`load_exchange`], [`peer_loads`]). It limits requests to upstreams that have
-//! just started ([`cold`]), retries calls within the [`budget`] of their service, and avoids
+//! just started ([`cold`]), retries calls within the [`retry_budget`] of their service, and avoids
 //! upstreams that [`health`] found broken. Where an upstream limits the requests of all instances
-//! together ([`named_limits`]), they share the limit through [`allotment`]. [`contacts`] tracks the
-//! instances of the system itself, and [`view`] tells whether an instance sees enough of the others
-//! to act on its share of a common limit. [`stall`] detects that a process was stalled.
+//! together ([`upstream_limits`]), they share the limit through [`permits`]. [`contacts`] tracks the
+//! instances of the system itself, and [`keeper_view`] tells whether an instance sees enough of the
+//! others to act on its share of a common limit. [`stall_detector`] detects that a process was
+//! stalled.
 
-pub mod allotment;
+pub mod attempt_timeout;
 pub mod availability;
-pub mod away;
-pub mod budget;
 pub mod cold;
 pub mod contacts;
 pub mod handover;
 pub mod health;
+pub mod keeper_view;
 pub mod load_exchange;
-pub mod named_limits;
-pub mod patience;
+pub mod load_shedding;
 pub mod peer_loads;
-pub mod placing;
+pub mod permits;
+pub mod placement;
+pub mod prefill_queue;
 pub mod publication;
-pub mod refusing;
-pub mod silence;
-pub mod stall;
+pub mod remote_region;
+pub mod retry_budget;
+pub mod stall_detector;
+pub mod stream_timeout;
 pub mod table;
-pub mod turns;
+pub mod upstream_limits;
 pub mod upstreams;
-pub mod view;
--- a/crates/medlarlug-core/src/gateway/allotment.rs
+++ b/crates/medlarlug-core/src/gateway/permits.rs
@@ -11,14 +11,14 @@
 //! single instance that sends alone, as to cold upstreams, serves only the callers that happen to
 //! use it.
 //!
-//! An instance whose [`view`](super::view) is not settled grants permits to itself, at an equal
-//! share of the rate. Such instances start at a random point of their interval, so that they don't
-//! send at the same time.
+//! An instance whose [`keeper_view`](super::keeper_view) is not settled grants permits to itself, at
+//! an equal share of the rate. Such instances start at a random point of their interval, so that
+//! they don't send at the same time.
 
 use std::{collections::VecDeque, time::Duration};
 
 use crate::{
-    gateway::{named_limits::UpstreamLimit, upstreams::Birth},
+    gateway::{upstream_limits::UpstreamLimit, upstreams::Birth},
     ids::{InstanceId, UpstreamId},
     time::Time,
 };
--- a/crates/medlarlug-core/src/gateway/placing.rs
+++ b/crates/medlarlug-core/src/gateway/placement.rs
@@ -12,10 +12,10 @@
 //! and calls that share a part stay on the engine that every instance ranks highest for it, until
 //! the wait there is well above the cost of recomputing the part elsewhere. A long queue of prompts
 //! stalls the streams of its engine, so it costs more than the time that it takes, and long prompts
-//! are admitted to an engine one at a time, see [`turns`](super::turns).
+//! are admitted to an engine one at a time, see [`prefill_queue`](super::prefill_queue).
 //!
 //! This handles load that is high but sustainable. What to do when no upstream can serve a call in
-//! time is decided by [`refusing`](super::refusing).
+//! time is decided by [`load_shedding`](super::load_shedding).
 
 use std::time::Duration;
 
@@ -245,7 +245,7 @@
     /// of entry instances that send to the same upstreams, this one included.
     ///
     /// ```
-    /// use medlarlug_core::{gateway::placing::*, time::Time};
+    /// use medlarlug_core::{gateway::placement::*, time::Time};
     ///
     /// let id = "engine-1".parse().unwrap();
     /// let only = Candidate {
--- a/crates/medlarlug-core/src/gateway/turns.rs
+++ b/crates/medlarlug-core/src/gateway/prefill_queue.rs
@@ -41,7 +41,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::turns::{PrefillDecision, decide};
+/// use medlarlug_core::gateway::prefill_queue::{PrefillDecision, decide};
 ///
 /// let objective = Duration::from_secs(1);
 /// assert_eq!(decide(true, Duration::ZERO, objective, 1), PrefillDecision::Send);
--- a/crates/medlarlug-core/src/gateway/away.rs
+++ b/crates/medlarlug-core/src/gateway/remote_region.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::placing::{Demand, PREFILL_TOKENS_PER_MS};
+use crate::gateway::placement::{Demand, PREFILL_TOKENS_PER_MS};
 
 /// Prompt tokens of the call for which a region reports the wait.
 pub const REFERENCE_PROMPT_TOKENS: u32 = 2_000;
@@ -41,7 +41,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::{away::{RemoteService, predicted_cost}, placing::Demand};
+/// use medlarlug_core::gateway::{placement::Demand, remote_region::{RemoteService, predicted_cost}};
 ///
 /// let reported_wait = Duration::from_millis(80);
 /// let service = RemoteService { reported_wait, pending_tokens: 0, upstreams: 4 };
--- a/crates/medlarlug-core/src/gateway/budget.rs
+++ b/crates/medlarlug-core/src/gateway/retry_budget.rs
@@ -5,8 +5,8 @@
 //! itself, so this part of the sum holds whichever instances freeze, join or are cut off.
 //!
 //! The allowance is divided by the largest number of entry instances that were ever known, and an
-//! instance gets its share once its [`view`](super::view) has been complete. Half of the allowance
-//! is never granted.
+//! instance gets its share once its [`keeper_view`](super::keeper_view) has been complete. Half of
+//! the allowance is never granted.
 //!
 //! What an instance has spent is lost when it restarts. Its successor makes no retries until a
 //! window has passed, so that no window contains retries of both processes.
@@ -140,7 +140,7 @@
 /// sent. A payment for a request that reached no upstream is kept for the next one.
 ///
 /// ```
-/// use medlarlug_core::gateway::budget::Spending;
+/// use medlarlug_core::gateway::retry_budget::Spending;
 ///
 /// let mut spending = Spending::default();
 /// assert!(spending.is_covered());
--- a/crates/medlarlug-core/src/gateway/stall.rs
+++ b/crates/medlarlug-core/src/gateway/stall_detector.rs
@@ -13,7 +13,7 @@
 /// Detects stalls by the time between two ticks of a loop.
 ///
 /// ```
-/// use medlarlug_core::{gateway::stall::StallDetector, time::Time};
+/// use medlarlug_core::{gateway::stall_detector::StallDetector, time::Time};
 /// use std::time::Duration;
 ///
 /// let mut stall = StallDetector::new(Duration::from_millis(300));
--- a/crates/medlarlug-core/src/gateway/silence.rs
+++ b/crates/medlarlug-core/src/gateway/stream_timeout.rs
@@ -33,7 +33,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::silence::{StreamSource, idle_timeout};
+/// use medlarlug_core::gateway::stream_timeout::{StreamSource, idle_timeout};
 ///
 /// let pause = Duration::from_millis(600);
 /// assert_eq!(idle_timeout(StreamSource::Upstream, pause, true), Some(pause * 3));
--- a/crates/medlarlug-core/src/gateway/named_limits.rs
+++ b/crates/medlarlug-core/src/gateway/upstream_limits.rs
@@ -6,7 +6,7 @@
 //! limit ends the limit only if its request was sent after the limit was last named, and an answer
 //! to an older request can lower a limit but not raise it.
 //!
-//! Instances of a region notify each other of changes. [`allotment`](super::allotment) divides a
+//! Instances of a region notify each other of changes. [`permits`](super::permits) divides a
 //! limit among them.
 
 use std::{fmt, str::FromStr};
@@ -27,7 +27,7 @@
 /// Requests per second that an upstream accepts from all entry instances together.
 ///
 /// ```
-/// use medlarlug_core::gateway::named_limits::UpstreamLimit;
+/// use medlarlug_core::gateway::upstream_limits::UpstreamLimit;
 ///
 /// assert_eq!("1.7".parse::<UpstreamLimit>().unwrap().to_string(), "1.7/s");
 /// assert_eq!("0".parse::<UpstreamLimit>().unwrap(), UpstreamLimit::MIN);
@@ -110,7 +110,7 @@
 ///
 /// ```
 /// use medlarlug_core::{
-///     gateway::{named_limits::{UpstreamLimits, LimitHeader}, upstreams::Birth},
+///     gateway::{upstream_limits::{UpstreamLimits, LimitHeader}, upstreams::Birth},
 ///     time::Time,
 /// };
 ///
--- a/crates/medlarlug-core/src/membership/mod.rs
+++ b/crates/medlarlug-core/src/membership/mod.rs
@@ -13,7 +13,6 @@
 //! Instances watch each other by heartbeats. An unresponsive connection is first replaced by a new
 //! one. An instance counts as dead only when the new connection is unresponsive as well.
 
-pub mod awaited;
 mod core;
 mod dead_peers;
 pub mod dump;
@@ -21,6 +20,7 @@
 pub mod load;
 pub mod message;
 pub mod peers;
+pub mod pending_responses;
 mod query;
 mod speaker;
 pub mod summary;
@@ -34,7 +34,6 @@
     ids::{Incarnation, InstanceId, RegionId, UpstreamId, ZoneId},
 };
 
-pub use awaited::PendingResponses;
 pub use core::Membership;
 pub use dump::MembershipDump;
 pub use message::{
@@ -42,6 +41,7 @@
     UpstreamKey, UpstreamUpdate, ZoneUpdate,
 };
 pub use peers::{Peer, PeerState};
+pub use pending_responses::PendingResponses;
 pub use query::EntryView;
 pub use summary::{QueueTime, Sketch, Target, TargetSummary};
 pub use timing::TICK;
--- a/crates/medlarlug-core/src/routing/dump.rs
+++ b/crates/medlarlug-core/src/routing/dump.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     ids::{UpstreamId, ZoneId},
-    routing::{learned::DestinationStats, router::Router},
+    routing::{destination_stats::DestinationStats, router::Router},
     time::Time,
 };
 
--- a/crates/medlarlug-core/src/routing/local.rs
+++ b/crates/medlarlug-core/src/routing/local.rs
@@ -11,7 +11,7 @@
     membership::{Target, Upstream},
     release::Configuration,
     routing::{
-        learned::DestinationStats,
+        destination_stats::DestinationStats,
         predict::{Prediction, predict},
         request::RequestFacts,
         residency::Permit,
--- a/crates/medlarlug-core/src/routing/mod.rs
+++ b/crates/medlarlug-core/src/routing/mod.rs
@@ -12,8 +12,8 @@
 //! * [`router`]: the core that decides and keeps statistics.
 
 mod affinity;
+mod destination_stats;
 pub mod dump;
-mod learned;
 mod local;
 mod predict;
 mod refusal;
--- a/crates/medlarlug-core/src/routing/predict.rs
+++ b/crates/medlarlug-core/src/routing/predict.rs
@@ -5,7 +5,7 @@
         Upstream,
         load::{PREFILL_TOKENS_PER_SECOND, slot_time},
     },
-    routing::{learned::DestinationStats, request::RequestFacts},
+    routing::{destination_stats::DestinationStats, request::RequestFacts},
     time::Time,
     units::Tokens,
 };
--- a/crates/medlarlug-core/src/routing/remote.rs
+++ b/crates/medlarlug-core/src/routing/remote.rs
@@ -8,7 +8,7 @@
     ids::ZoneId,
     membership::{Row, load::PREFILL_TOKENS_PER_SECOND},
     routing::{
-        learned::DestinationStats,
+        destination_stats::DestinationStats,
         local::within_deadline,
         request::{CallerRequest, RequestFacts},
         residency::Permit,
--- a/crates/medlarlug-core/src/routing/router.rs
+++ b/crates/medlarlug-core/src/routing/router.rs
@@ -11,7 +11,7 @@
     release::Configuration,
     routing::{
         affinity::Affinity,
-        learned::DestinationStats,
+        destination_stats::DestinationStats,
         request::{CallerRequest, ForwardedRequest, RequestFacts},
         residency::ConfigurationLease,
         route::{AuthorizedForward, AuthorizedRoute, Choice, Refusal, Route},
--- a/crates/medlarlug-core/src/suspects/trials.rs
+++ b/crates/medlarlug-core/src/suspects/trials.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     fingerprint::Fingerprint,
-    gateway::placing::rendezvous_rank,
+    gateway::placement::rendezvous_rank,
     ids::InstanceId,
     suspects::{FACT_LIFETIME, QUARANTINE_LIFETIME},
     time::Time,
--- a/crates/medlarlug-core/tests/testsuite/gateway/patience.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/attempt_timeout.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use medlarlug_core::gateway::{
-    patience::{Attempt, first_token_timeout},
-    silence::StreamSource,
+    attempt_timeout::{Attempt, first_token_timeout},
+    stream_timeout::StreamSource,
 };
 
 fn attempt() -> Attempt {
--- a/crates/medlarlug-core/tests/testsuite/gateway/view.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/keeper_view.rs
@@ -5,8 +5,8 @@
 use medlarlug_core::{
     gateway::{
         cold::{ColdDetector, Observations, ProcessTimes},
+        keeper_view::KeeperView,
         upstreams::Upstreams,
-        view::KeeperView,
     },
     time::Time,
 };
--- a/crates/medlarlug-core/tests/testsuite/gateway/limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/limits.rs
@@ -5,11 +5,11 @@
 
 use medlarlug_core::{
     gateway::{
-        budget::{InstanceShare, RetryBounds, RetryWindow, Spending},
         cold::{
             ColdDetector, ColdSendPacer, Evacuations, Observations, ProcessTimes, designated_sender,
         },
         health::{HealthTracker, UpstreamOutcome},
+        retry_budget::{InstanceShare, RetryBounds, RetryWindow, Spending},
         upstreams::Upstreams,
     },
     ids::{InstanceId, ZoneId},
--- a/crates/medlarlug-core/tests/testsuite/gateway/refusing.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/load_shedding.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use assert_matches::assert_matches;
-use medlarlug_core::gateway::refusing::{CallForecast, Verdict, decide};
+use medlarlug_core::gateway::load_shedding::{CallForecast, Verdict, decide};
 
 fn forecast(wait_ms: Option<u64>, left_ms: u64) -> CallForecast {
     CallForecast {
--- a/crates/medlarlug-core/tests/testsuite/gateway/allotment.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/permits.rs
@@ -4,8 +4,8 @@
 
 use medlarlug_core::{
     gateway::{
-        allotment::{PERMIT_LIFETIME, PermitAllocator, PermitRate, PermitRequest, Permits},
-        named_limits::UpstreamLimit,
+        permits::{PERMIT_LIFETIME, PermitAllocator, PermitRate, PermitRequest, Permits},
+        upstream_limits::UpstreamLimit,
         upstreams::Birth,
     },
     ids::{InstanceId, UpstreamId},
--- a/crates/medlarlug-core/tests/testsuite/gateway/turns.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/prefill_queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use medlarlug_core::{
-    gateway::turns::{PrefillDecision, QueueWaits, decide},
+    gateway::prefill_queue::{PrefillDecision, QueueWaits, decide},
     time::Time,
 };
 
--- a/crates/medlarlug-core/tests/testsuite/gateway/away.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/remote_region.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use medlarlug_core::gateway::{
-    away::{RemoteService, predicted_cost},
-    placing::{Demand, PromptPart},
+    placement::{Demand, PromptPart},
+    remote_region::{RemoteService, predicted_cost},
 };
 
 const REPORTED_WAIT: Duration = Duration::from_millis(50);
--- a/crates/medlarlug-core/tests/testsuite/gateway/stall.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/stall_detector.rs
@@ -5,7 +5,7 @@
 use medlarlug_core::{
     gateway::{
         cold::{ColdDetector, Observations, ProcessTimes},
-        stall::StallDetector,
+        stall_detector::StallDetector,
         upstreams::{Upstream, Upstreams},
     },
     time::Time,
--- a/crates/medlarlug-core/tests/testsuite/gateway/silence.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/stream_timeout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use medlarlug_core::gateway::silence::{StreamSource, idle_timeout};
+use medlarlug_core::gateway::stream_timeout::{StreamSource, idle_timeout};
 
 const PAUSE: Duration = Duration::from_millis(600);
 
--- a/crates/medlarlug-core/tests/testsuite/gateway/named_limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/upstream_limits.rs
@@ -2,7 +2,7 @@
 
 use medlarlug_core::{
     gateway::{
-        named_limits::{LimitHeader, UpstreamLimit, UpstreamLimits},
+        upstream_limits::{LimitHeader, UpstreamLimit, UpstreamLimits},
         upstreams::Birth,
     },
     ids::UpstreamId,
--- a/crates/medlarlug-gateway/src/entry/attempt.rs
+++ b/crates/medlarlug-gateway/src/entry/attempt.rs
@@ -14,7 +14,7 @@
         availability::Backoff,
         handover::{Attempts, HandoverReport},
         health::UpstreamOutcome,
-        placing::Choice,
+        placement::Choice,
         table::RouteKind,
         upstreams::Birth,
     },
--- a/crates/medlarlug-gateway/src/entry/choice.rs
+++ b/crates/medlarlug-gateway/src/entry/choice.rs
@@ -6,11 +6,11 @@
 use medlarlug_core::{
     gateway::{
         availability::Availability,
-        away,
         cold::{self, ANNOUNCEMENT_LIFETIME, ProcessTimes},
         contacts::Contact,
-        placing::{Candidate, Choice, Demand},
-        silence::StreamSource,
+        placement::{Candidate, Choice, Demand},
+        remote_region,
+        stream_timeout::StreamSource,
         table::{Route, RouteTable, ServiceName},
         upstreams::{Birth, KnownUpstream, UpstreamState},
     },
@@ -291,8 +291,8 @@
             let reported_wait = Duration::from_millis(waits[at.ok()?].wait_ms.into());
             let pending_tokens = self.forwarded_tokens(region);
             let upstreams = self.upstreams_in(region, service);
-            Some(away::predicted_cost(
-                away::RemoteService { reported_wait, pending_tokens, upstreams },
+            Some(remote_region::predicted_cost(
+                remote_region::RemoteService { reported_wait, pending_tokens, upstreams },
                 demand,
             ))
         };
--- a/crates/medlarlug-gateway/src/entry/limited.rs
+++ b/crates/medlarlug-gateway/src/entry/limited.rs
@@ -1,7 +1,7 @@
 //! Upstreams that name a limit on the rate of requests from all entry instances together.
 //!
 //! An instance that receives a limit sends it to all instances of the region, and each request to
-//! such an upstream uses a permit; see [`medlarlug_core::gateway::allotment`]. Permit requests,
+//! such an upstream uses a permit; see [`medlarlug_core::gateway::permits`]. Permit requests,
 //! grants and limits travel as datagrams. A lost permit request or grant is made up for by the next
 //! request, a lost limit by the next answer of the upstream.
 
@@ -15,9 +15,9 @@
 use hyper::{HeaderMap, header::HeaderName};
 use medlarlug_core::{
     gateway::{
-        allotment::{PermitAllocator, PermitGrant, PermitRate, PermitRequest, Permits},
         cold,
-        named_limits::{LimitError, LimitHeader, UpstreamLimit, UpstreamLimits},
+        permits::{PermitAllocator, PermitGrant, PermitRate, PermitRequest, Permits},
+        upstream_limits::{LimitError, LimitHeader, UpstreamLimit, UpstreamLimits},
         upstreams::{Birth, KnownUpstream},
     },
     ids::{InstanceId, UpstreamId},
@@ -28,7 +28,7 @@
 use tokio::{net::UdpSocket, sync::Notify, time::timeout};
 
 use super::{Entry, call::Call, plan::Plan};
-use crate::{loads, metrics as names};
+use crate::{load_exchange, metrics as names};
 
 /// Time between two rounds of the allocator while instances wait for permits: the time that a
 /// datagram takes between availability zones.
@@ -335,7 +335,9 @@
 pub(super) async fn run(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     loop {
         let (messages, has_more) = entry.allocation_round();
-        messages.into_iter().for_each(|(to, message)| loads::send_limit(&socket, message, to));
+        messages
+            .into_iter()
+            .for_each(|(to, message)| load_exchange::send_limit(&socket, message, to));
         let wake = entry.limited.wake.notified();
         match has_more {
             // A time-out is no error: the next round is due then.
--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -41,18 +41,18 @@
 use medlarlug_core::{
     gateway::{
         availability::AvailabilityTracker,
-        away::REFERENCE_PROMPT_TOKENS,
-        budget::RetryWindow,
         cold::{ColdDetector, ColdSendPacer},
         contacts::{Contacts, InstanceInfo, InstanceKind, RegionWait, ServiceWait, Status},
         health::HealthTracker,
+        keeper_view::{KEEPER_SOURCES, KeeperView},
         load_exchange::Member,
         peer_loads::{LoadReport, ReportSource},
-        placing::{Demand, Loads},
+        placement::{Demand, Loads},
+        prefill_queue::QueueWaits,
+        remote_region::REFERENCE_PROMPT_TOKENS,
+        retry_budget::RetryWindow,
         table::{RouteTable, ServiceName, TableVersion},
-        turns::QueueWaits,
         upstreams::{Birth, Effect, UpstreamState, Upstreams},
-        view::{KEEPER_SOURCES, KeeperView},
     },
     ids::{InstanceId, RegionId, UpstreamId, ZoneId},
     time::Time,
@@ -71,7 +71,7 @@
     headers::HeaderNames,
     keeper_links::{LinkOwner, Links, error_chain},
     link::{Message, PublicationHead, Update},
-    loads::{self, Exchange},
+    load_exchange::{self, Exchange},
     metrics as names,
     settings::{MAX_UPDATE_AGE, NodeSettings},
 };
@@ -193,17 +193,17 @@
         entry.links.connect_new(&entry);
         task::spawn_local(upkeep(entry.clone()));
         let address = entry.info().internal;
-        let socket = loads::open(address).await.map_err(|source| ServerError::Listen {
+        let socket = load_exchange::open(address).await.map_err(|source| ServerError::Listen {
             role: "load reports",
             address,
             source,
         })?;
         let socket = Rc::new(socket);
-        task::spawn_local(loads::send_reports(entry.clone(), socket.clone()));
-        task::spawn_local(loads::send_changes(entry.clone(), socket.clone()));
-        task::spawn_local(loads::forward_changes(entry.clone(), socket.clone()));
+        task::spawn_local(load_exchange::send_reports(entry.clone(), socket.clone()));
+        task::spawn_local(load_exchange::send_changes(entry.clone(), socket.clone()));
+        task::spawn_local(load_exchange::forward_changes(entry.clone(), socket.clone()));
         task::spawn_local(limited::run(entry.clone(), socket.clone()));
-        task::spawn_local(loads::receive_datagrams(entry.clone(), socket));
+        task::spawn_local(load_exchange::receive_datagrams(entry.clone(), socket));
         let this = entry.clone();
         task::spawn_local(http_server::serve(
             internal,
--- a/crates/medlarlug-gateway/src/entry/plan.rs
+++ b/crates/medlarlug-gateway/src/entry/plan.rs
@@ -4,13 +4,13 @@
 
 use medlarlug_core::{
     gateway::{
-        budget::Spending,
+        attempt_timeout,
         handover::{Attempts, Handover},
-        patience,
-        placing::Choice,
-        silence::{self, StreamSource},
+        placement::Choice,
+        prefill_queue::{self, PrefillDecision},
+        retry_budget::Spending,
+        stream_timeout::{self, StreamSource},
         table::{Route, RouteTable, ServiceName},
-        turns::{self, PrefillDecision},
     },
     time::Time,
 };
@@ -160,7 +160,8 @@
         let now = entry.now();
         let waited = now - self.began;
         let is_free = entry.loads.borrow().can_admit(now, choice, entry.exchange.instances());
-        let decision = turns::decide(is_free, waited, self.route.objective, self.route.priority);
+        let decision =
+            prefill_queue::decide(is_free, waited, self.route.objective, self.route.priority);
         if decision != PrefillDecision::Wait {
             entry.queue_waits.borrow_mut().record(now, waited);
         }
@@ -180,7 +181,11 @@
         let source = hop.source();
         // No attempt is left after another instance broke off, see `count_broken`.
         let is_left = source == StreamSource::Upstream && self.attempts.may_send();
-        silence::idle_timeout(source, self.route.pause, self.route.kind.is_retryable() && is_left)
+        stream_timeout::idle_timeout(
+            source,
+            self.route.pause,
+            self.route.kind.is_retryable() && is_left,
+        )
     }
 
     /// Whether the call goes to model engines.
@@ -220,7 +225,7 @@
             }
         }
         let left = self.answer_by - entry.now();
-        let answer_timeout = patience::first_token_timeout(patience::Attempt {
+        let answer_timeout = attempt_timeout::first_token_timeout(attempt_timeout::Attempt {
             source: hop.source(),
             predicted_wait: hop.wait(),
             objective: self.route.objective,
--- a/crates/medlarlug-gateway/src/entry/serve.rs
+++ b/crates/medlarlug-gateway/src/entry/serve.rs
@@ -7,11 +7,11 @@
 use medlarlug::transport::body::{self, Answer, BodyError};
 use medlarlug_core::{
     gateway::{
-        budget::{Balance, InstanceShare, Spending},
         handover::{Attempts, Handover, HandoverReport},
-        refusing::{self, CallForecast, Verdict},
+        load_shedding::{self, CallForecast, Verdict},
+        prefill_queue::PrefillDecision,
+        retry_budget::{Balance, InstanceShare, Spending},
         table::ServiceName,
-        turns::PrefillDecision,
     },
     time::Time,
 };
@@ -111,8 +111,8 @@
         let jitter = rand::rng().random();
         let interval = self.permit_interval(&self.limited_upstreams(plan));
         match (self.backoff_remaining(&plan.service), interval) {
-            (_, Some(interval)) => Some(refusing::retry_after(interval, left, jitter)),
-            (Some(backoff), None) => Some(refusing::retry_after_backoff(backoff, jitter)),
+            (_, Some(interval)) => Some(load_shedding::retry_after(interval, left, jitter)),
+            (Some(backoff), None) => Some(load_shedding::retry_after_backoff(backoff, jitter)),
             (None, None) => None,
         }
     }
@@ -137,7 +137,7 @@
     fn with_window<T>(
         &self,
         service: &ServiceName,
-        act: impl FnOnce(&mut medlarlug_core::gateway::budget::RetryWindow) -> T,
+        act: impl FnOnce(&mut medlarlug_core::gateway::retry_budget::RetryWindow) -> T,
     ) -> T {
         let mut windows = self.retry_windows.borrow_mut();
         let at = match windows.binary_search_by(|it| it.0.cmp(service)) {
@@ -319,7 +319,7 @@
         }
         let wait = hop.as_ref().map(Hop::wait);
         let objective = plan.is_on_engines().then_some(plan.route.objective);
-        let mut verdict = refusing::decide(
+        let mut verdict = load_shedding::decide(
             CallForecast { predicted_wait: wait, time_left: left, objective },
             rand::rng().random(),
         );
@@ -332,8 +332,11 @@
                     continue;
                 }
                 PrefillDecision::Refuse => {
-                    let retry_after =
-                        refusing::retry_after(plan.route.objective, left, rand::rng().random());
+                    let retry_after = load_shedding::retry_after(
+                        plan.route.objective,
+                        left,
+                        rand::rng().random(),
+                    );
                     verdict = Verdict::Refuse { retry_after };
                 }
             }
@@ -363,7 +366,7 @@
                         Some(_) => retry_after,
                     },
                     Verdict::Serve => {
-                        refusing::retry_after(Duration::ZERO, left, rand::rng().random())
+                        load_shedding::retry_after(Duration::ZERO, left, rand::rng().random())
                     }
                 };
                 tracing::info!(
--- a/crates/medlarlug-gateway/src/keeper/mod.rs
+++ b/crates/medlarlug-gateway/src/keeper/mod.rs
@@ -33,7 +33,7 @@
     gateway::{
         cold::ColdDetector,
         contacts::{Contacts, InstanceInfo, InstanceKind, Status},
-        stall::StallDetector,
+        stall_detector::StallDetector,
         table::RouteTable,
         upstreams::{Effect, Renewal, UpstreamState, Upstreams},
     },
--- a/crates/medlarlug-gateway/src/lib.rs
+++ b/crates/medlarlug-gateway/src/lib.rs
@@ -23,6 +23,6 @@
 pub mod settings;
 
 mod keeper_links;
-mod loads;
+mod load_exchange;
 
 mod subscribers;
--- a/src/coordination/entry/exchange.rs
+++ b/src/coordination/entry/exchange.rs
@@ -19,9 +19,8 @@
 
 use crate::{
     coordination::entry::{
-        Entry,
+        Entry, connection_recovery,
         forward::{self, ForwardFailure},
-        silence,
     },
     protocol::headers,
     telemetry::metrics::CROSSED,
@@ -197,8 +196,8 @@
     let limits = CallLimits { connect: CONNECT_TIMEOUT, head: call.head_timeout };
     let result = match (&destination, &facts.target) {
         (Destination::Upstream(_), target @ Target::Model(_)) => {
-            let to = silence::EngineRequest { address, id, target };
-            silence::call(entry, to, request, call, limits).await
+            let to = connection_recovery::EngineRequest { address, id, target };
+            connection_recovery::call(entry, to, request, call, limits).await
         }
         _ => entry.client.call(address, request, call.reuse, limits).await,
     };
--- a/src/coordination/entry/mod.rs
+++ b/src/coordination/entry/mod.rs
@@ -5,7 +5,7 @@
 //! call and never across an `await`.
 //!
 //! * [`process`]: startup, event loop and shutdown.
-//! * [`intake`]: counting of in-flight requests, and the graceful shutdown.
+//! * [`graceful_shutdown`]: counting of in-flight requests, and the graceful shutdown.
 //! * [`callers`]: the callers' HTTP interface.
 //! * [`inference`]: the lifecycle of an inference request.
 //! * [`services`]: the lifecycle of a call to a plain service, and of a booking.
@@ -14,7 +14,7 @@
 //! * [`exchange`]: one attempt at an upstream or another zone.
 //! * [`forward`]: requests forwarded to another zone.
 //! * [`relay`]: delivery of a streamed answer.
-//! * [`silence`]: replacement of unresponsive and broken connections.
+//! * [`connection_recovery`]: replacement of unresponsive and broken connections.
 //! * [`internal`]: announcements of upstreams and requests forwarded by other zones.
 //! * [`orders`]: orders to the engines of the own zone.
 //! * [`admission`]: admission to the zone's upstreams.
@@ -26,12 +26,13 @@
 pub mod admission;
 pub mod attempt;
 pub mod callers;
+pub mod connection_recovery;
 pub mod cooldown;
 pub mod crashes;
 pub mod exchange;
 pub mod forward;
+pub mod graceful_shutdown;
 pub mod inference;
-pub mod intake;
 pub mod internal;
 pub mod journal;
 pub mod orders;
@@ -40,7 +41,6 @@
 pub mod records;
 pub mod relay;
 pub mod services;
-pub mod silence;
 
 use std::{
     cell::{Cell, RefCell},
@@ -65,7 +65,10 @@
 pub use crate::coordination::entry::process::{EntryError, run};
 use crate::{
     coordination::{
-        entry::{admission::ZoneAdmission, cooldown::Cooldowns, intake::Intake, journal::Journal},
+        entry::{
+            admission::ZoneAdmission, cooldown::Cooldowns, graceful_shutdown::Intake,
+            journal::Journal,
+        },
         node::{ActiveConfiguration, Node, Received},
         operators::ProcessDetails,
     },
--- a/src/coordination/entry/relay.rs
+++ b/src/coordination/entry/relay.rs
@@ -21,9 +21,8 @@
 
 use crate::{
     coordination::entry::{
-        Entry,
+        Entry, connection_recovery,
         exchange::{Destination, Exchange},
-        silence,
     },
     protocol::{Problem, events::EventSplitter, headers},
     telemetry::metrics::CROSSED,
@@ -347,7 +346,7 @@
     /// other stream can; it waits for this engine only if the engine is busy, that is, still renews
     /// its announcement.
     fn may_retry_resume(&self) -> bool {
-        self.has_first_event || silence::is_announced(&self.entry, self.address)
+        self.has_first_event || connection_recovery::is_announced(&self.entry, self.address)
     }
 
     fn request(&self, method: Method, path: &str) -> Option<Request<Full<Bytes>>> {
