--- a/tests/testsuite/batching.rs
+++ b/tests/testsuite/batching.rs
@@ -35,7 +35,7 @@
 #[test]
 fn step_takes_longer_the_more_streams_share_it() {
     let now = Instant::now();
-    let step_of = |streams: u32| {
+    let step_duration = |streams: u32| {
         let mut batch = batch(streams);
         for index in 0..streams {
             batch.push(Rc::new(stream(&format!("s{index}"), 9)), 0, Tokens(0));
@@ -43,8 +43,8 @@
         batch.step(now, 1.0).unwrap() - now
     };
 
-    assert_eq!(step_of(1), Duration::from_millis(10));
-    assert_eq!(step_of(11), Duration::from_millis(13));
+    assert_eq!(step_duration(1), Duration::from_millis(10));
+    assert_eq!(step_duration(11), Duration::from_millis(13));
 }
 
 #[test]
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn stream_whose_deadline_passes_in_the_queue_is_not_begun() {
+fn stream_whose_deadline_passes_in_the_queue_is_not_started() {
     let now = Instant::now();
     let mut batch = batch(1);
     let mut late = stream("late", 1);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn least_recently_used_prefix_leaves_a_full_cache() {
+fn least_recently_used_prefix_is_evicted_from_a_full_cache() {
     let mut cache = PrefixCache::new(Tokens(128));
     let prompt = |letter: &str| letter.repeat(256);
     for letter in ["a", "b", "a", "c"] {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn some_changes_of_the_cache_are_never_reported() {
+fn some_cache_changes_are_never_reported() {
     let mut cache = PrefixCache::new(Tokens(1_000_000));
     for index in 0..70 {
         cache.visit(&format!("{index:0>256}"));
--- a/tests/testsuite/budget.rs
+++ b/tests/testsuite/budget.rs
@@ -1,7 +1,7 @@
-//! Sizes of messages against the bytes that a node may spend on control.
+//! Sizes of control messages against the bandwidth that a node may spend on control traffic.
 //!
-//! The bounds follow from 5,000 bytes a second and the size that the capacity page plans for, never
-//! from what was measured. Each allows a message the share that its part of the budget has.
+//! The bounds follow from the budget of 5,000 bytes per second and from the deployment size that the
+//! capacity page plans for, never from measured sizes. Each kind of message has a share of the budget.
 
 use std::time::Duration;
 
@@ -28,18 +28,18 @@
     scale::{self, GOAL, Scale},
 };
 
-/// Bytes a second that a node may spend on control.
-const NODE: usize = 5_000;
-/// Entry instances of a zone.
-const ZONE_PEERS: usize = 12;
+/// Control traffic that a node may cause.
+const CONTROL_BYTES_PER_SECOND: usize = 5_000;
+/// Entry instances in a zone.
+const ENTRIES_PER_ZONE: usize = 12;
 /// Entry instances of the largest region.
-const REGION_PEERS: usize = 48;
-/// Engines of a zone.
-const ZONE_ENGINES: usize = 21;
-/// Heartbeats a second to each peer in a zone of that size.
-const BEATS: usize = 1;
-/// Time in which a change is in force everywhere, in seconds.
-const CHANGE_LIMIT: usize = 10;
+const ENTRIES_PER_REGION: usize = 48;
+/// Engines in a zone.
+const ENGINES_PER_ZONE: usize = 21;
+/// Heartbeats that an instance of such a zone sends to each of its peers.
+const HEARTBEATS_PER_SECOND: usize = 1;
+/// Time within which a change of the configuration takes effect everywhere.
+const CHANGE_LIMIT_SECONDS: usize = 10;
 
 fn frame_bytes(message: Message) -> usize {
     let keys = DeploymentKeys::new(vec![DeploymentKey::derive("a key")]).expect("one key");
@@ -47,7 +47,7 @@
     frame::encode(&keys, &envelope).expect("a frame").len()
 }
 
-fn zone_news(zone: usize) -> ZoneUpdate {
+fn zone_update(zone: usize) -> ZoneUpdate {
     let entry = |number| EntryLoad { id: id(&format!("entry-{number:03}")), load: 300 };
     let row = |number| TargetSummary {
         target: Target::Model(id(&format!("model-{number:02}"))),
@@ -68,7 +68,7 @@
 }
 
 fn summaries(zones: usize) -> Message {
-    let zones = (0..zones).map(zone_news).collect();
+    let zones = (0..zones).map(zone_update).collect();
     Message::Membership(Membership::Summaries(Summaries { scope: Scope::Chain(11), zones }))
 }
 
@@ -76,12 +76,12 @@
 fn heartbeats_of_a_zone_take_a_quarter_of_the_budget() {
     let status = Status { load: 300, revision: Revision(100_000), leaving: false, settling: false };
     let incarnation = Incarnation(1_764_720_000_000);
-    let beat = Heartbeat { incarnation, status, digest: u32::MAX, updates: Vec::new() };
+    let heartbeat = Heartbeat { incarnation, status, digest: u32::MAX, updates: Vec::new() };
 
-    let bytes = frame_bytes(Message::Membership(Membership::Heartbeat(beat)));
+    let bytes = frame_bytes(Message::Membership(Membership::Heartbeat(heartbeat)));
 
-    let both = 2 * bytes * BEATS * (ZONE_PEERS - 1);
-    assert!(both <= NODE / 4, "{both} B/s of heartbeats of {bytes} B");
+    let both = 2 * bytes * HEARTBEATS_PER_SECOND * (ENTRIES_PER_ZONE - 1);
+    assert!(both <= CONTROL_BYTES_PER_SECOND / 4, "{both} B/s of heartbeats of {bytes} B");
 }
 
 #[test]
@@ -92,37 +92,40 @@
         age: Millis(400),
         load: LoadUpdate::from(&scale::load(number)),
     };
-    let news = (0..ZONE_ENGINES as u64).map(renewal).collect();
+    let updates = (0..ENGINES_PER_ZONE as u64).map(renewal).collect();
 
-    let bytes = frame_bytes(Message::Membership(Membership::Upstreams(news)));
+    let bytes = frame_bytes(Message::Membership(Membership::Upstreams(updates)));
 
-    // Each is received once a second, and sent as often on average.
+    // Each renewal is received once per second, and sent as often on average.
     let both = 2 * bytes;
-    assert!(both <= NODE * 2 / 5, "{both} B/s of renewals");
+    assert!(both <= CONTROL_BYTES_PER_SECOND * 2 / 5, "{both} B/s of renewals");
 }
 
 #[test]
-fn summaries_of_all_zones_fit_their_refresh() {
+fn summaries_of_all_zones_take_a_fifth_of_the_budget() {
     let refresh = medlarlug_core::membership::timing::CROSS_REGION_LIFETIME.as_secs() as usize;
 
     let bytes = frame_bytes(summaries(GOAL.zones));
 
-    // Each is received once within its lifetime, and handed on once.
+    // Each summary is received once within its lifetime, and passed on once.
     let both = 2 * bytes / refresh;
-    assert!(both <= NODE / 5, "{bytes} B of summaries, {both} B/s within their lifetime");
+    assert!(
+        both <= CONTROL_BYTES_PER_SECOND / 5,
+        "{bytes} B of summaries, {both} B/s within their lifetime"
+    );
 }
 
 #[test]
 fn a_changed_row_takes_a_hundredth_of_the_budget() {
-    let whole = zone_news(3);
-    let rows = whole.rows[..1].to_vec();
-    let news = ZoneUpdate { rows, ..whole };
-    let summaries = Summaries { scope: Scope::Zone, zones: vec![news] };
+    let full = zone_update(3);
+    let rows = full.rows[..1].to_vec();
+    let update = ZoneUpdate { rows, ..full };
+    let summaries = Summaries { scope: Scope::Zone, zones: vec![update] };
 
     let one = frame_bytes(Message::Membership(Membership::Summaries(summaries)));
     let growth = (frame_bytes(self::summaries(1)) - one) / (GOAL.models - 1);
 
-    assert!(growth <= NODE / 100, "{growth} B for each further row");
+    assert!(growth <= CONTROL_BYTES_PER_SECOND / 100, "{growth} B for each further row");
 }
 
 #[test]
@@ -131,9 +134,12 @@
 
     let bytes = frame_bytes(Message::Push(Box::new(Update::Full(configuration))));
 
-    let link = 2_000_000_000 / 8 / 100;
-    assert!(bytes <= MAX_FRAME_BYTES / 8, "{bytes} B is an eighth of the longest frame");
-    assert!(bytes <= link * CHANGE_LIMIT, "{bytes} B takes more than a hundredth of a link");
+    let bytes_per_second = 2_000_000_000 / 8 / 100; // a hundredth of a link of 2 Gbit/s
+    assert!(bytes <= MAX_FRAME_BYTES / 8, "{bytes} B is more than an eighth of the longest frame");
+    assert!(
+        bytes <= bytes_per_second * CHANGE_LIMIT_SECONDS,
+        "{bytes} B takes more than a hundredth of a link"
+    );
 }
 
 #[test]
@@ -150,32 +156,32 @@
 
     let bytes: usize = (1..=50).map(push).sum();
 
-    assert!(bytes <= NODE * CHANGE_LIMIT, "{bytes} B for 50 changes");
+    assert!(bytes <= CONTROL_BYTES_PER_SECOND * CHANGE_LIMIT_SECONDS, "{bytes} B for 50 changes");
 }
 
 fn scale_team(number: usize) -> medlarlug_core::release::item::Team {
     Scale::team(&GOAL, number)
 }
 
-/// Frames of a question and of its answer when nothing is new.
-fn question_bytes() -> usize {
+/// Size of the frames of an update request and of a response without an update.
+fn update_request_bytes() -> usize {
     let token = (1_764_720_000_000 << 20) + 100_000;
-    let ask = UpdateRequest { token, revision: Revision(100_000), full: false };
+    let request = UpdateRequest { token, revision: Revision(100_000), full: false };
     let age = Duration::from_millis(300);
     let confirmation = Some(Confirmation { revision: Revision(100_000), age });
     let answer = UpdateResponse { token, update: None, confirmation };
-    frame_bytes(Message::UpdateRequest(ask))
+    frame_bytes(Message::UpdateRequest(request))
         + frame_bytes(Message::UpdateResponse(Box::new(answer)))
 }
 
 #[test]
-fn questions_about_the_configuration_take_a_twentieth_of_the_budget() {
-    let bytes = question_bytes();
+fn update_requests_take_a_twentieth_of_the_budget() {
+    let bytes = update_request_bytes();
 
-    assert!(bytes <= NODE / 20, "{bytes} B a second");
+    assert!(bytes <= CONTROL_BYTES_PER_SECOND / 20, "{bytes} B/s");
 }
 
-/// Frames of a heartbeat of the configuration group and of its answer.
+/// Size of the frames of a heartbeat within the configuration group and of its answer.
 fn group_heartbeat_bytes() -> usize {
     let (term, index, round) = (Term(100), LogIndex(100_000), 100_000_000);
     let frame = |body| {
@@ -191,13 +197,13 @@
 }
 
 #[test]
-fn leader_of_five_voters_and_its_share_of_questions_fit_the_budget() {
+fn leader_of_five_voters_and_its_share_of_update_requests_fit_the_budget() {
     let (voters, heartbeats, nodes) = (5, 4, 340);
-    let group = (voters - 1) * (heartbeats * group_heartbeat_bytes() + question_bytes());
+    let group = (voters - 1) * (heartbeats * group_heartbeat_bytes() + update_request_bytes());
 
-    let bytes = group + nodes * question_bytes() / VOTER_REQUEST_INTERVAL / voters;
+    let bytes = group + nodes * update_request_bytes() / VOTER_REQUEST_INTERVAL / voters;
 
-    assert!(bytes <= NODE, "{bytes} B/s, {group} of them within the group");
+    assert!(bytes <= CONTROL_BYTES_PER_SECOND, "{bytes} B/s, {group} of them within the group");
 }
 
 #[test]
@@ -213,12 +219,12 @@
 
     let bytes = frame_bytes(Message::Demand { report });
 
-    let both = 2 * bytes * (REGION_PEERS - 1) / policy.refresh_interval.as_secs() as usize;
-    assert!(both <= NODE / 2, "{both} B/s of reports of {bytes} B");
+    let both = 2 * bytes * (ENTRIES_PER_REGION - 1) / policy.refresh_interval.as_secs() as usize;
+    assert!(both <= CONTROL_BYTES_PER_SECOND / 2, "{both} B/s of reports of {bytes} B");
 }
 
 #[test]
-fn a_demand_report_with_every_changed_team_fits_one_peer() {
+fn a_demand_report_with_every_changed_team_takes_a_tenth_of_the_budget() {
     let entry =
         |number: u32| DemandEntry { team: TeamKey(u32::MAX - number), level: DemandLevel(9) };
     let report = DemandReport {
@@ -231,11 +237,11 @@
 
     let bytes = frame_bytes(Message::Demand { report });
 
-    assert!(bytes <= NODE / 10, "{bytes} B for the longest report");
+    assert!(bytes <= CONTROL_BYTES_PER_SECOND / 10, "{bytes} B for the longest report");
 }
 
 #[test]
-fn a_full_demand_report_fits_a_tenth_of_a_frame() {
+fn a_full_demand_report_takes_half_of_the_budget_within_the_limit_of_a_change() {
     let entry = |number: usize| DemandEntry {
         team: TeamKey(u32::MAX - number as u32),
         level: DemandLevel(9),
@@ -250,12 +256,15 @@
 
     let bytes = frame_bytes(Message::Demand { report });
 
-    assert!(bytes <= NODE * CHANGE_LIMIT / 2, "{bytes} B after a restart");
+    assert!(
+        bytes <= CONTROL_BYTES_PER_SECOND * CHANGE_LIMIT_SECONDS / 2,
+        "{bytes} B after a restart"
+    );
 }
 
 #[test]
 fn records_of_ten_requests_take_half_of_the_budget() {
-    // 3,200 requests a second over the entry instances are 10 a second for each.
+    // 3,200 requests per second over all entry instances are 10 per second for each.
     let step = |millis: u64, stage| TimelineEntry { after: Duration::from_millis(millis), stage };
     let timeline = vec![
         step(0, Stage::Received { instance: id("entry-117") }),
@@ -278,5 +287,5 @@
 
     let bytes = (batch(101) - batch(1)) / 100;
 
-    assert!(bytes * 10 <= NODE / 2, "{bytes} B for each ended request");
+    assert!(bytes * 10 <= CONTROL_BYTES_PER_SECOND / 2, "{bytes} B for each ended request");
 }
--- a/tests/testsuite/cli.rs
+++ b/tests/testsuite/cli.rs
@@ -1,4 +1,4 @@
-//! The operators' command line against a canned operators' port.
+//! The operators' command line against a server with canned answers.
 
 use std::{
     fs,
@@ -38,46 +38,50 @@
       burst: 20
 ";
 
-/// What the command line sent.
-struct Sent {
+/// A request that the command line sent.
+struct ReceivedRequest {
     head: String,
     body: Vec<u8>,
 }
 
-impl Sent {
-    fn line(&self) -> &str {
+impl ReceivedRequest {
+    fn request_line(&self) -> &str {
         self.head.lines().next().unwrap_or_default()
     }
 }
 
-/// An operators' port that gives canned answers, one connection each.
-struct Port {
+/// A server in place of an operators' port that gives canned answers, one on each connection.
+struct CannedServer {
     address: SocketAddr,
-    thread: JoinHandle<Vec<Sent>>,
+    thread: JoinHandle<Vec<ReceivedRequest>>,
 }
 
-fn port(answers: Vec<(u16, String)>) -> Port {
+fn serve_canned(answers: Vec<(u16, String)>) -> CannedServer {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let thread = thread::spawn(move || {
         answers.iter().map(|(status, body)| serve(&listener, *status, body)).collect()
     });
-    Port { address, thread }
+    CannedServer { address, thread }
 }
 
-fn serve(listener: &TcpListener, status: u16, body: &str) -> Sent {
+fn serve(listener: &TcpListener, status: u16, body: &str) -> ReceivedRequest {
     let (mut socket, _) = listener.accept().unwrap();
     let mut reader = BufReader::new(socket.try_clone().unwrap());
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        assert_ne!(reader.read_line(&mut head).unwrap(), 0, "the request broke off");
+        assert_ne!(
+            reader.read_line(&mut head).unwrap(),
+            0,
+            "the connection closed before the request was complete"
+        );
     }
     let length = head.lines().find_map(|it| it.strip_prefix("content-length: "));
     let mut sent = vec![0; length.map_or(0, |it| it.parse().unwrap())];
     reader.read_exact(&mut sent).unwrap();
     let length = body.len();
     write!(socket, "HTTP/1.1 {status} X\r\ncontent-length: {length}\r\n\r\n{body}").unwrap();
-    Sent { head, body: sent }
+    ReceivedRequest { head, body: sent }
 }
 
 fn ok<T: Serialize>(body: &T) -> (u16, String) {
@@ -85,7 +89,7 @@
 }
 
 fn problem(status: u16, kind: &str, outcome: Outcome) -> (u16, String) {
-    let problem = Problem::new(status, kind, "no luck", outcome);
+    let problem = Problem::new(status, kind, "not available", outcome);
     (status, serde_json::to_string(&problem).unwrap())
 }
 
@@ -98,8 +102,8 @@
         .unwrap()
 }
 
-/// Runs the command line against a port, by the address that takes the place of `AT`.
-fn at(address: SocketAddr, arguments: &[&str]) -> Output {
+/// Runs the command line; `address` replaces each argument `AT`.
+fn run_at(address: SocketAddr, arguments: &[&str]) -> Output {
     let address = address.to_string();
     let replaced: Vec<&str> =
         arguments.iter().map(|it| if *it == "AT" { address.as_str() } else { it }).collect();
@@ -188,14 +192,15 @@
 
 #[test]
 fn unreachable_process_gets_exit_code_3_and_the_next_address_is_tried() {
-    let dead = free_address().to_string();
-    let live = port(vec![ok(&Vec::<AcceptedNote>::new())]);
+    let unreachable = free_address().to_string();
+    let reachable = serve_canned(vec![ok(&Vec::<AcceptedNote>::new())]);
 
-    let alone = medlarlug(&["release", "history", "--at", &dead]);
-    let both = at(live.address, &["release", "history", "--at", &dead, "--at", "AT"]);
+    let alone = medlarlug(&["release", "history", "--at", &unreachable]);
+    let both =
+        run_at(reachable.address, &["release", "history", "--at", &unreachable, "--at", "AT"]);
 
     assert_eq!(code(&alone), 3);
-    assert!(stderr(&alone).starts_with(&format!("medlarlug: no answer from {dead}: ")));
+    assert!(stderr(&alone).starts_with(&format!("medlarlug: no answer from {unreachable}: ")));
     assert_eq!(stderr(&alone).lines().count(), 1);
     assert_eq!(code(&both), 0, "{}", stderr(&both));
 }
@@ -204,14 +209,15 @@
 fn note_is_sent_as_json_with_the_bearer_key() {
     let folder = TempDir::new().unwrap();
     let (note, key) = (file(&folder, "note.yaml", NOTE), file(&folder, "key", "open-sesame\n"));
-    let port = port(vec![ok(&accepted(1))]);
+    let server = serve_canned(vec![ok(&accepted(1))]);
 
-    let output = at(port.address, &["release", "apply", "--at", "AT", "--key-file", &key, &note]);
+    let output =
+        run_at(server.address, &["release", "apply", "--at", "AT", "--key-file", &key, &note]);
 
     assert_eq!(code(&output), 0, "{}", stderr(&output));
-    let sent = port.thread.join().unwrap();
+    let sent = server.thread.join().unwrap();
     assert_eq!(stdout(&output), "note 1 of anna is revision 1\n");
-    assert_eq!(sent[0].line(), "POST /release/apply HTTP/1.1");
+    assert_eq!(sent[0].request_line(), "POST /release/apply HTTP/1.1");
     assert!(sent[0].head.contains("authorization: Bearer open-sesame\r\n"));
     let raw: RawNote = serde_json::from_slice(&sent[0].body).unwrap();
     assert_eq!(raw.added.len(), 2);
@@ -221,31 +227,31 @@
 fn apply_waits_until_every_zone_has_the_revision() {
     let folder = TempDir::new().unwrap();
     let note = file(&folder, "note.yaml", NOTE);
-    let slow = vec![ok(&accepted(1)), ok(&confirmations(None)), ok(&confirmations(Some(1)))];
-    let port = port(slow);
+    let answers = vec![ok(&accepted(1)), ok(&confirmations(None)), ok(&confirmations(Some(1)))];
+    let server = serve_canned(answers);
 
-    let output = at(port.address, &["release", "apply", "--wait", "--at", "AT", &note]);
+    let output = run_at(server.address, &["release", "apply", "--wait", "--at", "AT", &note]);
 
     assert_eq!(code(&output), 0, "{}", stderr(&output));
     assert_eq!(
         stdout(&output),
         "note 1 of anna is revision 1\nliepaja-a: in force\nriga-a: in force\nin force everywhere\n"
     );
-    let sent = port.thread.join().unwrap();
-    assert_eq!(sent[1].line(), "GET /release/confirmations?revision=1 HTTP/1.1");
+    let sent = server.thread.join().unwrap();
+    assert_eq!(sent[1].request_line(), "GET /release/confirmations?revision=1 HTTP/1.1");
 }
 
 #[test]
-fn revision_is_in_force_everywhere_once_the_leases_of_the_others_have_run_out() {
+fn revision_is_in_effect_everywhere_once_the_leases_of_the_others_have_expired() {
     let folder = TempDir::new().unwrap();
     let note = file(&folder, "note.yaml", NOTE);
-    let mut seen = confirmations(None);
-    seen.everywhere = true;
-    seen.leases_ms = Some(0);
-    seen.zones[0].missing = vec![id("entry-2")];
-    let port = port(vec![ok(&accepted(1)), ok(&seen)]);
+    let mut report = confirmations(None);
+    report.everywhere = true;
+    report.leases_ms = Some(0);
+    report.zones[0].missing = vec![id("entry-2")];
+    let server = serve_canned(vec![ok(&accepted(1)), ok(&report)]);
 
-    let output = at(port.address, &["release", "apply", "--wait", "--at", "AT", &note]);
+    let output = run_at(server.address, &["release", "apply", "--wait", "--at", "AT", &note]);
 
     assert_eq!(code(&output), 0, "{}", stderr(&output));
     assert_eq!(
@@ -259,10 +265,12 @@
 fn zone_that_does_not_confirm_in_time_is_named_with_exit_code_7() {
     let folder = TempDir::new().unwrap();
     let note = file(&folder, "note.yaml", NOTE);
-    let port = port(vec![ok(&accepted(1)), ok(&confirmations(Some(0)))]);
+    let server = serve_canned(vec![ok(&accepted(1)), ok(&confirmations(Some(0)))]);
 
-    let output =
-        at(port.address, &["release", "apply", "--wait", "--wait-limit", "0", "--at", "AT", &note]);
+    let output = run_at(
+        server.address,
+        &["release", "apply", "--wait", "--wait-limit", "0", "--at", "AT", &note],
+    );
 
     assert_eq!(code(&output), 7);
     assert_eq!(
@@ -272,7 +280,7 @@
 }
 
 #[test]
-fn note_that_is_not_valid_names_the_place_with_exit_code_8() {
+fn invalid_note_is_reported_with_its_position_and_exit_code_8() {
     let folder = TempDir::new().unwrap();
     let note = file(&folder, "note.yaml", &NOTE.replace("  - region", "  - regoin"));
 
@@ -297,27 +305,27 @@
         (503, Outcome::Unknown, 9),
     ];
     for (status, outcome, expected) in cases {
-        let port = port(vec![problem(status, "some_kind", outcome)]);
+        let server = serve_canned(vec![problem(status, "some_kind", outcome)]);
 
-        let output = at(port.address, &["request", "riga.e.1.1", "--at", "AT"]);
+        let output = run_at(server.address, &["request", "riga.e.1.1", "--at", "AT"]);
 
         assert_eq!(code(&output), expected, "{status}");
-        let line = format!("medlarlug: {} refused: no luck (some_kind)\n", port.address);
+        let line = format!("medlarlug: {} refused: not available (some_kind)\n", server.address);
         assert_eq!(stderr(&output), line);
     }
 }
 
 #[test]
-fn answer_that_is_no_json_gets_exit_code_1() {
-    let port = port(vec![(200, "<html>".into())]);
+fn answer_that_is_not_json_gets_exit_code_1() {
+    let server = serve_canned(vec![(200, "<html>".into())]);
 
-    let output = at(port.address, &["dump", "--at", "AT"]);
+    let output = run_at(server.address, &["dump", "--at", "AT"]);
 
     assert_eq!(code(&output), 1);
 }
 
 #[test]
-fn fate_of_a_request_is_told_as_a_timeline_or_as_json() {
+fn record_of_a_request_is_printed_as_a_timeline_or_as_json() {
     let step =
         |millis, stage| TimelineEntry { after: std::time::Duration::from_millis(millis), stage };
     let ended = Stage::Ended { outcome: Outcome::Answered, reason: "whole".into() };
@@ -332,10 +340,10 @@
             step(30, ended),
         ],
     };
-    let port = port(vec![ok(&record), ok(&record)]);
+    let server = serve_canned(vec![ok(&record), ok(&record)]);
 
-    let table = at(port.address, &["request", "--at", "AT", "riga.entry-1.3.42"]);
-    let json = at(port.address, &["request", "--at", "AT", "--json", "riga.entry-1.3.42"]);
+    let table = run_at(server.address, &["request", "--at", "AT", "riga.entry-1.3.42"]);
+    let json = run_at(server.address, &["request", "--at", "AT", "--json", "riga.entry-1.3.42"]);
 
     assert_eq!(
         stdout(&table),
@@ -358,14 +366,14 @@
 #[test]
 fn log_level_is_sent_and_confirmed() {
     let change = LevelChange { level: medlarlug::telemetry::logs::LogLevel::Debug };
-    let port = port(vec![ok(&change)]);
+    let server = serve_canned(vec![ok(&change)]);
 
-    let output = at(port.address, &["log-level", "--at", "AT", "debug"]);
+    let output = run_at(server.address, &["log-level", "--at", "AT", "debug"]);
 
     assert_eq!(code(&output), 0, "{}", stderr(&output));
-    let sent = port.thread.join().unwrap();
+    let sent = server.thread.join().unwrap();
     assert_eq!(stdout(&output), "log level debug\n");
-    assert_eq!(sent[0].line(), "PUT /log-level HTTP/1.1");
+    assert_eq!(sent[0].request_line(), "PUT /log-level HTTP/1.1");
     assert_eq!(sent[0].body, br#"{"level":"debug"}"#);
 }
 
--- a/tests/testsuite/http_client.rs
+++ b/tests/testsuite/http_client.rs
@@ -1,4 +1,4 @@
-//! The client of upstreams and other instances: what goes out over a new connection.
+//! The HTTP client for upstreams and other instances: what is sent over a new connection.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn request_is_not_sent_that_is_unwanted_when_its_connection_has_opened() {
+fn request_withdrawn_before_its_connection_opens_is_not_sent() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
--- a/tests/testsuite/journal.rs
+++ b/tests/testsuite/journal.rs
@@ -1,4 +1,4 @@
-//! The records of requests at an entry instance.
+//! The journal of request records at an entry instance.
 
 use medlarlug::coordination::entry::journal::Journal;
 use medlarlug_core::{
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn batch_that_no_keeper_took_is_sent_again_in_order() {
+fn batch_that_no_keeper_accepted_is_sent_again_in_order() {
     let mut journal = journal();
     let (first, second) = (begin(&mut journal), begin(&mut journal));
 
--- a/tests/testsuite/logs.rs
+++ b/tests/testsuite/logs.rs
@@ -1,4 +1,4 @@
-//! Buffered lines of logs, while their reader has stopped.
+//! The buffer of log lines while their reader has stopped.
 
 use std::io::Write;
 
@@ -7,7 +7,7 @@
 const LINE: &[u8] = b"{\"message\":\"call ended\"}\n";
 
 #[test]
-fn reader_that_stopped_delays_no_writer_and_costs_counted_lines() {
+fn stopped_reader_delays_no_writer_and_dropped_lines_are_counted() {
     let mut buffer = LineBuffer::default();
 
     for _ in 0..100_000 {
--- a/tests/testsuite/processes/booking.rs
+++ b/tests/testsuite/processes/booking.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn lost_answer_of_a_booking_is_unknown_and_never_sent_again() {
+fn booking_whose_answer_is_lost_is_unknown_and_never_sent_again() {
     let deployment = two_regions().service("desk", "riga-a", "jobdesk").start();
     deployment.configure(items(Residency::Anywhere));
     deployment.wait_upstreams("entry-1", 1);
@@ -66,7 +66,7 @@
         assert_eq!(lost.join().expect("the caller").status, 0);
     });
     let mut again = deployment.book("entry-2", "parcel-7", "{}");
-    wait_for("the loss of the owner to be recorded", || {
+    wait_for("the crash of the owner to be recorded", || {
         again = deployment.book("entry-2", "parcel-7", "{}");
         again.json["type"] == "outcome-unknown"
     });
@@ -76,18 +76,18 @@
 }
 
 #[test]
-fn success_that_crossed_zones_pays_into_the_retry_budget_of_the_sender_to_the_upstream_only() {
+fn success_of_a_forwarded_call_credits_only_the_retry_budget_of_the_sender_to_the_upstream() {
     let deployment = two_regions().service("desk", "riga-a", "jobdesk").start();
     deployment.configure(items(Residency::Anywhere));
     deployment.wait_upstreams("entry-1", 1);
 
     let reply = deployment.book("entry-2", "parcel-7", "{}");
-    let paid = |entry: &str| -> u64 {
+    let credited = |entry: &str| -> u64 {
         let dump = deployment.operator_get(entry, "/dump").json;
         let budgets = dump["process"]["retry_budgets"].as_array().cloned().unwrap_or_default();
         budgets.iter().filter_map(|it| it["successes"].as_u64()).sum()
     };
 
     assert_eq!(reply.status, 200, "{}", reply.text);
-    assert_eq!((paid("entry-1"), paid("entry-2")), (1, 0));
+    assert_eq!((credited("entry-1"), credited("entry-2")), (1, 0));
 }
--- a/tests/testsuite/processes/bounds.rs
+++ b/tests/testsuite/processes/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds on what callers can send, and who gets in where.
+//! Limits on the input and connections of callers, and authentication at each port.
 
 use std::{
     io::{Read, Write},
@@ -11,7 +11,7 @@
 
 use crate::processes::fixture::{add_engines, items, two_regions};
 
-/// One engine, and an entry instance with narrow limits.
+/// A deployment with one engine and one service, whose entry instances have low limits.
 fn deployment() -> Deployment {
     let mut deployment = add_engines(two_regions(), 1, 500).service("desk", "riga-a", "jobdesk");
     deployment.limits = "limits: { header_bytes: 8192, body_bytes: 2048, connections: 3, \
@@ -29,7 +29,7 @@
     stream
 }
 
-/// Sends bytes and reads until the other side closes, or says nothing more.
+/// Sends bytes and reads until the other side closes or sends nothing for [`PATIENCE`].
 fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = open(address);
     let _ = stream.write_all(bytes);
@@ -48,7 +48,7 @@
     )
 }
 
-/// Asserts that the instance still answers, so that nothing it was sent has hurt it.
+/// Asserts that the instance still serves requests and has not panicked.
 fn assert_serves(deployment: &Deployment) {
     let reply = deployment.complete("entry-1", "medlar", "shift");
     assert_eq!(reply.status, 200, "{}", reply.text);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_http_do_not_hurt() {
+fn bytes_that_are_not_http_do_no_harm() {
     let deployment = deployment();
     let callers = deployment.get("entry-1").callers;
     let internal = deployment.internal("entry-1");
@@ -134,10 +134,10 @@
 }
 
 #[test]
-fn connections_above_the_limit_are_closed_and_make_room_again() {
+fn connections_above_the_limit_are_closed_and_later_ones_accepted() {
     let deployment = deployment();
     let callers = deployment.get("entry-1").callers;
-    // An open connection that has said something is surely accepted.
+    // An answer shows that the instance has accepted the connection.
     let held: Vec<TcpStream> = (0..3)
         .map(|_| {
             let mut stream = open(callers);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn connections_between_instances_and_upstreams_are_not_bounded_by_the_limit_for_callers() {
+fn internal_connections_are_not_bounded_by_the_limit_for_callers() {
     let deployment = deployment();
     let internal = deployment.internal("entry-1");
     let request = "POST /v1/announce HTTP/1.1\r\nhost: entry\r\ncontent-length: 0\r\n\r\n";
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn keys_open_their_own_port_only() {
+fn keys_are_accepted_at_their_own_port_only() {
     let deployment = deployment();
     let instance = deployment.get("entry-1");
     let internal = deployment.internal("entry-1");
--- a/tests/testsuite/processes/confirmations.rs
+++ b/tests/testsuite/processes/confirmations.rs
@@ -1,4 +1,4 @@
-//! Operators learn where a revision is in force.
+//! The report to operators of the zones in which a revision is in effect.
 
 use medlarlug_core::release::item::Residency;
 use nix::sys::signal::Signal;
@@ -21,14 +21,14 @@
     reply.json["revision"].as_u64().unwrap_or_else(|| panic!("{}", reply.text))
 }
 
-/// The instances of a zone that have not confirmed.
-fn missing(seen: &Value, zone: &str) -> Option<Value> {
-    let zones = seen["zones"].as_array()?;
+/// The instances of a zone that have not confirmed the revision.
+fn missing(report: &Value, zone: &str) -> Option<Value> {
+    let zones = report["zones"].as_array()?;
     zones.iter().find(|it| it["zone"] == zone).map(|it| it["missing"].clone())
 }
 
 #[test]
-fn silent_instance_is_named_until_its_lease_has_run_out() {
+fn unresponsive_instance_is_named_until_its_lease_has_expired() {
     let deployment = two_regions().start();
     deployment.configure(items(Residency::Anywhere));
     let first = apply_next(&deployment, "latgale");
@@ -41,7 +41,7 @@
     let second = apply_next(&deployment, "zemgale");
     let early = confirmations(&deployment, "entry-1", second);
     let mut late = Value::Null;
-    wait_for("the end of the lease of the silent instance", || {
+    wait_for("the end of the lease of the unresponsive instance", || {
         late = confirmations(&deployment, "keeper-1", second);
         late["everywhere"] == true
     });
--- a/tests/testsuite/processes/fixture.rs
+++ b/tests/testsuite/processes/fixture.rs
@@ -1,4 +1,4 @@
-//! Deployments that the tests share.
+//! Deployments and helpers that the tests share.
 
 use std::path::Path;
 
@@ -27,7 +27,7 @@
         .entry("entry-2", "liepaja-a")
 }
 
-/// The items of a first release note, with one team that has the given residency.
+/// The items of the first release note; its one team has the given residency.
 pub fn items(residency: Residency) -> Vec<Item> {
     let link = |from: &str, to: &str| {
         Item::Link(Link {
@@ -58,7 +58,7 @@
     ]
 }
 
-/// One zone with so many engines that generate `speed` tokens a second.
+/// Starts [`two_regions`] with `count` engines in riga-a, each generating `speed` tokens per second.
 pub fn with_engines(count: usize, speed: u32) -> Deployment {
     let deployment = add_engines(two_regions(), count, speed).start();
     deployment.configure(items(Residency::Anywhere));
@@ -66,7 +66,7 @@
     deployment
 }
 
-/// Adds so many engines that generate `speed` tokens a second to the zone riga-a.
+/// Adds `count` engines that generate `speed` tokens per second to the zone riga-a.
 pub fn add_engines(deployment: Deployment, count: usize, speed: u32) -> Deployment {
     let names: Vec<String> = (1..=count).map(|it| format!("engine-{it}")).collect();
     let mut deployment =
@@ -77,7 +77,7 @@
     deployment
 }
 
-/// What an upstream tells of itself.
+/// The state that an upstream reports at its control port.
 pub fn state(deployment: &Deployment, upstream: &str) -> Value {
     let upstream = deployment.upstreams.iter().find(|it| it.id == upstream).expect("an upstream");
     call("GET", upstream.control, "/state", &[], "").json
@@ -90,7 +90,7 @@
     lines.filter_map(|it| it.rsplit(' ').next()?.parse::<u64>().ok()).sum()
 }
 
-/// Asserts that an answer is whole and the one expected.
+/// Asserts that an answer is complete and has the expected text.
 pub fn assert_whole(streamed: &Streamed, prompt: &str, tokens: usize) {
     assert_eq!(streamed.ending, Ending::Whole, "{streamed:?}");
     assert_eq!(streamed.text, expected(prompt, Some(tokens)));
@@ -99,7 +99,7 @@
 /// The replication groups of [`two_regions`].
 pub const GROUPS: [&str; 3] = ["configuration", "home-kurzeme", "home-riga"];
 
-/// Sends a booking until it is answered; gives the answer.
+/// Sends a booking until it is answered; returns the answer.
 pub fn book_until_answered(deployment: &Deployment, entry: &str, key: &str) -> String {
     let mut text = String::new();
     wait_for("an answer to the booking", || {
@@ -113,25 +113,25 @@
 /// The keepers of [`two_regions`].
 pub const KEEPERS: [&str; 3] = ["keeper-1", "keeper-2", "keeper-3"];
 
-/// The revision in force at an instance; 0 while none is.
+/// The active revision of an instance; 0 while it has none.
 pub fn revision(deployment: &Deployment, instance: &str) -> u64 {
     let status = deployment.operator_get(instance, "/status").json;
     status["revision"].as_u64().unwrap_or_default()
 }
 
-/// The groups of a keeper, as its status shows them.
+/// The replication groups in the status of a keeper.
 pub fn groups(deployment: &Deployment, keeper: &str) -> Vec<Value> {
     let groups = deployment.operator_get(keeper, "/status").json["groups"].clone();
     groups.as_array().cloned().unwrap_or_default()
 }
 
-/// One group of a keeper; null while the keeper does not answer.
+/// The status of one replication group at a keeper; null while the keeper does not answer.
 pub fn group(deployment: &Deployment, keeper: &str, name: &str) -> Value {
     let mut groups = groups(deployment, keeper).into_iter();
     groups.find(|it| it["group"] == name).unwrap_or_default()
 }
 
-/// Waits until a keeper leads a group; gives the keeper.
+/// Waits until a keeper leads a group; returns the keeper.
 pub fn wait_leader(deployment: &Deployment, name: &str) -> String {
     let mut found = None;
     wait_for("a leader", || {
--- a/tests/testsuite/processes/isolation.rs
+++ b/tests/testsuite/processes/isolation.rs
@@ -1,4 +1,4 @@
-//! A zone that is cut off from the others: its links carry nothing and stay open.
+//! A zone isolated from the others: its connections stay open and deliver nothing.
 
 use medlarlug_core::release::{
     Item, RawNote,
@@ -12,7 +12,7 @@
 
 use crate::processes::fixture::{items, revision, two_regions};
 
-/// Milliseconds for which an instance crosses regions without a confirmed revision.
+/// Configuration lease: how long an instance forwards to other regions without a confirmed revision.
 const LEASE_MS: u64 = 8_000;
 
 /// An engine in each of two regions, and two keepers of three in riga-a.
@@ -29,7 +29,7 @@
 }
 
 /// Whether an instance is in liepaja-a.
-fn is_cut_off(instance: &str) -> bool {
+fn is_isolated(instance: &str) -> bool {
     matches!(instance, "entry-2" | "keeper-3")
 }
 
@@ -42,7 +42,7 @@
     call("GET", upstream.control, "/runs", &[], "").json
 }
 
-/// How `entry` sees `peer`.
+/// The state of `peer` in the membership of `entry`.
 fn state_of(deployment: &Deployment, entry: &str, peer: &str) -> String {
     let peers = deployment.operator_get(entry, "/status").json["peers"].clone();
     let peers = peers.as_array().cloned().unwrap_or_default();
@@ -52,27 +52,27 @@
 
 /// Waits until each entry instance sees the other in `state`.
 fn wait_states(deployment: &Deployment, state: fn(&str) -> bool) {
-    wait_for("the views of both entry instances", || {
+    wait_for("both entry instances to see each other in the expected state", || {
         state(&state_of(deployment, "entry-1", "entry-2"))
             && state(&state_of(deployment, "entry-2", "entry-1"))
     });
 }
 
-/// A note that adds a team.
+/// A note that adds the team `name`.
 fn next_note(base: u64, name: &str) -> RawNote {
     let added = Team { rate: "5/s".parse().expect("a rate"), ..team(name, "riga") };
     note(base, vec![Item::Team(added)])
 }
 
 #[test]
-fn isolated_zone_serves_its_callers_crosses_no_region_and_agrees_again_after_the_heal() {
+fn isolated_zone_serves_its_callers_forwards_to_no_region_and_converges_after_the_heal() {
     let mut deployment = deployment();
     wait_states(&deployment, |it| it == "up");
     let before = revision(&deployment, "entry-2");
 
-    deployment.network().partition_messages(is_cut_off, true);
+    deployment.network().partition_messages(is_isolated, true);
     wait_states(&deployment, |it| it != "up");
-    let near = ["entry-1", "entry-2"].map(|it| deployment.complete(it, "medlar", "near"));
+    let local = ["entry-1", "entry-2"].map(|it| deployment.complete(it, "medlar", "near"));
     let accepted = deployment.apply("entry-1", &next_note(before, "loft"));
     wait_for("the end of the configuration lease", || {
         dump(&deployment, "entry-2")["confirmed_ms"].as_u64().is_some_and(|it| it > LEASE_MS)
@@ -80,23 +80,23 @@
     let late = deployment.complete("entry-2", "medlar", "late");
     deployment.kill("engine-2");
     let ran = runs(&deployment, "engine-1");
-    let far = deployment.complete("entry-2", "medlar", "far");
+    let remote = deployment.complete("entry-2", "medlar", "far");
     let ran_after = runs(&deployment, "engine-1");
     let during = revision(&deployment, "entry-2");
-    deployment.network().partition_messages(is_cut_off, false);
+    deployment.network().partition_messages(is_isolated, false);
     wait_states(&deployment, |it| it == "up");
     wait_for("the revision in the healed zone", || {
         revision(&deployment, "entry-2") == revision(&deployment, "entry-1")
     });
 
-    near.iter().for_each(|it| assert_eq!(it.status, 200, "{}", it.text));
+    local.iter().for_each(|it| assert_eq!(it.status, 200, "{}", it.text));
     assert_eq!(late.status, 200, "{}", late.text);
     assert_eq!(accepted.status, 200, "{}", accepted.text);
-    assert_eq!(far.json["outcome"], "not_run", "{}", far.text);
+    assert_eq!(remote.json["outcome"], "not_run", "{}", remote.text);
     assert_eq!(ran, ran_after);
     assert_eq!(during, before);
     assert!(revision(&deployment, "entry-2") > before);
-    wait_for("a crossing after the heal", || {
+    wait_for("a forwarded request to be answered after the heal", || {
         deployment.complete("entry-2", "medlar", "healed").status == 200
     });
 }
--- a/tests/testsuite/processes/keepers.rs
+++ b/tests/testsuite/processes/keepers.rs
@@ -1,4 +1,4 @@
-//! What survives the loss of keepers and their disks.
+//! Bookings and the configuration after the loss of keepers and their disks.
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering},
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn killed_leader_is_replaced_and_bookings_go_on_with_one_run_each() {
+fn killed_leader_is_replaced_and_bookings_continue_with_one_run_each() {
     let mut deployment = with_service();
     book_until_answered(&deployment, "entry-1", "parcel-1");
     let leader = wait_leader(&deployment, "home-riga");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn frozen_leader_is_replaced_and_does_not_disturb_on_return() {
+fn frozen_leader_is_replaced_and_its_return_affects_no_booking() {
     let deployment = with_service();
     book_until_answered(&deployment, "entry-1", "parcel-1");
     let frozen = wait_leader(&deployment, "home-riga");
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn keeper_whose_folder_was_deleted_is_let_in_again_and_a_second_loss_is_survived() {
+fn keeper_whose_folder_was_deleted_is_admitted_again_and_a_second_loss_is_survived() {
     let mut deployment = with_service();
     let first = book_until_answered(&deployment, "entry-1", "parcel-1");
 
@@ -101,13 +101,13 @@
     assert_eq!(deployment.runs("parcel-2"), 1);
 }
 
-/// Bookings that one caller sends while keepers restart.
-const BOOKINGS: usize = 40;
+/// Bookings that each caller sends while keepers restart.
+const BOOKINGS_PER_CALLER: usize = 40;
 
-/// Books under many keys, whatever the answers; tells the keys with the acknowledged answers.
+/// Sends bookings under many keys; returns the keys and answers of those that were acknowledged.
 fn book_many(deployment: &Deployment, entry: &str, sent: &AtomicUsize) -> Vec<(String, String)> {
     let mut acknowledged = Vec::new();
-    for count in 0..BOOKINGS {
+    for count in 0..BOOKINGS_PER_CALLER {
         let key = format!("{entry}-{count}");
         let reply = deployment.book(entry, &key, "{}");
         sent.fetch_add(1, Ordering::Relaxed);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn bookings_are_single_and_known_after_all_keepers_restarted_twice_meanwhile() {
+fn bookings_run_at_most_once_and_stay_known_when_all_keepers_restart_twice_meanwhile() {
     let deployment = with_service();
     book_until_answered(&deployment, "entry-1", "parcel-0");
     let sent = AtomicUsize::new(0);
@@ -135,7 +135,9 @@
         let book = |entry| scope.spawn(move || book_many(shared, entry, sent));
         let callers = ["entry-1", "entry-2"].map(book);
         for round in 1..=2 {
-            wait_for("some bookings", || sent.load(Ordering::Relaxed) >= round * BOOKINGS / 2);
+            wait_for("some bookings", || {
+                sent.load(Ordering::Relaxed) >= round * BOOKINGS_PER_CALLER / 2
+            });
             restart_keepers(shared);
         }
         let all = callers.map(|it| it.join().expect("no panic"));
@@ -144,7 +146,7 @@
 
     assert!(!acknowledged.is_empty());
     for entry in ["entry-1", "entry-2"] {
-        for count in 0..BOOKINGS {
+        for count in 0..BOOKINGS_PER_CALLER {
             let key = format!("{entry}-{count}");
             assert!(deployment.runs(&key) <= 1, "{key}");
         }
--- a/tests/testsuite/processes/maintenance.rs
+++ b/tests/testsuite/processes/maintenance.rs
@@ -1,4 +1,4 @@
-//! What the operators' page tells to do: a new deployment key, a backup and its restoration.
+//! Procedures of the operators' page: change of the deployment key, backup and restore.
 
 use medlarlug_core::release::item::Residency;
 use nix::sys::signal::Signal;
@@ -8,7 +8,7 @@
     GROUPS, KEEPERS, add_engines, book_until_answered, items, two_regions,
 };
 
-/// Restarts every process in turn, each gracefully; waits until the system is whole again.
+/// Restarts every process in turn and gracefully; after each one waits until bookings are answered.
 fn restart_in_turn(deployment: &mut Deployment) {
     let instances = deployment.instances.iter().map(|it| it.id.clone());
     let upstreams = deployment.upstreams.iter().map(|it| it.id.clone());
@@ -42,7 +42,7 @@
     let inferred = deployment.complete("entry-1", "medlar", "shift");
 
     assert_eq!(again, first);
-    // The service counts from its last restart, which came after the first run.
+    // The service has restarted after the run, and its ledger counts from the restart.
     assert_eq!(deployment.runs("parcel-1"), 0);
     assert_eq!(inferred.status, 200, "{}", inferred.text);
 }
--- a/tests/testsuite/processes/mod.rs
+++ b/tests/testsuite/processes/mod.rs
@@ -1,4 +1,4 @@
-//! Tests on real processes: the whole path and its failures.
+//! End-to-end tests on real processes, without and with faults.
 
 mod booking;
 mod bounds;
--- a/tests/testsuite/processes/moves.rs
+++ b/tests/testsuite/processes/moves.rs
@@ -1,4 +1,4 @@
-//! A team's home region moves while its bookings are under way.
+//! Moves of a team's home region while its bookings are in flight.
 
 use std::thread;
 
@@ -18,8 +18,8 @@
 
 const ENTRIES: [&str; 2] = ["entry-1", "entry-2"];
 
-/// Bookings that each entry instance is sent.
-const BOOKINGS: usize = 40;
+/// Bookings sent to each entry instance.
+const BOOKINGS_PER_ENTRY: usize = 40;
 
 fn with_service() -> Deployment {
     let deployment = two_regions().service("desk", "riga-a", "jobdesk").start();
@@ -38,13 +38,14 @@
     RawNote { changed: vec![Item::Team(team)], ..note(base, Vec::new()) }
 }
 
-/// Moves the team's home; tells the revision.
+/// Moves the team's home; returns the revision of the note.
 fn move_home(deployment: &Deployment, region: &str) -> u64 {
     let base = deployment.operator_get("keeper-1", "/status").json["revision"].as_u64();
     let note = move_to(region, base.expect("a revision"));
     let reply = deployment.apply("entry-1", &note);
     assert_eq!(reply.status, 200, "{}", reply.text);
-    let revision: Revision = serde_json::from_value(reply.json["revision"].clone()).expect("one");
+    let revision: Revision =
+        serde_json::from_value(reply.json["revision"].clone()).expect("a revision");
     revision.0
 }
 
@@ -57,14 +58,14 @@
     }
 }
 
-/// Books keys one after another; tells the answers.
+/// Sends bookings one after another; returns their keys and answers.
 fn book_all(deployment: &Deployment, entry: &str) -> Vec<(String, String)> {
-    let keys = (0..BOOKINGS).map(|it| format!("{entry}-{it}"));
+    let keys = (0..BOOKINGS_PER_ENTRY).map(|it| format!("{entry}-{it}"));
     keys.map(|key| (key.clone(), book_until_answered(deployment, entry, &key))).collect()
 }
 
 #[test]
-fn bookings_under_way_run_once_and_are_known_at_the_new_home() {
+fn bookings_in_flight_run_once_and_are_known_at_the_new_home() {
     let deployment = with_service();
 
     let (answers, revision) = thread::scope(|scope| {
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn move_is_completed_by_the_next_leader_and_leads_back_again() {
+fn move_is_completed_by_the_next_leader_and_can_be_reversed() {
     let mut deployment = with_service();
     let first = book_until_answered(&deployment, "entry-1", "parcel-1");
 
--- a/tests/testsuite/processes/operators.rs
+++ b/tests/testsuite/processes/operators.rs
@@ -1,4 +1,4 @@
-//! Operators that race, resend after lost answers, and rebuild a group.
+//! Concurrent notes of operators, notes sent again after a lost answer, and the rebuild of a group.
 
 use std::{
     io::Write,
@@ -16,13 +16,13 @@
     GROUPS, KEEPERS, book_until_answered, group, items, revision, two_regions,
 };
 
-/// The newest revision: that of the leader of the configuration group.
+/// The newest revision at any keeper: that of the leader of the configuration group.
 fn newest_revision(deployment: &Deployment) -> u64 {
     KEEPERS.iter().map(|it| revision(deployment, it)).max().unwrap_or_default()
 }
 
-/// Sends a note and closes the connection before the answer.
-fn apply_and_leave(deployment: &Deployment, keeper: &str, note: &RawNote) {
+/// Sends a note and disconnects without reading the answer.
+fn apply_and_disconnect(deployment: &Deployment, keeper: &str, note: &RawNote) {
     let body = serde_json::to_string(note).expect("a note is JSON");
     let address = deployment.get(keeper).operators;
     let mut stream = TcpStream::connect(address).expect("a running keeper");
@@ -71,7 +71,7 @@
     let note = test_support::note(base, vec![idempotent_service("further")]);
     let later = test_support::note(base + 1, vec![idempotent_service("later")]);
 
-    apply_and_leave(&deployment, "keeper-2", &note);
+    apply_and_disconnect(&deployment, "keeper-2", &note);
     let first = deployment.apply("keeper-1", &note);
     wait_for("the next note", || deployment.apply("entry-1", &later).status == 200);
     let again = deployment.apply("keeper-3", &note);
@@ -81,7 +81,8 @@
     assert_eq!(again.json, first.json);
 }
 
-/// Three keepers, of which `keeper-3` lacks `parcel-2` and the others lost their disks.
+/// Three keepers, of which `keeper-3` lacks `parcel-2` and the others have lost their disks; also
+/// returns the answer to `parcel-1`.
 fn with_lost_majority() -> (Deployment, String) {
     let deployment = two_regions().relayed().service("desk", "riga-a", "jobdesk");
     let mut deployment = deployment.start();
@@ -98,7 +99,7 @@
         deployment.kill(keeper);
         deployment.delete_data(keeper);
     }
-    // What waits for the survivor is lost with its senders.
+    // Drops what the partition held back for the survivor, as the crash of the senders would.
     deployment.network().forget_open(|_| true, |it| it == "keeper-3");
     deployment.network().partition(|it| it == "keeper-3", false);
     for keeper in ["keeper-1", "keeper-2"] {
--- a/tests/testsuite/processes/orders.rs
+++ b/tests/testsuite/processes/orders.rs
@@ -1,4 +1,4 @@
-//! Orders reach engines from one issuer at a time, under fences that rise.
+//! Orders reach engines from one issuer at a time, under increasing fencing tokens.
 
 use std::path::Path;
 
@@ -34,7 +34,7 @@
     deployment
 }
 
-/// A note that gives the model `medlar` these versions.
+/// A note that sets the versions of the model `medlar`.
 fn versions(names: &[&str], base: u64) -> RawNote {
     let model = Model {
         id: id("medlar"),
@@ -52,7 +52,8 @@
     });
 }
 
-fn taken(deployment: &Deployment) -> Vec<Order> {
+/// The orders that the engine has received, oldest first.
+fn received_orders(deployment: &Deployment) -> Vec<Order> {
     let engine = deployment.upstreams.iter().find(|it| it.id == "engine-1").expect("the engine");
     let orders = call("GET", engine.control, "/orders", &[], "").json;
     serde_json::from_value(orders).expect("orders")
@@ -63,18 +64,18 @@
 }
 
 fn wait_load(deployment: &Deployment, name: &str) -> FencingToken {
-    let mut fence = FencingToken::default();
+    let mut token = FencingToken::default();
     wait_for("the order to load", || {
-        let taken = taken(deployment);
-        let found = taken.iter().find(|it| is_load(it, name));
-        fence = found.map(|it| it.fence).unwrap_or_default();
+        let orders = received_orders(deployment);
+        let found = orders.iter().find(|it| is_load(it, name));
+        token = found.map(|it| it.fence).unwrap_or_default();
         found.is_some()
     });
-    fence
+    token
 }
 
 #[test]
-fn new_version_is_loaded_once_and_the_next_issuer_goes_on_under_a_higher_term() {
+fn new_version_is_loaded_once_and_the_next_issuer_continues_under_a_higher_term() {
     let deployment = one_region();
 
     apply(&deployment, "entry-1", &["v1", "v2"]);
@@ -87,13 +88,13 @@
     let second = wait_load(&deployment, "v3");
     wait_for("the withdrawn version to be unloaded", || {
         let unload = |it: &Order| matches!(&it.task.kind, OrderKind::Unload { version, .. } if version.as_str() == "v2");
-        taken(&deployment).iter().any(unload)
+        received_orders(&deployment).iter().any(unload)
     });
 
     assert!(second.term > first.term, "{first} {second}");
-    let taken = taken(&deployment);
-    assert!(taken.is_sorted_by(|a, b| a.fence < b.fence), "{taken:?}");
+    let orders = received_orders(&deployment);
+    assert!(orders.is_sorted_by(|a, b| a.fence < b.fence), "{orders:?}");
     for name in ["v2", "v3"] {
-        assert_eq!(taken.iter().filter(|it| is_load(it, name)).count(), 1, "{name}: {taken:?}");
+        assert_eq!(orders.iter().filter(|it| is_load(it, name)).count(), 1, "{name}: {orders:?}");
     }
 }
--- a/tests/testsuite/processes/outcomes.rs
+++ b/tests/testsuite/processes/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of bookings are recorded in the end, also when the home group is away for a while.
+//! Outcomes of bookings are recorded eventually, even if the home group is unavailable for a while.
 
 use std::{fs, process::Command, thread};
 
@@ -16,7 +16,7 @@
     deployment
 }
 
-/// Items whose service tells the outcome of an earlier call.
+/// Items whose service reports the outcome of an earlier call.
 fn items_with_outcomes() -> Vec<Item> {
     let mut items = items(Residency::Anywhere);
     for it in &mut items {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn outcome_that_finds_no_majority_is_recorded_once_there_is_one() {
+fn outcome_reported_without_a_majority_is_recorded_once_there_is_one() {
     let deployment = with_service(items(Residency::Anywhere));
     deployment.fault("desk", &json!({ "kind": "late_answer", "count": 1, "delay_ms": 1_000 }));
 
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn service_that_tells_outcomes_is_asked_after_a_lost_answer() {
+fn service_that_reports_outcomes_is_queried_after_a_lost_answer() {
     let deployment = with_service(items_with_outcomes());
     deployment.fault("desk", &json!({ "kind": "lose_answer", "count": 1 }));
 
@@ -69,7 +69,7 @@
     assert_eq!(deployment.runs("parcel-7"), 1);
 }
 
-/// The request that the ledger of a service names for a key.
+/// The id of the request that ran under a key, from the ledger of the service.
 fn request_of_run(deployment: &Deployment, key: &str) -> Option<String> {
     let control = deployment.upstreams[0].control;
     let runs = call("GET", control, "/runs", &[], "").json;
@@ -77,8 +77,8 @@
     run["answer"]["id"].as_str().map(str::to_owned)
 }
 
-/// What `medlarlug request` prints.
-fn told(deployment: &Deployment, entry: &str, request: &str) -> String {
+/// The output of `medlarlug request`.
+fn printed_record(deployment: &Deployment, entry: &str, request: &str) -> String {
     let address = deployment.get(entry).operators.to_string();
     let key = deployment.settings(entry).with_file_name("operator.key");
     fs::write(&key, OPERATOR_KEY).expect("a key file");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn booking_of_a_killed_owner_is_settled_by_an_instance_that_asks_the_service() {
+fn booking_of_a_killed_owner_is_resolved_by_an_instance_that_queries_the_service() {
     let deployment =
         two_regions().entry("entry-3", "riga-a").service("desk", "riga-a", "jobdesk").start();
     deployment.configure(items_with_outcomes());
@@ -106,8 +106,8 @@
         assert_eq!(lost.join().expect("the caller").status, 0);
     });
     let request = request_of_run(&deployment, "parcel-7").expect("the run");
-    wait_for("the outcome told by the service", || {
-        told(&deployment, "entry-3", &request).contains("\"outcome\": \"answered\"")
+    wait_for("the outcome reported by the service", || {
+        printed_record(&deployment, "entry-3", &request).contains("\"outcome\": \"answered\"")
     });
     let mut again = deployment.book("entry-2", "parcel-7", "{}");
     wait_for("the recorded outcome", || {
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn resend_that_cannot_reach_the_home_leaves_open_what_became_of_the_first_send() {
+fn resend_that_cannot_reach_the_home_reports_the_first_send_as_unknown() {
     let deployment = with_service(items(Residency::Anywhere));
     let first = deployment.book("entry-1", "parcel-7", "{}");
 
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn owner_that_died_before_every_keeper_restarted_leaves_its_booking_unknown() {
+fn owner_that_crashed_before_every_keeper_restarted_leaves_its_booking_unknown() {
     let mut deployment = with_service(items(Residency::Anywhere));
     deployment.fault("desk", &json!({ "kind": "late_answer", "count": 1, "delay_ms": 60_000 }));
 
@@ -154,7 +154,7 @@
     let keepers = ["keeper-1", "keeper-2", "keeper-3"];
     keepers.iter().for_each(|it| deployment.kill(it));
     keepers.iter().for_each(|it| deployment.start_process(it));
-    wait_for("the loss of the owner to be recorded", || {
+    wait_for("the crash of the owner to be recorded", || {
         deployment.book("entry-2", "parcel-7", "{}").json["type"] == "outcome-unknown"
     });
 
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn restart_of_every_keeper_founds_no_home_group_anew() {
+fn restart_of_every_keeper_founds_no_home_group_again() {
     let mut deployment = with_service(items(Residency::Anywhere));
     let first = deployment.book("entry-1", "parcel-1", "{}");
     let before = revision(&deployment, "keeper-1");
--- a/tests/testsuite/processes/partition.rs
+++ b/tests/testsuite/processes/partition.rs
@@ -1,4 +1,4 @@
-//! Silent links, partitions and restarts: bookings and the configuration go on.
+//! Bookings and the configuration under unresponsive links, partitions and restarts.
 
 use medlarlug_core::{
     fingerprint::Fingerprint,
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn bookings_go_on_after_every_open_link_of_keepers_goes_silent() {
+fn bookings_continue_after_every_open_link_of_keepers_becomes_unresponsive() {
     let deployment = with_service(two_regions());
     let first = book_until_answered(&deployment, "entry-1", "parcel-1");
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn bookings_go_on_after_open_links_go_silent_one_way() {
+fn bookings_continue_after_open_links_become_unresponsive_in_one_direction() {
     let deployment = with_service(two_regions());
     book_until_answered(&deployment, "entry-1", "parcel-1");
 
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn leader_behind_a_silent_partition_steps_down_and_returns_without_a_new_term() {
+fn partitioned_leader_steps_down_and_returns_without_a_new_term() {
     let deployment = with_service(two_regions());
     let first = book_until_answered(&deployment, "entry-1", "parcel-1");
     let isolated = wait_leader(&deployment, "home-riga");
@@ -98,10 +98,10 @@
 }
 
 #[test]
-fn region_that_is_cut_off_books_for_its_own_callers_and_refuses_others_as_not_run() {
-    let (near, far) = ("caller-key-of-nets", "entry-2");
+fn isolated_region_serves_bookings_of_its_own_teams_and_refuses_others_as_not_run() {
+    let (nets_key, isolated_entry) = ("caller-key-of-nets", "entry-2");
     let nets = Team {
-        keys: vec![Fingerprint::of(near.as_bytes())],
+        keys: vec![Fingerprint::of(nets_key.as_bytes())],
         residency: Residency::Home,
         rate: id("1000/s"),
         burst: id("1000"),
@@ -118,26 +118,26 @@
     let all = items(Residency::Anywhere).into_iter().chain([Item::Team(nets)]);
     deployment.configure(all.collect());
     deployment.wait_upstreams("entry-1", 1);
-    deployment.wait_upstreams(far, 1);
-    let is_inside = |it: &str| ["entry-2", "keeper-3", "keeper-4"].contains(&it);
+    deployment.wait_upstreams(isolated_entry, 1);
+    let is_isolated = |it: &str| ["entry-2", "keeper-3", "keeper-4"].contains(&it);
 
-    deployment.network().partition(is_inside, true);
+    deployment.network().partition(is_isolated, true);
     let mut own = None;
-    wait_for("a booking in the region that is cut off", || {
-        let reply = deployment.book_as(near, far, "parcel-1", "{}");
+    wait_for("a booking in the isolated region", || {
+        let reply = deployment.book_as(nets_key, isolated_entry, "parcel-1", "{}");
         let is_answered = reply.status == 200;
         own = Some(reply);
         is_answered
     });
-    let other = deployment.book_as(CALLER_KEY, far, "parcel-2", "{}");
+    let other = deployment.book_as(CALLER_KEY, isolated_entry, "parcel-2", "{}");
 
     assert_eq!(other.status, 503, "{}", other.text);
     assert_eq!(other.json["outcome"], "not_run", "{}", other.text);
     assert_eq!((deployment.runs("parcel-1"), deployment.runs("parcel-2")), (1, 0));
 
-    deployment.network().partition(is_inside, false);
-    book_until_answered(&deployment, far, "parcel-2");
-    let again = deployment.book_as(near, "entry-1", "parcel-1", "{}");
+    deployment.network().partition(is_isolated, false);
+    book_until_answered(&deployment, isolated_entry, "parcel-2");
+    let again = deployment.book_as(nets_key, "entry-1", "parcel-1", "{}");
     assert_eq!(Some(again.text), own.map(|it| it.text));
     assert_eq!((deployment.runs("parcel-1"), deployment.runs("parcel-2")), (1, 1));
 }
@@ -152,59 +152,62 @@
     wait_for("the new revision", || {
         ["entry-1", "entry-2"].iter().all(|it| revision(&deployment, it) >= new)
     });
-    // Only the keeper that lags is reachable from the restarted instances.
-    let is_inside = |it: &str| ["keeper-3", "entry-1", "entry-2"].contains(&it);
+    // The restarted instances can reach the lagging keeper only.
+    let is_isolated = |it: &str| ["keeper-3", "entry-1", "entry-2"].contains(&it);
     deployment.network().partition(|it| it == "keeper-3", false);
-    deployment.network().partition(is_inside, true);
+    deployment.network().partition(is_isolated, true);
     let mut lowest = u64::MAX;
     for entry in ["entry-1", "entry-2"] {
         deployment.kill(entry);
         deployment.start_process(entry);
-        wait_for("the restarted instance to have heard keeper-3", || {
-            lowest = lowest.min(known_revision(&deployment, entry));
-            hears(&deployment, entry, "keeper-3")
+        wait_for("the restarted instance to receive heartbeats of keeper-3", || {
+            lowest = lowest.min(revision_or_max(&deployment, entry));
+            sees_up(&deployment, entry, "keeper-3")
         });
     }
-    deployment.network().partition(is_inside, false);
+    deployment.network().partition(is_isolated, false);
     for entry in ["entry-1", "entry-2"] {
         wait_for("the new revision after the restart", || {
-            lowest = lowest.min(known_revision(&deployment, entry));
+            lowest = lowest.min(revision_or_max(&deployment, entry));
             revision(&deployment, entry) >= new
         });
     }
 
     assert!(old < new);
-    assert!(lowest >= new, "revision {lowest} was in force after {new}");
+    assert!(lowest >= new, "revision {lowest} was active after {new}");
 }
 
-/// The revision in force, or the highest number if none is.
-fn known_revision(deployment: &Deployment, instance: &str) -> u64 {
+/// The active revision of an instance; `u64::MAX` while it has none.
+fn revision_or_max(deployment: &Deployment, instance: &str) -> u64 {
     match revision(deployment, instance) {
         0 => u64::MAX,
         known => known,
     }
 }
 
-fn hears(deployment: &Deployment, instance: &str, peer: &str) -> bool {
+/// Whether `instance` sees `peer` as up.
+fn sees_up(deployment: &Deployment, instance: &str, peer: &str) -> bool {
     let peers = deployment.operator_get(instance, "/status").json["peers"].clone();
     let peers = peers.as_array().cloned().unwrap_or_default();
     peers.iter().any(|it| it["instance"] == peer && it["state"] == "up")
 }
 
 #[test]
-fn keeper_that_starts_while_links_to_it_are_silent_is_reached_again() {
+fn keeper_that_starts_while_links_to_it_are_unresponsive_is_reached_again() {
     let mut deployment = with_service(two_regions());
     let is_restarted = |it: &str| it == "keeper-3";
     let term = |it: &Deployment| group(it, "keeper-3", "home-riga")["term"].as_u64();
     wait_for("a term at the keeper", || term(&deployment).is_some_and(|it| it > 0));
 
-    // The restarted keeper has never heard those whose connections to it are silent.
+    // The restarted keeper has never received anything from the peers whose connections are unresponsive.
     deployment.network().forget_open(|_| true, is_restarted);
     deployment.kill("keeper-3");
     deployment.start_process("keeper-3");
 
     for peer in ["keeper-1", "keeper-2", "entry-1", "entry-2"] {
-        wait_for("each instance to be heard again", || hears(&deployment, "keeper-3", peer));
+        wait_for("the keeper to receive heartbeats of each instance", || {
+            sees_up(&deployment, "keeper-3", peer)
+        });
     }
     wait_for("the keeper to follow again", || {
         group(&deployment, "keeper-3", "home-riga")["leader"].is_string()
--- a/tests/testsuite/processes/path.rs
+++ b/tests/testsuite/processes/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: an answer, a refusal and the fate of each.
+//! Requests from the caller to the upstream: answers, refusals and the records of both.
 
 use medlarlug_core::release::item::Residency;
 use test_support::deployment::wait_for;
@@ -6,7 +6,7 @@
 use crate::processes::fixture::{items, two_regions};
 
 #[test]
-fn completion_is_answered_and_its_fate_is_told_by_another_instance() {
+fn completion_is_answered_and_its_record_is_read_at_another_instance() {
     let deployment = two_regions().engine("engine-1", "riga-a", "medlar").start();
     deployment.configure(items(Residency::Home));
     deployment.wait_upstreams("entry-1", 1);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn request_that_may_leave_its_region_crosses_once_and_is_answered() {
+fn request_that_may_leave_its_region_is_forwarded_once_and_answered() {
     let deployment = two_regions().engine("engine-2", "liepaja-a", "medlar").start();
     deployment.configure(items(Residency::Anywhere));
     deployment.wait_upstreams("entry-2", 1);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn measures_of_a_request_are_told_in_prometheus_text() {
+fn metrics_of_a_request_are_exported_as_prometheus_text() {
     let deployment = two_regions().engine("engine-1", "riga-a", "medlar").start();
     deployment.configure(items(Residency::Home));
     deployment.wait_upstreams("entry-1", 1);
--- a/tests/testsuite/processes/shutdown.rs
+++ b/tests/testsuite/processes/shutdown.rs
@@ -1,4 +1,4 @@
-//! Entry instances that stop: withdrawn, drained, restarted in turn under load.
+//! Shutdown of entry instances: withdrawal from the directory, drain, and a rolling restart under load.
 
 use std::{
     io::{Read, Write},
@@ -21,13 +21,13 @@
 
 const ENTRIES: [&str; 3] = ["entry-1", "entry-2", "entry-3"];
 
-/// Requests sent in all while every entry instance is restarted.
-const REQUESTS: usize = 10_000;
+/// Requests that all callers together send at least during the rolling restart.
+const MIN_REQUESTS: usize = 10_000;
 
-/// Callers that send them.
+/// Concurrent callers during the rolling restart.
 const CALLERS: usize = 12;
 
-/// Tokens of an answer.
+/// Tokens of each answer during the rolling restart.
 const TOKENS: usize = 4;
 
 /// Two entry instances in riga-a and one in liepaja-a, with engines in riga-a.
@@ -47,7 +47,7 @@
 
 /// Waits until all of `entries` are ready and listed in the directory of each.
 ///
-/// While none is ready every one is listed, so that being listed alone tells nothing.
+/// While no instance is ready the directory lists all of them, so being listed does not prove readiness.
 fn wait_listed(deployment: &Deployment, entries: &[&str]) {
     wait_for("readiness", || {
         let dump = |it| deployment.operator_get(it, "/dump").json["process"].clone();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn stopping_instance_is_withdrawn_ends_every_request_and_exits_well() {
+fn stopping_instance_is_withdrawn_completes_every_request_and_exits_successfully() {
     let mut deployment = deployment(2, 100);
     let mut open: Vec<_> =
         (0..10).map(|it| deployment.open_stream("entry-1", &format!("shift {it}"), 200)).collect();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn body_that_arrives_after_the_stop_has_begun_is_refused_as_not_run() {
+fn body_that_arrives_after_the_drain_has_started_is_refused_as_not_run() {
     let mut deployment = deployment(1, 500);
     let body = json!({ "model": "medlar", "prompt": "shift", "max_tokens": 4 }).to_string();
     let head = format!(
@@ -94,15 +94,15 @@
     let mut stream = TcpStream::connect(address).expect("a listening port");
     stream.set_read_timeout(Some(PATIENCE)).expect("a valid timeout");
     stream.write_all(head.as_bytes()).expect("an open connection");
-    // The instance waits for the body once it asks for it.
-    let mut wanted = [0; "HTTP/1.1 100 Continue\r\n\r\n".len()];
-    stream.read_exact(&mut wanted).expect("the interim answer");
+    // The interim answer shows that the instance waits for the body.
+    let mut interim = [0; "HTTP/1.1 100 Continue\r\n\r\n".len()];
+    stream.read_exact(&mut interim).expect("the interim answer");
 
     deployment.signal("entry-1", Signal::SIGTERM);
     wait_for("the withdrawal", || !is_listed(&deployment, "entry-2", "entry-1"));
     stream.write_all(body.as_bytes()).expect("an open connection");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("a whole answer");
+    stream.read_to_string(&mut answer).expect("a complete answer");
 
     assert!(answer.contains("\"type\":\"leaving\""), "{answer}");
     assert!(answer.contains("\"outcome\":\"not_run\""), "{answer}");
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn answer_that_its_caller_reads_slowly_is_whole_though_the_instance_stops() {
+fn answer_that_its_caller_reads_slowly_is_complete_although_the_instance_stops() {
     let mut deployment = deployment(1, 2_000);
     let mut stream = deployment.open_stream("entry-1", "shift", 4_000);
     stream.read_tokens(1);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn drain_deadline_ends_what_still_runs_with_an_explicit_error() {
+fn drain_deadline_ends_remaining_requests_with_an_explicit_error() {
     let mut deployment = deployment(1, 20);
     deployment.append_settings("entry-3", "drain_seconds: 1\n");
     deployment.kill("entry-3");
@@ -157,7 +157,8 @@
     assert!(!deployment.wait_end("entry-1"));
 }
 
-/// Sends requests until [`REQUESTS`] were sent and the restarts are over; tells what went wrong.
+/// Sends requests until [`MIN_REQUESTS`] were sent and the restarts are over; returns the outcomes other
+/// than the expected answer.
 fn send_load(
     mut caller: Caller,
     number: usize,
@@ -166,7 +167,7 @@
 ) -> Vec<String> {
     let mut faults = Vec::new();
     for it in 0.. {
-        let is_enough = sent.fetch_add(1, Ordering::Relaxed) >= REQUESTS;
+        let is_enough = sent.fetch_add(1, Ordering::Relaxed) >= MIN_REQUESTS;
         if is_enough && is_over.load(Ordering::Relaxed) {
             break;
         }
@@ -180,7 +181,7 @@
     faults
 }
 
-/// The generated text of an answer; a stream without its end has none.
+/// The generated text of an answer; empty for a stream without its terminal event.
 fn text_of(body: &str, stream: bool) -> String {
     let text = |data: &str| {
         let chunk: Value = serde_json::from_str(data).unwrap_or_default();
@@ -196,7 +197,7 @@
 }
 
 #[test]
-fn restart_of_all_entry_instances_in_turn_cuts_no_request() {
+fn rolling_restart_of_all_entry_instances_aborts_no_request() {
     let mut deployment = deployment(4, 500);
     let callers: Vec<Caller> = (0..CALLERS).map(|_| Caller::new(&deployment)).collect();
     let (sent, is_over) = (AtomicUsize::new(0), AtomicBool::new(false));
@@ -209,7 +210,7 @@
             .collect();
         for entry in ENTRIES {
             deployment.signal(entry, Signal::SIGTERM);
-            assert!(deployment.wait_end(entry), "{entry} did not stop well");
+            assert!(deployment.wait_end(entry), "{entry} did not exit successfully");
             deployment.start_process(entry);
             wait_listed(&deployment, &ENTRIES);
         }
--- a/tests/testsuite/processes/streams.rs
+++ b/tests/testsuite/processes/streams.rs
@@ -1,4 +1,4 @@
-//! Streamed answers through faults: whole and the caller's own, or explicitly failed.
+//! Answers under faults: each caller gets the complete answer to its own request or an explicit error.
 
 use std::thread;
 
@@ -18,7 +18,7 @@
 /// Tokens of an answer during which a fault is injected.
 const TOKENS: usize = 300;
 
-/// Injects a fault into the only engine while a stream flows; gives the stream's end.
+/// Injects a fault into the only engine during a stream; returns the stream as the caller read it.
 fn stream_through(deployment: &Deployment, prompt: &str, fault: &Value) -> Streamed {
     let mut stream = deployment.open_stream("entry-1", prompt, TOKENS);
     stream.read_tokens(20);
@@ -26,20 +26,21 @@
     stream.finish()
 }
 
-/// Injects a fault into the only engine while it generates an answer that is not streamed.
-fn whole_through(deployment: &Deployment, fault: &Value) -> Reply {
+/// Injects a fault into the only engine while it generates an answer that is not streamed; returns
+/// the answer.
+fn unstreamed_through(deployment: &Deployment, fault: &Value) -> Reply {
     let body = json!({ "model": "medlar", "prompt": "shift", "max_tokens": TOKENS }).to_string();
     thread::scope(|scope| {
-        let whole =
+        let unstreamed =
             scope.spawn(|| deployment.caller("entry-1", "POST", "/v1/completions", &[], &body));
         wait_for("the request to run", || state(deployment, "engine-1")["running"] == 1);
         deployment.fault("engine-1", fault);
-        whole.join().expect("no panic")
+        unstreamed.join().expect("no panic")
     })
 }
 
 #[test]
-fn connection_that_goes_silent_in_a_stream_is_replaced_and_the_answer_is_whole() {
+fn connection_that_becomes_unresponsive_in_a_stream_is_replaced_and_the_answer_is_complete() {
     let deployment = with_engines(1, 150);
 
     let fault = json!({ "kind": "silence_open_connections" });
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn connection_that_breaks_in_a_stream_is_replaced_and_the_answer_is_whole() {
+fn connection_that_breaks_in_a_stream_is_replaced_and_the_answer_is_complete() {
     let deployment = with_engines(1, 150);
 
     let fault = json!({ "kind": "cut_open_connections" });
@@ -67,12 +68,13 @@
 }
 
 #[test]
-fn stream_is_taken_up_again_at_an_engine_that_answers_late() {
+fn stream_is_resumed_at_an_engine_that_answers_late() {
     let deployment = with_engines(1, 150);
 
     let mut stream = deployment.open_stream("entry-1", "shift", TOKENS);
     stream.read_tokens(20);
-    // Longer than one resumption waits, and than an announcement is valid; the second one is in time.
+    // The freeze outlasts the first attempt to resume and the validity of an announcement; the second
+    // attempt is in time.
     deployment.fault("engine-1", &json!({ "kind": "freeze", "for_ms": 3_000 }));
     deployment.fault("engine-1", &json!({ "kind": "cut_open_connections" }));
     let streamed = stream.finish();
@@ -81,56 +83,57 @@
 }
 
 #[test]
-fn idle_connections_that_went_silent_cost_no_answer() {
+fn idle_connections_that_became_unresponsive_lose_no_answer() {
     let deployment = with_engines(1, 500);
     assert_eq!(deployment.complete("entry-1", "medlar", "warm").status, 200);
     assert_whole(&deployment.stream("entry-1", "warm", 10), "warm", 10);
-    let silence = json!({ "kind": "silence_open_connections" });
+    let fault = json!({ "kind": "silence_open_connections" });
 
-    deployment.fault("engine-1", &silence);
+    deployment.fault("engine-1", &fault);
     let streamed = deployment.stream("entry-1", "shift one", 10);
-    deployment.fault("engine-1", &silence);
-    let whole = deployment.complete("entry-1", "medlar", "shift two");
+    deployment.fault("engine-1", &fault);
+    let unstreamed = deployment.complete("entry-1", "medlar", "shift two");
 
     assert_whole(&streamed, "shift one", 10);
-    assert_eq!(whole.status, 200, "{}", whole.text);
-    assert_eq!(whole.json["choices"][0]["text"], expected("shift two", Some(4)));
+    assert_eq!(unstreamed.status, 200, "{}", unstreamed.text);
+    assert_eq!(unstreamed.json["choices"][0]["text"], expected("shift two", Some(4)));
 }
 
 #[test]
-fn connection_that_goes_silent_before_a_whole_answer_costs_no_answer() {
+fn connection_that_becomes_unresponsive_before_a_complete_answer_loses_no_answer() {
     let deployment = with_engines(1, 100);
 
-    let whole = whole_through(&deployment, &json!({ "kind": "silence_open_connections" }));
+    let unstreamed =
+        unstreamed_through(&deployment, &json!({ "kind": "silence_open_connections" }));
 
-    assert_eq!(whole.status, 200, "{}", whole.text);
-    assert_eq!(whole.json["choices"][0]["text"], expected("shift", Some(TOKENS)));
+    assert_eq!(unstreamed.status, 200, "{}", unstreamed.text);
+    assert_eq!(unstreamed.json["choices"][0]["text"], expected("shift", Some(TOKENS)));
 }
 
 #[test]
-fn connection_that_breaks_before_a_whole_answer_costs_no_answer() {
+fn connection_that_breaks_before_a_complete_answer_loses_no_answer() {
     let deployment = with_engines(1, 100);
 
-    let whole = whole_through(&deployment, &json!({ "kind": "cut_open_connections" }));
+    let unstreamed = unstreamed_through(&deployment, &json!({ "kind": "cut_open_connections" }));
 
-    assert_eq!(whole.status, 200, "{}", whole.text);
-    assert_eq!(whole.json["choices"][0]["text"], expected("shift", Some(TOKENS)));
+    assert_eq!(unstreamed.status, 200, "{}", unstreamed.text);
+    assert_eq!(unstreamed.json["choices"][0]["text"], expected("shift", Some(TOKENS)));
 }
 
 #[test]
-fn call_whose_connection_broke_before_it_was_taken_in_costs_no_retry() {
+fn call_whose_connection_broke_before_it_was_received_uses_no_retry() {
     let deployment = with_engines(1, 500);
     let drop_next = || deployment.fault("engine-1", &json!({ "kind": "drop_call", "count": 1 }));
 
-    // One more of each kind than the budget has retries.
+    // One call of each kind more than the retry budget allows retries.
     for it in 0..=MAX_STORED_RETRIES {
-        let (streamed, whole) = (format!("streamed {it}"), format!("whole {it}"));
+        let (streamed, unstreamed) = (format!("streamed {it}"), format!("whole {it}"));
         drop_next();
         assert_whole(&deployment.stream("entry-1", &streamed, 4), &streamed, 4);
         drop_next();
-        let answer = deployment.complete("entry-1", "medlar", &whole);
+        let answer = deployment.complete("entry-1", "medlar", &unstreamed);
         assert_eq!(answer.status, 200, "{}", answer.text);
-        assert_eq!(answer.json["choices"][0]["text"], expected(&whole, Some(4)));
+        assert_eq!(answer.json["choices"][0]["text"], expected(&unstreamed, Some(4)));
     }
 
     let runs = call("GET", deployment.upstreams[0].control, "/runs", &[], "").json;
@@ -138,7 +141,7 @@
 }
 
 #[test]
-fn answer_that_is_lost_at_every_upstream_is_never_called_not_run() {
+fn answer_that_is_lost_at_every_upstream_is_never_reported_as_not_run() {
     let deployment = with_engines(2, 500);
     for engine in ["engine-1", "engine-2"] {
         deployment.fault(engine, &json!({ "kind": "lose_answer", "count": 10 }));
@@ -174,15 +177,15 @@
         let shared = &deployment;
         let streamed = scope.spawn(|| shared.stream("entry-1", "shift", 10));
         let has_run = |it: &&str| state(shared, it)["streams"] != 0;
-        let mut place = None;
+        let mut running_at = None;
         wait_for("the request to reach an upstream", || {
-            place = ["engine-1", "engine-2"].into_iter().find(has_run);
-            place.is_some()
+            running_at = ["engine-1", "engine-2"].into_iter().find(has_run);
+            running_at.is_some()
         });
-        let place = place.expect("an upstream");
-        let other = if place == "engine-1" { "engine-2" } else { "engine-1" };
+        let running_at = running_at.expect("an upstream");
+        let other = if running_at == "engine-1" { "engine-2" } else { "engine-1" };
         shared.fault(other, &json!({ "kind": "clear" }));
-        shared.signal(place, Signal::SIGKILL);
+        shared.signal(running_at, Signal::SIGKILL);
         streamed.join().expect("no panic")
     });
 
@@ -190,7 +193,7 @@
 }
 
 #[test]
-fn caller_that_goes_away_cancels_the_work_at_the_upstream() {
+fn caller_that_disconnects_cancels_the_work_at_the_upstream() {
     let deployment = with_engines(1, 20);
 
     let mut stream = deployment.open_stream("entry-1", "shift", 2_000);
@@ -202,7 +205,7 @@
 }
 
 #[test]
-fn crossed_and_late_answers_are_dropped_and_counted_and_each_caller_gets_its_own() {
+fn misdelivered_and_late_answers_are_dropped_and_counted_and_each_caller_gets_its_own() {
     let deployment = with_engines(2, 500);
     for it in 0..5 {
         deployment.stream("entry-1", &format!("warm {it}"), 4);
@@ -213,17 +216,17 @@
     }
 
     let streamed = deployment.stream("entry-1", "shift one", 10);
-    let whole = deployment.complete("entry-1", "medlar", "shift two");
+    let unstreamed = deployment.complete("entry-1", "medlar", "shift two");
 
     assert_whole(&streamed, "shift one", 10);
-    assert_eq!(whole.status, 200, "{}", whole.text);
-    assert_eq!(whole.json["choices"][0]["text"], expected("shift two", Some(4)));
+    assert_eq!(unstreamed.status, 200, "{}", unstreamed.text);
+    assert_eq!(unstreamed.json["choices"][0]["text"], expected("shift two", Some(4)));
     assert!(counter(&deployment, "entry-1", "medlarlug_crossed") >= 2);
 }
 
 #[test]
-fn each_of_many_streams_at_once_is_whole_and_its_own_through_cuts() {
-    // All streams fit, so that none is refused for the length of the queue.
+fn each_of_many_concurrent_streams_is_complete_and_its_own_despite_broken_connections() {
+    // Enough slots for all streams, so that none is refused because of a long queue.
     let mut deployment = add_engines(two_regions(), 4, 200);
     deployment.upstreams.iter_mut().for_each(|it| it.slots = 32);
     let deployment = deployment.start();
@@ -249,7 +252,7 @@
 
 #[test]
 fn engine_that_is_busy_for_a_while_is_waited_for() {
-    // One prompt token a second: the head of the answer takes some seconds.
+    // One prompt token per second: the head of the answer takes some seconds.
     let mut deployment = add_engines(two_regions(), 1, 200);
     deployment.upstreams[0].extra[1] = "prefill: 1".into();
     let deployment = deployment.start();
--- a/tests/testsuite/processes/suspects.rs
+++ b/tests/testsuite/processes/suspects.rs
@@ -1,4 +1,4 @@
-//! A request that crashes upstreams, sent again and again through instances of two regions.
+//! A request that crashes upstreams, sent repeatedly through instances of two regions.
 
 use std::thread;
 
@@ -8,13 +8,13 @@
 
 use crate::processes::fixture::{items, two_regions};
 
-/// Upstreams that one content loses at most where an upstream can be had alone.
-const BOUND: usize = 2;
+/// Upstreams that one content may crash where an upstream is free to run it alone.
+const MAX_CRASHED_UPSTREAMS: usize = 2;
 
 /// A prompt that crashes the engines of these tests.
 const CRASHING: &str = "CRASH-ME now";
 
-/// Three engines in each of two regions that crash at the marker.
+/// Three engines in each of two regions; each crashes on a prompt with the crash marker.
 fn deployment() -> Deployment {
     let zones = ["riga-a", "liepaja-a"];
     let mut deployment = (1..=6).fold(two_regions(), |it, number| {
@@ -27,29 +27,29 @@
     deployment
 }
 
-fn lost(deployment: &Deployment) -> usize {
-    let is_lost =
+fn crashed_upstreams(deployment: &Deployment) -> usize {
+    let is_down =
         |address| call("GET", address, "/state", &[], "").json["down"] != serde_json::json!(false);
-    deployment.upstreams.iter().filter(|it| is_lost(it.control)).count()
+    deployment.upstreams.iter().filter(|it| is_down(it.control)).count()
 }
 
 fn is_quarantined_at(deployment: &Deployment, entry: &str) -> bool {
     deployment.operator_get(entry, "/dump").json["process"]["quarantines"] == 1
 }
 
-/// Sends the crashing request through both instances in turn.
+/// Sends the crashing request `times` times, alternating between the two instances.
 fn send_crashing(deployment: &Deployment, times: usize) -> Vec<Reply> {
     let entries = ["entry-1", "entry-2"];
     (0..times).map(|it| deployment.complete(entries[it % 2], "medlar", CRASHING)).collect()
 }
 
-fn assert_refused_for_good(reply: &Reply) {
+fn assert_refused_as_failed(reply: &Reply) {
     assert_eq!(reply.json["outcome"], "failed", "{} {}", reply.status, reply.text);
     assert!(reply.json["retry_after"].is_u64(), "{}", reply.text);
 }
 
 #[test]
-fn crashing_request_loses_no_more_upstreams_than_stated_and_is_then_refused_everywhere() {
+fn crashing_request_crashes_no_more_upstreams_than_stated_and_is_then_refused_everywhere() {
     let deployment = deployment();
 
     let first = deployment.complete("entry-1", "medlar", CRASHING);
@@ -58,10 +58,14 @@
     });
     let later = send_crashing(&deployment, 10);
 
-    assert_refused_for_good(&first);
-    later.iter().for_each(assert_refused_for_good);
+    assert_refused_as_failed(&first);
+    later.iter().for_each(assert_refused_as_failed);
     assert!(later.iter().all(|it| it.json["type"] == "quarantined"), "{:?}", later[0].text);
-    assert!(lost(&deployment) <= BOUND, "{} upstreams lost", lost(&deployment));
+    assert!(
+        crashed_upstreams(&deployment) <= MAX_CRASHED_UPSTREAMS,
+        "{} upstreams crashed",
+        crashed_upstreams(&deployment)
+    );
 }
 
 #[test]
@@ -77,7 +81,7 @@
         });
         let running: Vec<_> = chunks.collect();
         let crashing = send("entry-1", CRASHING);
-        assert_refused_for_good(&crashing);
+        assert_refused_as_failed(&crashing);
         running.into_iter().flat_map(|it| it.join().expect("no panic")).collect()
     });
     let after: Vec<Reply> = prompts.iter().map(|it| send("entry-1", it)).collect();
@@ -90,5 +94,9 @@
         assert_eq!(reply.status, 200, "{}", reply.text);
         assert_eq!(reply.json["choices"][0]["text"], expected(prompt, Some(4)));
     }
-    assert!(lost(&deployment) <= BOUND + 1, "{} upstreams lost", lost(&deployment));
+    assert!(
+        crashed_upstreams(&deployment) <= MAX_CRASHED_UPSTREAMS + 1,
+        "{} upstreams crashed",
+        crashed_upstreams(&deployment)
+    );
 }
--- a/tests/testsuite/processes/upstreams.rs
+++ b/tests/testsuite/processes/upstreams.rs
@@ -14,17 +14,17 @@
     add_engines, assert_whole, items, state, two_regions, with_engines,
 };
 
-/// Time after which a leaving upstream gets no new work.
-const LEAVING_BOUND: Duration = Duration::from_secs(2);
+/// Time within which all entry instances stop sending requests to a leaving upstream.
+const MAX_LEAVING_DELAY: Duration = Duration::from_secs(2);
 
-/// Requests that an upstream has begun.
-fn begun(deployment: &Deployment, upstream: &str) -> usize {
+/// The number of requests that an upstream has started.
+fn started_requests(deployment: &Deployment, upstream: &str) -> usize {
     let upstream = deployment.upstreams.iter().find(|it| it.id == upstream).expect("an upstream");
     let runs = call("GET", upstream.control, "/runs", &[], "").json;
     runs["runs"].as_array().map_or(0, Vec::len)
 }
 
-/// Streams of `tokens` tokens, opened until one runs at `upstream`.
+/// Opens streams of `tokens` tokens until one runs at `upstream`.
 fn streams_at(deployment: &Deployment, upstream: &str, tokens: usize) -> Vec<OpenStream> {
     let mut open = Vec::new();
     wait_for("a stream at the upstream", || {
@@ -35,8 +35,8 @@
     open
 }
 
-/// Sends `count` short requests on each of `threads` threads, with `during` beside them.
-fn load(
+/// Sends `count` short requests on each of `threads` threads and runs `during` meanwhile.
+fn send_load(
     deployment: &Deployment,
     threads: usize,
     count: usize,
@@ -57,8 +57,8 @@
     })
 }
 
-/// Asserts that a reply is the caller's own answer, or a refusal that says when to come back;
-/// tells whether it was answered.
+/// Asserts that a reply is the expected answer or a refusal with a retry delay; returns whether it
+/// is the answer.
 fn is_answered(prompt: &str, reply: &Reply) -> bool {
     if reply.status == 200 {
         assert_eq!(reply.json["choices"][0]["text"], expected(prompt, Some(4)));
@@ -74,15 +74,15 @@
 }
 
 #[test]
-fn leaving_upstream_gets_no_new_work_from_any_instance_and_ends_what_it_has() {
+fn leaving_upstream_gets_no_new_work_from_any_instance_and_completes_its_requests() {
     let mut deployment = add_engines(two_regions().entry("entry-3", "riga-a"), 2, 50).start();
     deployment.configure(items(Residency::Anywhere));
     ["entry-1", "entry-3"].iter().for_each(|it| deployment.wait_upstreams(it, 2));
     let open = streams_at(&deployment, "engine-1", 300);
 
     deployment.signal("engine-1", Signal::SIGTERM);
-    thread::sleep(LEAVING_BOUND);
-    let before = begun(&deployment, "engine-1");
+    thread::sleep(MAX_LEAVING_DELAY);
+    let before = started_requests(&deployment, "engine-1");
     let replies: Vec<(String, Reply)> = (0..30)
         .map(|it| {
             let (entry, prompt) = (["entry-1", "entry-2", "entry-3"][it % 3], format!("new {it}"));
@@ -90,7 +90,7 @@
             (prompt, reply)
         })
         .collect();
-    let after = begun(&deployment, "engine-1");
+    let after = started_requests(&deployment, "engine-1");
     let streamed: Vec<_> = open.into_iter().map(OpenStream::finish).collect();
 
     assert_eq!(answered(&replies), 30);
@@ -105,8 +105,8 @@
 fn requests_of_a_killed_upstream_are_answered_by_others() {
     let deployment = with_engines(3, 200);
 
-    let replies = load(&deployment, 6, 30, || {
-        wait_for("work at the upstream", || begun(&deployment, "engine-1") > 3);
+    let replies = send_load(&deployment, 6, 30, || {
+        wait_for("work at the upstream", || started_requests(&deployment, "engine-1") > 3);
         deployment.signal("engine-1", Signal::SIGKILL);
     });
 
@@ -117,8 +117,8 @@
 fn requests_at_a_frozen_upstream_are_answered_by_others() {
     let deployment = with_engines(3, 200);
 
-    let replies = load(&deployment, 6, 30, || {
-        wait_for("work at the upstream", || begun(&deployment, "engine-1") > 3);
+    let replies = send_load(&deployment, 6, 30, || {
+        wait_for("work at the upstream", || started_requests(&deployment, "engine-1") > 3);
         deployment.signal("engine-1", Signal::SIGSTOP);
     });
 
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn frozen_last_upstream_leaves_a_truthful_refusal() {
+fn request_is_refused_as_failed_while_the_only_upstream_is_frozen() {
     let deployment = with_engines(1, 200);
     deployment.signal("engine-1", Signal::SIGSTOP);
 
@@ -152,25 +152,25 @@
     let running = |it: &&str| state(&deployment, it)["running"] == 1;
 
     let headers = [("idempotency-key", "parcel-7"), ("x-deadline-ms", "1000")];
-    let (place, reply) = thread::scope(|scope| {
+    let (running_at, reply) = thread::scope(|scope| {
         let path = "/v1/services/jobdesk/jobs";
         let booking = scope.spawn(|| deployment.caller("entry-1", "POST", path, &headers, "{}"));
-        let mut place = None;
+        let mut running_at = None;
         wait_for("the booking to run", || {
-            place = ["desk-1", "desk-2"].into_iter().find(running);
-            place.is_some()
+            running_at = ["desk-1", "desk-2"].into_iter().find(running);
+            running_at.is_some()
         });
-        let place = place.expect("a service");
-        deployment.signal(place, Signal::SIGSTOP);
-        (place, booking.join().expect("no panic"))
+        let running_at = running_at.expect("a service");
+        deployment.signal(running_at, Signal::SIGSTOP);
+        (running_at, booking.join().expect("no panic"))
     });
     let again = deployment.book("entry-2", "parcel-7", "{}");
-    deployment.signal(place, Signal::SIGCONT);
+    deployment.signal(running_at, Signal::SIGCONT);
     let later = deployment.book("entry-1", "parcel-7", "{}");
 
     for it in [&reply, &again, &later] {
         assert_eq!(it.json["outcome"], "unknown", "{}", it.text);
     }
-    wait_for("the end of the call", || state(&deployment, place)["running"] == 0);
+    wait_for("the end of the call", || state(&deployment, running_at)["running"] == 0);
     assert_eq!(deployment.runs("parcel-7"), 1);
 }
--- a/tests/testsuite/protocol.rs
+++ b/tests/testsuite/protocol.rs
@@ -1,4 +1,4 @@
-//! Frames, events and request heads under arbitrary and mutated bytes.
+//! Decoding of frames, events and request heads from arbitrary and mutated bytes.
 
 use assert_matches::assert_matches;
 use medlarlug::protocol::{
@@ -26,7 +26,7 @@
     Envelope { from: id("entry-1"), to: own(), message }
 }
 
-/// The events out of `bytes` that arrive in pieces which end at `cuts`.
+/// The events in `bytes` when they arrive in pieces that end at `cuts`.
 fn split(bytes: &[u8], cuts: &[usize]) -> Vec<Event> {
     let mut ends: Vec<usize> = cuts.iter().map(|it| it % (bytes.len() + 1)).collect();
     ends.push(bytes.len());
@@ -42,7 +42,7 @@
     events
 }
 
-/// Bytes in which the marks of events are frequent.
+/// Bytes in which line ends and the lines of events are frequent.
 fn stream_bytes() -> impl Strategy<Value = Vec<u8>> {
     let piece = prop_oneof![
         Just(b"\n".to_vec()),
@@ -64,16 +64,16 @@
     })]
 
     #[test]
-    fn arbitrary_bytes_are_no_frame(bytes in prop::collection::vec(any::<u8>(), 0..512)) {
+    fn arbitrary_bytes_do_not_decode_as_a_frame(bytes in prop::collection::vec(any::<u8>(), 0..512)) {
         prop_assert!(frame::decode(&keys(), &own(), &bytes).is_err());
     }
 
     #[test]
-    fn mutated_frame_is_refused(call: u64, place: prop::sample::Index, flip in 1u8..) {
+    fn mutated_frame_is_refused(call: u64, position: prop::sample::Index, flip in 1u8..) {
         let mut bytes = frame::encode(&keys(), &envelope(call)).expect("a frame");
-        let place = place.index(bytes.len());
+        let position = position.index(bytes.len());
 
-        bytes[place] ^= flip;
+        bytes[position] ^= flip;
 
         prop_assert!(matches!(frame::decode(&keys(), &own(), &bytes), Err(FrameError::Unauthenticated)));
     }
@@ -90,7 +90,7 @@
     }
 
     #[test]
-    fn authenticated_bytes_that_are_no_message_are_refused_or_read_without_a_panic(
+    fn arbitrary_authenticated_bytes_are_refused_or_decoded_without_a_panic(
         content in prop::collection::vec(any::<u8>(), 0..512),
     ) {
         let frame = [&keys().sign_frame(&own(), &content)[..], &content].concat();
@@ -118,16 +118,16 @@
     }
 
     #[test]
-    fn arbitrary_and_mutated_request_heads_are_read_without_a_panic(
+    fn arbitrary_and_mutated_request_heads_are_parsed_without_a_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..256),
-        place: prop::sample::Index,
+        position: prop::sample::Index,
         byte: u8,
     ) {
         let mut head = br#"{"model":"medlar:lv","messages":[{"role":"user","content":"x"}],"stream":true}"#
             .to_vec();
-        let place = place.index(head.len());
+        let position = position.index(head.len());
 
-        head[place] = byte;
+        head[position] = byte;
 
         let _ = (InferenceParams::parse(&bytes), InferenceParams::parse(&head));
     }
@@ -155,14 +155,14 @@
 }
 
 #[test]
-fn code_of_an_http_request_authenticates_no_frame() {
+fn mac_of_an_http_request_authenticates_no_frame() {
     let envelope = envelope(1);
     let frame = frame::encode(&keys(), &envelope).expect("a frame");
     let to = envelope.to.as_str().as_bytes();
     let signed = [&[to.len() as u8], to, &frame[FRAME_MAC_BYTES..]].concat();
 
-    let code = keys().signer().mac(&signed);
-    let forged = [&code.as_bytes()[..FRAME_MAC_BYTES], &frame[FRAME_MAC_BYTES..]].concat();
+    let mac = keys().signer().mac(&signed);
+    let forged = [&mac.as_bytes()[..FRAME_MAC_BYTES], &frame[FRAME_MAC_BYTES..]].concat();
 
     assert_matches!(frame::decode(&keys(), &own(), &forged), Err(FrameError::Unauthenticated));
 }
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn event_that_never_ends_is_noticed() {
+fn event_above_the_size_limit_is_detected() {
     let mut splitter = EventSplitter::default();
 
     splitter.push(&vec![b'x'; MAX_EVENT_BYTES + 1]);
--- a/tests/testsuite/service_answers.rs
+++ b/tests/testsuite/service_answers.rs
@@ -1,4 +1,4 @@
-//! What a plain service tells about an earlier call.
+//! Answers of plain services to queries about the outcome of an earlier call.
 
 use medlarlug::coordination::entry::outcomes::parse_outcome;
 use medlarlug_core::{home::Body, ids::RequestId};
--- a/tests/testsuite/settings.rs
+++ b/tests/testsuite/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is accepted, and what each refusal names.
+//! Settings files: which are accepted, and what the error of each refused one names.
 
 use std::{fs, path::PathBuf};
 
@@ -76,16 +76,16 @@
     }
 }
 
-/// The refusal of a cluster file in which `old` reads `new`, without the folder's name.
-fn cluster_refusal(old: &str, new: &str) -> String {
+/// The error for a cluster file in which `old` is replaced by `new`, without the folder's name.
+fn cluster_error(old: &str, new: &str) -> String {
     let folder = Folder::new();
     let file = folder.write("cluster.yaml", &CLUSTER.replacen(old, new, 1));
     let error = ClusterSettings::load(&file).unwrap_err();
     error.to_string().replace(file.to_str().unwrap(), "cluster.yaml")
 }
 
-/// The refusal of a stand-in's file in which `old` reads `new`, without the folder's name.
-fn standin_refusal(old: &str, new: &str) -> String {
+/// The error for a stand-in's file in which `old` is replaced by `new`, without the folder's name.
+fn standin_error(old: &str, new: &str) -> String {
     let folder = Folder::new();
     let file = folder.write("standin.yaml", &STANDIN.replacen(old, new, 1));
     let error = StandinSettings::load(&file).unwrap_err();
@@ -111,7 +111,7 @@
 
 #[test]
 fn unknown_field_is_named_with_the_valid_ones() {
-    let refusal = cluster_refusal("durable: true", "durabel: true");
+    let refusal = cluster_error("durable: true", "durabel: true");
 
     assert_eq!(
         refusal,
@@ -121,25 +121,25 @@
 }
 
 #[test]
-fn doubled_ids_and_addresses_are_named() {
-    let doubled_id = cluster_refusal("id: keeper-1", "id: entry-1");
-    let doubled_address = cluster_refusal("127.0.0.1:7311", "127.0.0.1:7001");
+fn duplicate_ids_and_addresses_are_named() {
+    let duplicate_id = cluster_error("id: keeper-1", "id: entry-1");
+    let duplicate_address = cluster_error("127.0.0.1:7311", "127.0.0.1:7001");
 
     assert_eq!(
-        doubled_id,
+        duplicate_id,
         "cluster.yaml:5: instances.id: `entry-1` is used more than once; give each its own"
     );
     assert_eq!(
-        doubled_address,
+        duplicate_address,
         "cluster.yaml:11: instances.operators: `127.0.0.1:7001` is used more than once; give \
          each its own"
     );
 }
 
 #[test]
-fn impossible_address_is_named() {
+fn unusable_address_is_named() {
     for address in ["127.0.0.1:0", "0.0.0.0:7311", "riga:7311", "127.0.0.1:70000"] {
-        let refusal = cluster_refusal("127.0.0.1:7311", address);
+        let refusal = cluster_error("127.0.0.1:7311", address);
 
         assert_eq!(
             refusal,
@@ -153,9 +153,9 @@
 
 #[test]
 fn unknown_zone_region_and_voter_are_named_with_the_known_ones() {
-    let zone = cluster_refusal("zone: riga-a\n    durable", "zone: riga-b\n    durable");
-    let region = cluster_refusal("region: riga, voters", "region: rigga, voters");
-    let voter = cluster_refusal("configuration: [keeper-1]", "configuration: [entry-1]");
+    let zone = cluster_error("zone: riga-a\n    durable", "zone: riga-b\n    durable");
+    let region = cluster_error("region: riga, voters", "region: rigga, voters");
+    let voter = cluster_error("configuration: [keeper-1]", "configuration: [entry-1]");
 
     assert_eq!(zone, "cluster.yaml:7: instances.zone: `riga-b` is unknown; valid are riga-a");
     assert_eq!(region, "cluster.yaml:14: homes.region: `rigga` is unknown; valid are riga");
@@ -164,8 +164,8 @@
 
 #[test]
 fn rate_of_zero_and_slots_of_zero_are_named() {
-    let rate = standin_refusal("speed: 200", "speed: 0");
-    let slots = standin_refusal("slots: 8", "slots: 0");
+    let rate = standin_error("speed: 200", "speed: 0");
+    let slots = standin_error("slots: 8", "slots: 0");
 
     assert_eq!(
         rate,
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn data_folder_has_to_agree_with_durable() {
+fn data_folder_is_required_of_durable_keepers() {
     let folder = Folder::new();
     let with_data = folder.write("keeper.yaml", KEEPER);
     let without = folder.write("volatile.yaml", &KEEPER.replace("data: data\n", ""));
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn limits_belong_to_entry_instances_and_keep_their_range() {
+fn limits_are_accepted_for_entry_instances_only_and_within_their_range() {
     let folder = Folder::new();
     let keeper = folder.write("keeper.yaml", &format!("{KEEPER}limits: {{ requests: 5 }}\n"));
     let entry = folder.write("entry.yaml", &ENTRY.replace("body_bytes: 65536", "body_bytes: 0"));
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn count_stands_for_many_upstreams_with_ports_of_their_own() {
+fn count_expands_to_upstreams_with_consecutive_ports() {
     let folder = Folder::new();
     let file = folder.write("standin.yaml", &format!("{STANDIN}    count: 100\n"));
 
@@ -244,7 +244,7 @@
 
 #[test]
 fn upstreams_of_one_item_must_not_share_a_port() {
-    let refusal = standin_refusal("slots: 8", "slots: 8\n    count: 101");
+    let refusal = standin_error("slots: 8", "slots: 8\n    count: 101");
 
     assert_eq!(
         refusal,
@@ -257,10 +257,10 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn mutated_cluster_files_never_panic(place in 0..CLUSTER.len(), bytes in "\\PC{0,6}") {
+    fn mutated_cluster_files_never_panic(position in 0..CLUSTER.len(), bytes in "\\PC{0,6}") {
         let folder = Folder::new();
         let mut text = CLUSTER.to_owned();
-        text.insert_str(place, &bytes);
+        text.insert_str(position, &bytes);
         let file = folder.write("cluster.yaml", &text);
 
         let _ = ClusterSettings::load(&file);
@@ -268,13 +268,14 @@
 }
 
 #[test]
-fn formation_is_forbidden_to_keepers_only() {
+fn may_form_is_accepted_for_keepers_only() {
     let folder = Folder::new();
     let keeper = folder.write("keeper.yaml", KEEPER);
-    let settled = folder.write("settled.yaml", &format!("{KEEPER}may_form: false\n"));
+    let without_forming =
+        folder.write("without-forming.yaml", &format!("{KEEPER}may_form: false\n"));
     let entry = folder.write("entry.yaml", &format!("{ENTRY}may_form: false\n"));
 
-    let may_form = [keeper, settled].map(|it| KeeperSettings::load(&it).unwrap().may_form);
+    let may_form = [keeper, without_forming].map(|it| KeeperSettings::load(&it).unwrap().may_form);
     let refusal = EntrySettings::load(&entry).unwrap_err().to_string();
 
     assert_eq!(may_form, [true, false]);
--- a/tests/testsuite/standin.rs
+++ b/tests/testsuite/standin.rs
@@ -1,4 +1,4 @@
-//! The stand-in: that it does what engines and plain services are told to do.
+//! The stand-in process: its emulated engines and plain services, and the faults injected into them.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -26,8 +26,8 @@
 const LIMITS: CallLimits =
     CallLimits { connect: Duration::from_secs(20), head: Duration::from_secs(20) };
 
-/// A stand-in with one engine and one plain service, and a client of it.
-struct Bench {
+/// Addresses and settings of a stand-in with one engine and one plain service, and a client of it.
+struct Fixture {
     engine: SocketAddr,
     engine_control: SocketAddr,
     service: SocketAddr,
@@ -49,7 +49,7 @@
         serde_json::from_str(&self.body).unwrap()
     }
 
-    /// The text of a streamed answer, and whether it ended whole.
+    /// The text of a streamed answer, and whether its terminal event arrived.
     fn streamed(&self) -> (String, bool) {
         let mut data = self.body.lines().filter_map(|line| line.strip_prefix("data: "));
         let mut text = String::new();
@@ -61,7 +61,7 @@
     }
 }
 
-impl Bench {
+impl Fixture {
     fn settings(&self) -> PathBuf {
         self._folder.path().join("standin.yaml")
     }
@@ -129,7 +129,7 @@
     expected(&chat_prompt(&[("user", content)]), Some(tokens))
 }
 
-fn bench(fencing: bool) -> Bench {
+fn fixture(fencing: bool) -> Fixture {
     let folder = TempDir::new().unwrap();
     let [engine, engine_control, service, service_control, announce_to] =
         std::array::from_fn(|_| free_address());
@@ -159,7 +159,7 @@
     );
     std::fs::write(folder.path().join("standin.yaml"), text).unwrap();
     std::fs::write(folder.path().join("key"), "sixteen characters or more").unwrap();
-    Bench {
+    Fixture {
         engine,
         engine_control,
         service,
@@ -171,25 +171,25 @@
 }
 
 /// Runs `test` beside a stand-in on one thread.
-fn with_standin(bench: Bench, test: impl AsyncFnOnce(&Bench)) {
+fn with_standin(fixture: Fixture, test: impl AsyncFnOnce(&Fixture)) {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
-    let settings = StandinSettings::load(&bench.settings()).unwrap();
+    let settings = StandinSettings::load(&fixture.settings()).unwrap();
     LocalSet::new().block_on(&runtime, async {
         let process = tokio::task::spawn_local(standin::run(settings));
-        let up = request(Method::GET, "/v1/models", &Value::Null);
-        while bench.call(bench.engine, up.clone()).await.is_err() {
+        let probe = request(Method::GET, "/v1/models", &Value::Null);
+        while fixture.call(fixture.engine, probe.clone()).await.is_err() {
             assert!(!process.is_finished(), "the stand-in did not start");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        test(&bench).await;
+        test(&fixture).await;
     });
 }
 
 #[test]
-fn streamed_answer_is_whole_and_depends_on_the_prompt_alone() {
-    with_standin(bench(true), async |bench| {
-        let first = bench.chat("riga.e.1.1", "explain the shift", 5).await.unwrap();
-        let second = bench.chat("riga.e.1.2", "explain the shift", 5).await.unwrap();
+fn streamed_answer_is_complete_and_depends_on_the_prompt_alone() {
+    with_standin(fixture(true), async |fixture| {
+        let first = fixture.chat("riga.e.1.1", "explain the shift", 5).await.unwrap();
+        let second = fixture.chat("riga.e.1.2", "explain the shift", 5).await.unwrap();
 
         assert_eq!(first.streamed(), (answer_to("explain the shift", 5), true));
         assert_eq!(second.streamed(), first.streamed());
@@ -200,12 +200,12 @@
 
 #[test]
 fn stream_resumes_from_an_offset_on_a_new_connection() {
-    with_standin(bench(true), async |bench| {
-        let whole = bench.chat("riga.e.1.1", "explain", 6).await.unwrap();
+    with_standin(fixture(true), async |fixture| {
+        let whole = fixture.chat("riga.e.1.1", "explain", 6).await.unwrap();
 
         let path = "/v1/streams/riga.e.1.1?offset=4";
         let rest =
-            bench.call(bench.engine, request(Method::GET, path, &Value::Null)).await.unwrap();
+            fixture.call(fixture.engine, request(Method::GET, path, &Value::Null)).await.unwrap();
 
         assert!(rest.body.starts_with("id: 4\n"));
         assert!(whole.body.ends_with(&rest.body));
@@ -214,13 +214,13 @@
 
 #[test]
 fn cancelled_stream_ends_with_an_error_event() {
-    with_standin(bench(true), async |bench| {
-        let long = bench.chat("riga.e.1.1", "explain", 50_000);
+    with_standin(fixture(true), async |fixture| {
+        let long = fixture.chat("riga.e.1.1", "explain", 50_000);
         let cancel = async {
             let path = "/v1/streams/riga.e.1.1";
             loop {
                 let delete = request(Method::DELETE, path, &Value::Null);
-                if bench.call(bench.engine, delete).await.unwrap().status == StatusCode::OK {
+                if fixture.call(fixture.engine, delete).await.unwrap().status == StatusCode::OK {
                     return;
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -236,12 +236,12 @@
 }
 
 #[test]
-fn doubled_call_shows_in_the_ledger() {
-    with_standin(bench(true), async |bench| {
-        bench.book("key-1").await.unwrap();
-        bench.book("key-1").await.unwrap();
+fn duplicate_call_is_counted_in_the_ledger() {
+    with_standin(fixture(true), async |fixture| {
+        fixture.book("key-1").await.unwrap();
+        fixture.book("key-1").await.unwrap();
 
-        let runs = bench.get(bench.service_control, "/runs").await;
+        let runs = fixture.get(fixture.service_control, "/runs").await;
 
         assert_eq!(runs["runs"][0]["key"], "key-1");
         assert_eq!(runs["runs"][0]["count"], 2);
@@ -249,111 +249,112 @@
 }
 
 #[test]
-fn lost_answer_ran_and_its_outcome_can_be_asked() {
-    with_standin(bench(true), async |bench| {
-        bench.inject(bench.service_control, json!({"kind": "lose_answer", "count": 1})).await;
+fn call_whose_answer_is_lost_has_run_and_its_outcome_can_be_queried() {
+    with_standin(fixture(true), async |fixture| {
+        fixture.inject(fixture.service_control, json!({"kind": "lose_answer", "count": 1})).await;
 
-        let lost = bench.book("key-1").await;
+        let lost = fixture.book("key-1").await;
 
         assert_matches!(lost, Err(HttpCallError::Lost { .. }));
-        let outcome = bench.get(bench.service, "/outcomes/key-1").await;
+        let outcome = fixture.get(fixture.service, "/outcomes/key-1").await;
         assert_eq!(outcome["state"], "ran");
         assert_eq!(outcome["answer"]["key"], "key-1");
-        let other = bench.get(bench.service, "/outcomes/key-2").await;
+        let other = fixture.get(fixture.service, "/outcomes/key-2").await;
         assert_eq!(other["state"], "not_seen");
     });
 }
 
 #[test]
 fn refused_call_did_not_run() {
-    with_standin(bench(true), async |bench| {
-        bench.inject(bench.service_control, json!({"kind": "refuse", "count": 1})).await;
+    with_standin(fixture(true), async |fixture| {
+        fixture.inject(fixture.service_control, json!({"kind": "refuse", "count": 1})).await;
 
-        let refused = bench.book("key-1").await.unwrap();
+        let refused = fixture.book("key-1").await.unwrap();
 
         assert_eq!(refused.json()["error"]["code"], "not_started");
-        let runs = bench.get(bench.service_control, "/runs").await;
+        let runs = fixture.get(fixture.service_control, "/runs").await;
         assert_eq!(runs["total"], 0);
     });
 }
 
 #[test]
-fn crossed_answer_carries_another_id() {
-    with_standin(bench(true), async |bench| {
-        bench.chat("riga.e.1.1", "first", 3).await.unwrap();
-        bench.inject(bench.engine_control, json!({"kind": "crossed_answer", "count": 1})).await;
+fn misdelivered_answer_carries_another_id() {
+    with_standin(fixture(true), async |fixture| {
+        fixture.chat("riga.e.1.1", "first", 3).await.unwrap();
+        fixture.inject(fixture.engine_control, json!({"kind": "crossed_answer", "count": 1})).await;
 
-        let crossed = bench.chat("riga.e.1.2", "second", 3).await.unwrap();
+        let misdelivered = fixture.chat("riga.e.1.2", "second", 3).await.unwrap();
 
-        assert_eq!(crossed.request.as_deref(), Some("riga.e.1.1"));
-        assert!(crossed.body.contains("\"id\":\"riga.e.1.1\""));
-        assert_ne!(crossed.streamed().0, answer_to("second", 3));
+        assert_eq!(misdelivered.request.as_deref(), Some("riga.e.1.1"));
+        assert!(misdelivered.body.contains("\"id\":\"riga.e.1.1\""));
+        assert_ne!(misdelivered.streamed().0, answer_to("second", 3));
     });
 }
 
 #[test]
-fn silenced_connection_stays_open_while_new_ones_work() {
-    with_standin(bench(true), async |bench| {
+fn unresponsive_connection_stays_open_while_new_ones_work() {
+    with_standin(fixture(true), async |fixture| {
         let limits = CallLimits { head: Duration::from_millis(200), ..LIMITS };
         let models = || request(Method::GET, "/v1/models", &Value::Null);
         let (answer, connection) =
-            bench.client.call(bench.engine, models(), Reuse::Allowed, limits).await.unwrap();
+            fixture.client.call(fixture.engine, models(), Reuse::Allowed, limits).await.unwrap();
         answer.into_body().collect().await.unwrap();
-        bench.client.release(connection);
-        bench.inject(bench.engine_control, json!({"kind": "silence_open_connections"})).await;
+        fixture.client.release(connection);
+        fixture.inject(fixture.engine_control, json!({"kind": "silence_open_connections"})).await;
 
-        let silent = bench.client.call(bench.engine, models(), Reuse::Allowed, limits).await;
-        let fresh = bench.call(bench.engine, models()).await;
+        let unresponsive =
+            fixture.client.call(fixture.engine, models(), Reuse::Allowed, limits).await;
+        let fresh = fixture.call(fixture.engine, models()).await;
 
-        assert_matches!(silent.map(|_| ()), Err(HttpCallError::TimedOut { .. }));
+        assert_matches!(unresponsive.map(|_| ()), Err(HttpCallError::TimedOut { .. }));
         assert_eq!(fresh.unwrap().status, StatusCode::OK);
     });
 }
 
 #[test]
-fn crash_marker_takes_the_engine_down_and_leaves_the_service() {
-    with_standin(bench(true), async |bench| {
-        let crashed = bench.chat("riga.e.1.1", "CRASH-ME now", 3).await;
+fn crash_marker_crashes_the_engine_and_not_the_service() {
+    with_standin(fixture(true), async |fixture| {
+        let crashed = fixture.chat("riga.e.1.1", "CRASH-ME now", 3).await;
 
         assert_matches!(crashed.map(|_| ()), Err(HttpCallError::Lost { .. }));
-        let state = bench.get(bench.engine_control, "/state").await;
+        let state = fixture.get(fixture.engine_control, "/state").await;
         assert_eq!(state["down"], true);
-        assert_eq!(bench.book("key-1").await.unwrap().status, StatusCode::OK);
+        assert_eq!(fixture.book("key-1").await.unwrap().status, StatusCode::OK);
     });
 }
 
 #[test]
-fn crash_with_restart_comes_back_as_a_higher_incarnation() {
-    with_standin(bench(true), async |bench| {
-        let before = bench.get(bench.engine_control, "/state").await;
-        bench.inject(bench.engine_control, json!({"kind": "crash", "restart_ms": 10})).await;
+fn crashed_upstream_restarts_under_a_higher_incarnation() {
+    with_standin(fixture(true), async |fixture| {
+        let before = fixture.get(fixture.engine_control, "/state").await;
+        fixture.inject(fixture.engine_control, json!({"kind": "crash", "restart_ms": 10})).await;
 
-        let mut after = bench.get(bench.engine_control, "/state").await;
+        let mut after = fixture.get(fixture.engine_control, "/state").await;
         while after["down"] == true {
             tokio::time::sleep(Duration::from_millis(5)).await;
-            after = bench.get(bench.engine_control, "/state").await;
+            after = fixture.get(fixture.engine_control, "/state").await;
         }
 
         assert!(after["incarnation"].as_u64() > before["incarnation"].as_u64());
-        assert_eq!(bench.chat("riga.e.1.1", "again", 3).await.unwrap().status, StatusCode::OK);
+        assert_eq!(fixture.chat("riga.e.1.1", "again", 3).await.unwrap().status, StatusCode::OK);
     });
 }
 
 #[test]
-fn old_order_is_refused_only_where_fencing_is_checked() {
-    with_standin(bench(true), async |bench| {
-        assert_eq!(bench.order(2, Role::Decode).await, StatusCode::OK);
-        assert_eq!(bench.order(2, Role::Decode).await, StatusCode::OK);
-        assert_eq!(bench.order(1, Role::Prefill).await, StatusCode::CONFLICT);
+fn order_with_an_old_fencing_token_is_refused_only_where_fencing_is_checked() {
+    with_standin(fixture(true), async |fixture| {
+        assert_eq!(fixture.order(2, Role::Decode).await, StatusCode::OK);
+        assert_eq!(fixture.order(2, Role::Decode).await, StatusCode::OK);
+        assert_eq!(fixture.order(1, Role::Prefill).await, StatusCode::CONFLICT);
 
-        let state = bench.get(bench.engine_control, "/state").await;
+        let state = fixture.get(fixture.engine_control, "/state").await;
         assert_eq!(state["role"], "decode");
     });
-    with_standin(bench(false), async |bench| {
-        assert_eq!(bench.order(2, Role::Decode).await, StatusCode::OK);
-        assert_eq!(bench.order(1, Role::Prefill).await, StatusCode::OK);
+    with_standin(fixture(false), async |fixture| {
+        assert_eq!(fixture.order(2, Role::Decode).await, StatusCode::OK);
+        assert_eq!(fixture.order(1, Role::Prefill).await, StatusCode::OK);
 
-        let state = bench.get(bench.engine_control, "/state").await;
+        let state = fixture.get(fixture.engine_control, "/state").await;
         assert_eq!(state["role"], "prefill");
     });
 }
@@ -364,8 +365,8 @@
     use medlarlug_core::announcement::Announcement;
     use tokio::io::AsyncReadExt;
 
-    with_standin(bench(true), async |bench| {
-        let listener = TcpListener::bind(bench.announce_to).await.unwrap();
+    with_standin(fixture(true), async |fixture| {
+        let listener = TcpListener::bind(fixture.announce_to).await.unwrap();
         let keys = vec![DeploymentKey::derive("sixteen characters or more")];
         let keys = DeploymentKeys::new(keys).unwrap();
 
@@ -374,7 +375,7 @@
         while !text.ends_with('}') {
             let mut buffer = [0; 4096];
             let count = socket.read(&mut buffer).await.unwrap();
-            assert_ne!(count, 0, "the announcement broke off");
+            assert_ne!(count, 0, "the connection closed before the announcement was complete");
             text.push_str(std::str::from_utf8(&buffer[..count]).unwrap());
         }
 
--- a/tests/testsuite/state.rs
+++ b/tests/testsuite/state.rs
@@ -52,8 +52,8 @@
     found.remove(0)
 }
 
-/// A folder with three synced records of group `g`; returns the file's length after each.
-fn written(path: &TempDir) -> Vec<u64> {
+/// Writes three records of group `g`; returns the length of the journal after each.
+fn write_records(path: &TempDir) -> Vec<u64> {
     let mut journal = Journal::open(&open(path)).expect("a journal");
     let mut lengths = Vec::new();
     for sequence in 1..=3 {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn folder_keeps_its_storage_id_until_it_is_lost() {
+fn folder_keeps_its_storage_id_until_it_is_emptied() {
     let path = TempDir::new().unwrap();
     let first = open(&path).storage();
 
@@ -72,14 +72,14 @@
     for item in fs::read_dir(path.path()).unwrap() {
         fs::remove_file(item.unwrap().path()).unwrap();
     }
-    let anew = open(&path).storage();
+    let after_loss = open(&path).storage();
 
     assert_eq!(first, again);
-    assert_ne!(first, anew);
+    assert_ne!(first, after_loss);
 }
 
 #[test]
-fn foreign_folder_is_refused() {
+fn folder_of_another_instance_is_refused() {
     let path = TempDir::new().unwrap();
     drop(open(&path));
 
@@ -101,7 +101,7 @@
 #[test]
 fn folder_without_its_journal_is_refused() {
     let path = TempDir::new().unwrap();
-    written(&path);
+    write_records(&path);
     fs::remove_file(journal_file(&path)).unwrap();
 
     let result = Journal::open(&open(&path));
@@ -112,7 +112,7 @@
 #[test]
 fn folder_without_its_owner_is_refused() {
     let path = TempDir::new().unwrap();
-    written(&path);
+    write_records(&path);
     fs::remove_file(path.path().join("owner")).unwrap();
 
     let result = DataFolder::open(path.path(), &id("keeper-1"));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn creation_cut_short_is_completed() {
+fn interrupted_creation_is_completed() {
     let path = TempDir::new().unwrap();
     drop(open(&path));
     fs::remove_file(path.path().join("owner")).unwrap();
@@ -133,14 +133,14 @@
 }
 
 #[test]
-fn torn_tail_is_cut_at_every_length() {
+fn torn_tail_is_truncated_at_every_length() {
     let path = TempDir::new().unwrap();
-    let lengths = written(&path);
+    let lengths = write_records(&path);
     let file = journal_file(&path);
-    let whole = fs::read(&file).unwrap();
+    let original = fs::read(&file).unwrap();
 
     for length in lengths[1]..lengths[2] {
-        fs::write(&file, &whole[..length as usize]).unwrap();
+        fs::write(&file, &original[..length as usize]).unwrap();
         let journal = Journal::open(&open(&path)).expect("a journal");
 
         assert_eq!(journal.group(&id("g")).entries, entries(1, 2, 100));
@@ -149,9 +149,9 @@
 }
 
 #[test]
-fn torn_tail_of_zeros_is_cut_and_written_over() {
+fn torn_tail_of_zeros_is_truncated_and_overwritten() {
     let path = TempDir::new().unwrap();
-    let lengths = written(&path);
+    let lengths = write_records(&path);
     let file = journal_file(&path);
     let mut bytes = fs::read(&file).unwrap();
     bytes[lengths[1] as usize..].fill(0);
@@ -168,12 +168,12 @@
 #[test]
 fn damage_before_the_last_record_is_an_error_at_every_byte() {
     let path = TempDir::new().unwrap();
-    let lengths = written(&path);
+    let lengths = write_records(&path);
     let file = journal_file(&path);
-    let whole = fs::read(&file).unwrap();
+    let original = fs::read(&file).unwrap();
 
     for at in 0..lengths[1] as usize {
-        let mut bytes = whole.clone();
+        let mut bytes = original.clone();
         bytes[at] ^= 0x10;
         fs::write(&file, &bytes).unwrap();
 
@@ -200,7 +200,7 @@
     let group = Journal::open(&open(&path)).expect("a journal").group(&id("g"));
     assert_eq!(group.entries.len(), 10);
     assert_eq!(group.snapshot, Some(snapshot(290)));
-    assert!(largest < 8 << 20, "{largest} bytes for 1 MB of state");
+    assert!(largest < 8 << 20, "the journal reached {largest} bytes for 1 MB of state");
     journal_file(&path);
 }
 
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn journal_equals_a_naive_copy_over_restarts() {
+fn journal_equals_a_reference_model_over_restarts() {
     let groups: [GroupName; 3] = [id("a"), id("b"), id("c")];
     for seed in 0..10 {
         let path = TempDir::new().unwrap();
@@ -277,7 +277,7 @@
     let (writer, mut reports) = Writer::start(Journal::open(&folder).unwrap()).unwrap();
     fs::remove_dir_all(path.path()).unwrap();
 
-    // The file is gone, so the attempt to begin a new one fails.
+    // The folder was deleted, so creating the next file fails.
     let large = Persist { sequence: 1, entries: entries(1, 1, 5 << 20), ..Persist::default() };
     writer.persist(id("g"), large);
     writer.persist(id("g"), append(2, 2, 1));
@@ -286,10 +286,10 @@
     assert_matches!(reports.blocking_recv(), None);
 }
 
-/// A disk that refuses writes for a while: nothing is reported as synced meanwhile, and everything
-/// is there afterwards, once.
+/// While no new journal file can be created, records are still synced to the present file; once
+/// creation works again, the journal holds every record exactly once.
 #[test]
-fn persistent_writer_goes_on_once_the_disk_takes_writes_again() {
+fn persistent_writer_continues_while_no_new_journal_file_can_be_created() {
     let path = TempDir::new().unwrap();
     let folder = open(&path);
     let journal = Journal::open(&folder).unwrap();
@@ -297,7 +297,7 @@
     writer.persist(id("g"), append(1, 1, 1));
     assert_matches!(reports.blocking_recv(), Some(Ok(Synced { sequence: 1, .. })));
 
-    // A folder in place of the next file's temporary name makes each attempt to begin it fail.
+    // A folder under the temporary name of the next file makes every attempt to create it fail.
     let blocked = path.path().join("journal-00000002.new");
     fs::create_dir(&blocked).unwrap();
     fs::create_dir(blocked.join("full")).unwrap();
@@ -316,7 +316,8 @@
     assert_eq!(indexes, [1, 2, 3, 4]);
 }
 
-/// What a failed write left in the old file is not built upon: the new file holds the whole state.
+/// Recovery after a failed write doesn't append to the old file, whose tail may be damaged: it
+/// writes the complete state to a new file.
 #[test]
 fn journal_recovers_into_a_new_file() {
     let path = TempDir::new().unwrap();
@@ -362,14 +363,15 @@
 }
 
 #[test]
-fn lock_ends_with_the_folder_while_a_copy_of_it_lives() {
+fn lock_is_released_with_the_folder_while_a_duplicate_descriptor_is_open() {
     let path = TempDir::new().unwrap();
     let folder = open(&path);
-    let copy = folder.lock_file().try_clone().expect("a copy, as a forked child holds one");
+    // A forked child holds such a duplicate.
+    let duplicate = folder.lock_file().try_clone().expect("a duplicate descriptor");
 
     drop(folder);
     let again = DataFolder::open(path.path(), &id("keeper-1"));
 
     assert_matches!(again, Ok(_));
-    drop(copy);
+    drop(duplicate);
 }
