--- a/tests/testsuite/processes/history.rs
+++ b/tests/testsuite/processes/history.rs
@@ -74,7 +74,7 @@
         if done.load(Ordering::Relaxed) == CALLERS as usize {
             return;
         }
-        deployment.fault("desk", &json!({ "kind": "lose_answer", "count": 2 }));
+        deployment.inject_fault("desk", &json!({ "kind": "lose_answer", "count": 2 }));
         thread::sleep(Duration::from_millis(500));
         deployment.restart(process);
     }
@@ -95,7 +95,7 @@
 }
 
 fn check(deployment: &Deployment, observed: &BookingReplies) {
-    let runs = deployment.runs(&observed.key);
+    let runs = deployment.run_count(&observed.key);
     let replies: Vec<&str> = observed.replies.iter().map(|it| it.text.as_str()).collect();
     assert!(runs <= 1, "{} ran {runs} times: {replies:?}", observed.key);
     if observed.is_refused() {
@@ -119,7 +119,7 @@
     deployment.wait_upstreams("entry-2", 1);
 
     let observed = history(&deployment);
-    deployment.settle();
+    deployment.wait_recovered();
 
     observed.iter().for_each(|it| check(&deployment, it));
     let acknowledged = observed.iter().filter(|it| it.acknowledged().is_some()).count();
--- a/tests/testsuite/processes/shutdown.rs
+++ b/tests/testsuite/processes/shutdown.rs
@@ -12,12 +12,12 @@
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
 use test_support::{
-    caller::{Caller, Outcome, entries_of},
-    deployment::{CALLER_KEY, Deployment, PATIENCE, wait_for},
+    caller::{Caller, Outcome, directory_entries},
+    deployment::{CALLER_KEY, CONDITION_TIMEOUT, Deployment, wait_for},
     stream::Ending,
 };
 
-use crate::processes::fixture::{add_engines, assert_whole, items, two_regions};
+use crate::processes::fixture::{add_engines, assert_complete, items, two_regions};
 
 const ENTRIES: [&str; 3] = ["entry-1", "entry-2", "entry-3"];
 
@@ -41,8 +41,8 @@
 
 /// Whether the directory of `asked` lists `entry`.
 fn is_listed(deployment: &Deployment, asked: &str, entry: &str) -> bool {
-    let document = deployment.caller(asked, "GET", "/v1/entries", &[], "").json;
-    entries_of(&document).contains(&deployment.get(entry).callers)
+    let document = deployment.caller_request(asked, "GET", "/v1/entries", &[], "").json;
+    directory_entries(&document).contains(&deployment.get(entry).callers)
 }
 
 /// Waits until all of `entries` are ready and listed in the directory of each.
@@ -76,9 +76,9 @@
     assert_eq!(refused.json["type"], "leaving", "{}", refused.text);
     assert_eq!(refused.json["outcome"], "not_run", "{}", refused.text);
     for (it, streamed) in streamed.iter().enumerate() {
-        assert_whole(streamed, &format!("shift {it}"), 200);
+        assert_complete(streamed, &format!("shift {it}"), 200);
     }
-    assert!(deployment.wait_end("entry-1"));
+    assert!(deployment.wait_exit("entry-1"));
 }
 
 #[test]
@@ -92,7 +92,7 @@
     );
     let address = deployment.get("entry-1").callers;
     let mut stream = TcpStream::connect(address).expect("a listening port");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a valid timeout");
+    stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("a valid timeout");
     stream.write_all(head.as_bytes()).expect("an open connection");
     // The interim answer shows that the instance waits for the body.
     let mut interim = [0; "HTTP/1.1 100 Continue\r\n\r\n".len()];
@@ -106,7 +106,7 @@
 
     assert!(answer.contains("\"type\":\"leaving\""), "{answer}");
     assert!(answer.contains("\"outcome\":\"not_run\""), "{answer}");
-    assert!(deployment.wait_end("entry-1"));
+    assert!(deployment.wait_exit("entry-1"));
 }
 
 #[test]
@@ -119,8 +119,8 @@
     thread::sleep(std::time::Duration::from_secs(3));
     let streamed = stream.finish();
 
-    assert_whole(&streamed, "shift", 4_000);
-    assert!(deployment.wait_end("entry-1"));
+    assert_complete(&streamed, "shift", 4_000);
+    assert!(deployment.wait_exit("entry-1"));
 }
 
 #[test]
@@ -139,7 +139,7 @@
 
     let Ending::Failed(error) = &streamed.ending else { panic!("{streamed:?}") };
     assert!(error.contains("leaving") && error.contains("failed"), "{error}");
-    assert!(deployment.wait_end("entry-3"));
+    assert!(deployment.wait_exit("entry-3"));
 }
 
 #[test]
@@ -153,8 +153,8 @@
     deployment.signal("entry-1", Signal::SIGTERM);
     let streamed = stream.finish();
 
-    assert_eq!(streamed.ending, Ending::Cut);
-    assert!(!deployment.wait_end("entry-1"));
+    assert_eq!(streamed.ending, Ending::Truncated);
+    assert!(!deployment.wait_exit("entry-1"));
 }
 
 /// Sends requests until [`MIN_REQUESTS`] were sent and the restarts are over; returns the outcomes other
@@ -210,7 +210,7 @@
             .collect();
         for entry in ENTRIES {
             deployment.signal(entry, Signal::SIGTERM);
-            assert!(deployment.wait_end(entry), "{entry} did not exit successfully");
+            assert!(deployment.wait_exit(entry), "{entry} did not exit successfully");
             deployment.start_process(entry);
             wait_listed(&deployment, &ENTRIES);
         }
