--- a/crates/medlarlug-core/src/admission/mod.rs
+++ b/crates/medlarlug-core/src/admission/mod.rs
@@ -47,7 +47,7 @@
 /// A request to be admitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
-    /// The request.
+    /// Id that all events and effects of this request carry.
     pub request: RequestId,
     /// Team that sent the request; teams share the slots by cost.
     pub team: TeamId,
@@ -64,20 +64,20 @@
 /// An input of [`AdmissionQueue::handle`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A request arrived.
+    /// A new request, to be started, queued or refused.
     Arrived(Arrival),
     /// From now on, at most this many requests may run at once.
     Capacity(u32),
     /// A started request has ended and releases its slot.
     Finished {
-        /// The request.
+        /// Request that ended; ignored if it is not running.
         request: RequestId,
     },
     /// Refuses requests that can no longer start in time; sent at regular intervals.
     Tick,
     /// The caller of a waiting or running request closed its connection.
     CallerDisconnected {
-        /// The request.
+        /// Request to forget; its slot is released if it was running.
         request: RequestId,
     },
 }
@@ -87,12 +87,12 @@
 pub enum Effect {
     /// Route the request and send it to an upstream.
     Start {
-        /// The request.
+        /// Request that occupies a slot from now on, until [`Event::Finished`].
         request: RequestId,
     },
     /// Refuse the request to the caller.
     Refuse {
-        /// The request.
+        /// Request that leaves the queue without having started.
         request: RequestId,
         /// The answer.
         refusal: Refusal,
--- a/crates/medlarlug-core/src/gateway/table.rs
+++ b/crates/medlarlug-core/src/gateway/table.rs
@@ -227,7 +227,7 @@
     InvalidPrefix {
         /// Name of the route.
         route: SmolStr,
-        /// The invalid prefix.
+        /// Rejected prefix, exactly as given in the route.
         prefix: SmolStr,
     },
 }
--- a/crates/medlarlug-core/src/limits/mod.rs
+++ b/crates/medlarlug-core/src/limits/mod.rs
@@ -75,7 +75,7 @@
 /// The limit of one team.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TeamLimit {
-    /// The team.
+    /// Team whose callers share the rate and the burst.
     pub team: TeamId,
     /// Requests per second in the whole region.
     pub rate: Rate,
@@ -98,7 +98,7 @@
     Heartbeat,
     /// A report was received from a peer of the region.
     ReportReceived {
-        /// The report.
+        /// Demand of the peer; reports of this instance itself are ignored.
         report: DemandReport,
         /// Time since it was sent.
         age: Duration,
@@ -120,7 +120,7 @@
     Send {
         /// The peer.
         to: InstanceId,
-        /// The report.
+        /// Full report, in answer to [`Event::ResyncRequested`].
         report: DemandReport,
     },
 }
--- a/crates/medlarlug-core/src/limits/report.rs
+++ b/crates/medlarlug-core/src/limits/report.rs
@@ -82,7 +82,7 @@
 /// The demand of one team at the reporting instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DemandEntry {
-    /// The team.
+    /// Hash of the team id, which several teams may share.
     pub team: TeamKey,
     /// Its demand; level 0 if the demand has ended.
     pub level: DemandLevel,
--- a/crates/medlarlug-core/src/membership/dump.rs
+++ b/crates/medlarlug-core/src/membership/dump.rs
@@ -36,7 +36,7 @@
 pub struct UpstreamDump {
     /// The upstream.
     pub id: UpstreamId,
-    /// Its incarnation.
+    /// Incarnation that sent its latest announcement.
     pub incarnation: Incarnation,
     /// Sequence number of its latest announcement.
     pub sequence: u64,
@@ -55,7 +55,7 @@
 pub struct PeerDump {
     /// The instance.
     pub id: InstanceId,
-    /// Its incarnation.
+    /// Highest incarnation that it has reported; 0 before its first heartbeat.
     pub incarnation: Incarnation,
     /// Whether it counts as alive.
     pub live: bool,
@@ -68,9 +68,9 @@
 /// One other zone.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ZoneDump {
-    /// The zone.
+    /// Id of the zone; never that of the instance's own zone.
     pub zone: ZoneId,
-    /// Its region.
+    /// Region of the zone, by the settings of the instance.
     pub region: RegionId,
     /// Age of its latest summary; `None` if none was received.
     pub age: Option<Duration>,
--- a/crates/medlarlug-core/src/membership/message.rs
+++ b/crates/medlarlug-core/src/membership/message.rs
@@ -80,7 +80,7 @@
 pub enum UpstreamUpdate {
     /// All that is known of the upstream.
     Full {
-        /// Its latest announcement.
+        /// Latest announcement of the upstream that the sender knows.
         announcement: Box<Announcement>,
         /// Time since the announcement arrived.
         age: Duration,
@@ -93,7 +93,7 @@
         sequence: u64,
         /// Time since the announcement arrived.
         age: Millis,
-        /// The new load.
+        /// Load in that announcement, and the cache events not sent before.
         load: LoadUpdate,
     },
     /// This incarnation accepts no new requests any more.
@@ -194,7 +194,7 @@
 /// Changes of one zone's summary.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ZoneUpdate {
-    /// The zone.
+    /// Zone that the summary describes; the sender may be in another one.
     pub zone: ZoneId,
     /// The instance that created the summary.
     pub speaker: InstanceId,
--- a/crates/medlarlug-core/src/membership/mod.rs
+++ b/crates/medlarlug-core/src/membership/mod.rs
@@ -91,7 +91,7 @@
     Message {
         /// The sender.
         from: InstanceId,
-        /// The message.
+        /// Decoded message; any kind counts as a sign of life of the sender.
         message: Message,
     },
     /// The load or state of this instance changed.
@@ -107,12 +107,12 @@
     Send {
         /// The receiver.
         to: InstanceId,
-        /// The message.
+        /// Message to encode and send over the connection to the receiver.
         message: Message,
     },
     /// Replace the connection to a peer, because it is unresponsive.
     Reconnect {
-        /// The peer.
+        /// Watched instance that timed out, is dead or was never seen.
         peer: InstanceId,
     },
     /// Report a change of the view.
--- a/crates/medlarlug-core/src/membership/query.rs
+++ b/crates/medlarlug-core/src/membership/query.rs
@@ -11,9 +11,9 @@
 pub struct EntryView {
     /// Id of the instance.
     pub id: InstanceId,
-    /// Its zone.
+    /// Zone that the instance runs in: the own zone or another one.
     pub zone: ZoneId,
-    /// Its region.
+    /// Region of that zone.
     pub region: RegionId,
     /// Requests in progress, by its latest heartbeat or the latest summary of its zone.
     pub load: u32,
--- a/crates/medlarlug-core/src/membership/summary.rs
+++ b/crates/medlarlug-core/src/membership/summary.rs
@@ -32,7 +32,7 @@
 /// What one zone can serve of one target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetSummary {
-    /// The target.
+    /// Model or service that the other fields refer to.
     pub target: Target,
     /// Number of usable upstreams that serve the target.
     pub upstreams: u16,
--- a/crates/medlarlug-core/src/membership/upstreams.rs
+++ b/crates/medlarlug-core/src/membership/upstreams.rs
@@ -20,7 +20,7 @@
 /// An upstream of the own zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Upstream {
-    /// Its latest announcement.
+    /// Latest announcement; renewals update its sequence number and load.
     pub announcement: Announcement,
     /// When that announcement reached the zone, by this instance's clock.
     pub received_at: Time,
@@ -181,7 +181,7 @@
     None,
     /// The upstream is new, has returned, or has changed what it serves.
     Up,
-    /// The upstream is leaving.
+    /// Its incarnation accepts no new requests any more, and now has a tombstone.
     Leaving,
     /// The update is older than a tombstone, which the sender has missed.
     Outdated,
--- a/crates/medlarlug-core/src/membership/zones.rs
+++ b/crates/medlarlug-core/src/membership/zones.rs
@@ -30,7 +30,7 @@
 pub struct ZoneView {
     /// Id of the zone.
     pub zone: ZoneId,
-    /// Its region.
+    /// Region of the zone, which determines the lifetime of its rows.
     pub region: RegionId,
     /// Age from which its rows are not used.
     pub lifetime: Duration,
--- a/crates/medlarlug-core/src/stream/mod.rs
+++ b/crates/medlarlug-core/src/stream/mod.rs
@@ -76,19 +76,19 @@
 pub enum Event {
     /// The request was sent on a connection.
     Opened {
-        /// The connection.
+        /// Connection whose time-out starts over, if it is the current one.
         connection: ConnectionNumber,
     },
     /// A chunk was received.
     Chunk {
         /// Connection on which it was received.
         connection: ConnectionNumber,
-        /// The chunk.
+        /// Position and length of the received bytes, without the bytes themselves.
         chunk: Chunk,
     },
     /// A connection was reset or closed. A regular close without the terminal event counts as well.
     ConnectionLost {
-        /// The connection.
+        /// Connection that ended; ignored unless it is the current one.
         connection: ConnectionNumber,
     },
     /// The upstream does not know the stream, or can't resume it at the requested offset.
@@ -139,12 +139,12 @@
     },
     /// Close a connection that is no longer used. This is no evidence of a failure of its upstream.
     Close {
-        /// The connection.
+        /// Replaced connection, or the current one if the caller has disconnected.
         connection: ConnectionNumber,
     },
     /// Request that the upstream of a connection cancel the work.
     CancelUpstream {
-        /// The connection.
+        /// Connection to that upstream, closed by an [`Effect::Close`] before.
         connection: ConnectionNumber,
     },
     /// End the answer with an explicit error event, or with a problem document if the caller has not
--- a/crates/medlarlug-core/src/suspects/mod.rs
+++ b/crates/medlarlug-core/src/suspects/mod.rs
@@ -124,7 +124,7 @@
 /// Identifies a crash; equal for all instances that report it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashId {
-    /// The upstream.
+    /// Id of the crashed upstream, which stays the same after a restart.
     pub upstream: UpstreamId,
     /// The incarnation that crashed.
     pub incarnation: Incarnation,
@@ -163,30 +163,30 @@
 pub enum Event {
     /// A request was sent to an upstream.
     Sent {
-        /// The request.
+        /// Request that counts as in flight from now on.
         request: RequestId,
         /// Fingerprint of its content.
         fingerprint: Fingerprint,
-        /// The upstream.
+        /// Receiver of the request; reserved unless the content is [`ContentStatus::Clear`].
         upstream: UpstreamId,
         /// The upstream's incarnation.
         incarnation: Incarnation,
     },
     /// A request received its complete answer, which clears its content.
     Completed {
-        /// The request.
+        /// Request of an earlier [`Event::Sent`]; ignored if it is not in flight.
         request: RequestId,
     },
     /// A request ended in a way that is no evidence for or against its content.
     Inconclusive {
-        /// The request.
+        /// Request that is no longer in flight and releases its reservation, if any.
         request: RequestId,
     },
     /// An upstream crashed: its lease expired, or it returned with a new incarnation.
     ///
     /// An unresponsive connection, and an upstream that announced its shutdown, are no crash.
     UpstreamCrashed {
-        /// The upstream.
+        /// Upstream whose requests in flight on that incarnation are interrupted.
         upstream: UpstreamId,
         /// The incarnation that crashed.
         incarnation: Incarnation,
@@ -195,14 +195,14 @@
     FactReceived(Fact),
     /// A peer of the zone reserved an upstream for a suspect.
     Reserved {
-        /// The upstream.
+        /// Upstream that gets no request of this instance until the reservation ends.
         upstream: UpstreamId,
         /// Remaining time of the reservation.
         lifetime: Duration,
     },
     /// A peer of the zone released its reservation.
     ReservationReleased {
-        /// The upstream.
+        /// Upstream that may get requests of this instance again.
         upstream: UpstreamId,
     },
     /// Expires old facts, completed runs and reservations; sent at regular intervals.
@@ -217,19 +217,19 @@
     Publish(Fact),
     /// The request's upstream crashed while the request was in flight: retry it or give it up.
     Interrupted {
-        /// The request.
+        /// Request to retry or give up; it no longer counts as in flight.
         request: RequestId,
     },
     /// Notify the zone's entry instances to send no other request to the upstream.
     Reserve {
-        /// The upstream.
+        /// Upstream that a suspect of this instance was sent to.
         upstream: UpstreamId,
         /// Maximum time of the reservation.
         lifetime: Duration,
     },
     /// Notify the zone's entry instances that the reservation has ended.
     ReleaseReservation {
-        /// The upstream.
+        /// Upstream on which this instance's suspect has ended.
         upstream: UpstreamId,
     },
 }
