--- a/crates/medlarlug-core/src/announcement.rs
+++ b/crates/medlarlug-core/src/announcement.rs
@@ -44,14 +44,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamKind {
-    /// An inference engine.
+    /// An inference engine, which can be sent orders.
     Engine {
         /// Loaded model versions, sorted.
         models: Vec<LoadedModel>,
     },
     /// A service that is no inference engine.
     Service {
-        /// The service.
+        /// Service whose requests may be routed to the upstream.
         service: ServiceId,
     },
 }
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadedModel {
-    /// The model.
+    /// Model, listed once for each of its loaded versions.
     pub model: ModelId,
     /// Version of the model.
     pub version: VersionId,
--- a/crates/medlarlug-core/src/configuration_group/command.rs
+++ b/crates/medlarlug-core/src/configuration_group/command.rs
@@ -110,7 +110,7 @@
 /// Change from one revision to the next.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// A release note.
+    /// An accepted release note was applied.
     Note(ReleaseNote),
     /// Drained items were removed.
     Removed(Vec<ItemKey>),
--- a/crates/medlarlug-core/src/follower.rs
+++ b/crates/medlarlug-core/src/follower.rs
@@ -38,7 +38,7 @@
 /// States that `revision` was the newest one `age` before the message was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
-    /// The newest revision.
+    /// Revision that a follower must have reached to be confirmed.
     pub revision: Revision,
     /// Time between the moment when the revision was known to be the newest and the sending of the message.
     pub age: Duration,
@@ -123,9 +123,9 @@
 pub enum Effect {
     /// Send a request to a source.
     RequestUpdate {
-        /// The source.
+        /// Voter or peer of [`Sources`] to send it to.
         source: InstanceId,
-        /// The request.
+        /// Carries the follower's revision and the token that the response repeats.
         request: UpdateRequest,
     },
     /// Save the configuration and send [`Event::Saved`]; a later one replaces it.
--- a/crates/medlarlug-core/src/ids.rs
+++ b/crates/medlarlug-core/src/ids.rs
@@ -18,7 +18,7 @@
     /// The text is empty or longer than [`MAX_ID_CHARS`].
     #[error("`{text}` has {length} characters; an id has 1 to {MAX_ID_CHARS}")]
     Length {
-        /// The refused text.
+        /// Input as given; may be empty.
         text: SmolStr,
         /// Its length in characters.
         length: usize,
@@ -26,19 +26,19 @@
     /// The text contains a character that is not allowed in ids, or begins with `-` or `_`.
     #[error("`{text}` is no id: use a-z, 0-9, `-` and `_`, beginning with a letter or digit")]
     Character {
-        /// The refused text.
+        /// Input as given; its length is valid.
         text: SmolStr,
     },
     /// The text is not an unsigned integer.
     #[error("`{text}` is no whole number")]
     Number {
-        /// The refused text.
+        /// Input as given; it may be a number that is too large.
         text: SmolStr,
     },
     /// The text is not a request id.
     #[error("`{text}` is no request id; one reads region.instance.incarnation.sequence")]
     Request {
-        /// The refused text.
+        /// Input as given, not only the invalid part.
         text: SmolStr,
     },
 }
--- a/crates/medlarlug-core/src/orders/issuer.rs
+++ b/crates/medlarlug-core/src/orders/issuer.rs
@@ -61,7 +61,7 @@
     HeldElsewhere,
     /// A task that has to be ordered.
     Requested {
-        /// The task.
+        /// Operation and its engine; ignored while the same task is in flight.
         task: Task,
         /// Whether the engine checks fencing tokens.
         fencing: bool,
--- a/crates/medlarlug-core/src/orders/order.rs
+++ b/crates/medlarlug-core/src/orders/order.rs
@@ -53,30 +53,30 @@
 pub enum OrderKind {
     /// Load a model version from the weight store.
     Load {
-        /// The model.
+        /// Model that the version belongs to.
         model: ModelId,
-        /// The version.
+        /// Version to load; other loaded versions of the model stay.
         version: VersionId,
     },
     /// Unload a model version.
     Unload {
-        /// The model.
+        /// Model that the version belongs to.
         model: ModelId,
-        /// The version.
+        /// Version to unload; other loaded versions of the model stay.
         version: VersionId,
     },
     /// Load an adapter from the weight store.
     LoadAdapter {
-        /// The model.
+        /// Model that the adapter belongs to.
         model: ModelId,
-        /// The adapter.
+        /// Adapter to load; announced in `LoadedModel::adapters` once loaded.
         adapter: AdapterId,
     },
     /// Unload an adapter.
     UnloadAdapter {
-        /// The model.
+        /// Model that the adapter belongs to.
         model: ModelId,
-        /// The adapter.
+        /// Adapter to unload; then no longer announced in `LoadedModel::adapters`.
         adapter: AdapterId,
     },
     /// Change the engine's role.
--- a/crates/medlarlug-core/src/record.rs
+++ b/crates/medlarlug-core/src/record.rs
@@ -71,7 +71,7 @@
         /// Short description of the failure.
         reason: SmolStr,
     },
-    /// The request ended.
+    /// The request ended; added again if the service reports the answer later.
     Ended {
         /// Final state of the request.
         outcome: Outcome,
--- a/crates/medlarlug-core/src/replication/event.rs
+++ b/crates/medlarlug-core/src/replication/event.rs
@@ -33,14 +33,14 @@
     Message {
         /// Instance that sent the message.
         from: InstanceId,
-        /// The message.
+        /// Message as the sender's [`Effect::Send`] carried it.
         message: Message,
     },
     /// Replicates a command. Answered by [`Effect::Committed`] or [`Effect::Rejected`].
     Propose {
         /// Returned in the answer.
         ticket: Ticket,
-        /// The command.
+        /// Encoded command, opaque to the replica; returned by [`Effect::Apply`].
         command: Vec<u8>,
     },
     /// Linearizable read. Answered by [`Effect::ReadReady`] or [`Effect::Rejected`].
@@ -57,7 +57,7 @@
     ChangeMembership {
         /// Returned in the answer.
         ticket: Ticket,
-        /// The change.
+        /// Member to add, promote or remove.
         change: Change,
     },
     /// Replaces the log up to `index` by a snapshot of the applied state. Ignored while a member is
@@ -151,7 +151,7 @@
     Send {
         /// Receiving instance.
         to: InstanceId,
-        /// The message.
+        /// Passed to the receiving replica as [`Event::Message`].
         message: Message,
     },
     /// Writes and syncs a batch, answered by [`Event::Persisted`]. Storage without a disk answers
@@ -163,7 +163,7 @@
         index: LogIndex,
         /// Term of that entry.
         term: Term,
-        /// The command.
+        /// Bytes of an [`Event::Propose`] of this or another replica.
         command: Vec<u8>,
     },
     /// The proposal is committed and, if it was a command, applied by an earlier effect.
--- a/crates/medlarlug-core/src/routing/residency.rs
+++ b/crates/medlarlug-core/src/routing/residency.rs
@@ -47,7 +47,7 @@
         team: TeamId,
         /// Model or service that the request names.
         target: ItemKey,
-        /// The forbidden region.
+        /// Region in which the request would have been served.
         region: RegionId,
     },
     /// The configuration lease has lapsed, so no request leaves the region.
--- a/crates/medlarlug-core/src/routing/route.rs
+++ b/crates/medlarlug-core/src/routing/route.rs
@@ -31,7 +31,7 @@
 pub struct Route {
     /// Identifies the attempt in the router's events.
     pub attempt_id: AttemptId,
-    /// The chosen upstream.
+    /// Upstream that the request is sent to.
     pub upstream: UpstreamId,
     /// Address that the upstream announced.
     pub address: SocketAddr,
@@ -51,7 +51,7 @@
 pub struct ZoneRoute {
     /// Identifies the attempt in the router's events.
     pub attempt_id: AttemptId,
-    /// The chosen zone.
+    /// Zone that the request is forwarded to.
     pub zone: ZoneId,
     /// Region of the zone, for the residency check.
     pub region: RegionId,
--- a/crates/medlarlug-core/src/units.rs
+++ b/crates/medlarlug-core/src/units.rs
@@ -12,19 +12,19 @@
     /// A rate is not a finite number above zero.
     #[error("a rate of {value} a second is impossible; give a number above zero")]
     Rate {
-        /// The refused value.
+        /// Refused number, in events per second; may be infinite or NaN.
         value: f64,
     },
     /// A price is not a finite number of at least zero.
     #[error("a price of {value} is impossible; give zero or more")]
     Price {
-        /// The refused value.
+        /// Refused number, in the deployment's own unit; may be infinite or NaN.
         value: f64,
     },
     /// The text is not a number.
     #[error("`{text}` is not a number")]
     Text {
-        /// The refused text.
+        /// Input as given, with its unit suffix if it has one.
         text: SmolStr,
     },
 }
@@ -133,7 +133,7 @@
 }
 
 integer_unit!(
-    /// A number of tokens.
+    /// A number of model tokens, as of a prompt, an answer or a cache.
     Tokens,
     u64
 );
@@ -143,7 +143,7 @@
     u32
 );
 integer_unit!(
-    /// A size in bytes.
+    /// A size in bytes, as of a request's head or body.
     ByteSize,
     u64
 );
