--- a/crates/test-support/src/deployment/mod.rs
+++ b/crates/test-support/src/deployment/mod.rs
@@ -47,9 +47,9 @@
 /// An entry instance or keeper as the cluster file lists it.
 #[derive(Debug, Clone)]
 pub struct Instance {
-    /// Its id.
+    /// Id under which the cluster file lists it.
     pub id: String,
-    /// Its zone.
+    /// Id of the availability zone in which the cluster file places it.
     pub zone: String,
     /// Whether it is an entry instance; otherwise it is a keeper.
     pub is_entry: bool,
@@ -67,9 +67,9 @@
 /// An emulated upstream.
 #[derive(Debug, Clone)]
 pub struct Upstream {
-    /// Its id.
+    /// Id in the settings file of its process.
     pub id: String,
-    /// Its zone.
+    /// Id of the availability zone to whose entry instances it announces itself.
     pub zone: String,
     /// Its kind, as YAML of the settings file.
     pub kind: String,
--- a/crates/test-support/src/deployment/requests.rs
+++ b/crates/test-support/src/deployment/requests.rs
@@ -133,7 +133,7 @@
     pub status: u16,
     /// Value of the header `x-request-id`; empty if there was none.
     pub request_id: String,
-    /// The body as text.
+    /// The body before it is parsed as JSON; empty if there was no complete answer.
     pub text: String,
     /// The body as JSON; null if it is none.
     pub json: Value,
--- a/crates/test-support/src/stream.rs
+++ b/crates/test-support/src/stream.rs
@@ -32,7 +32,7 @@
 pub struct StreamedAnswer {
     /// Value of the header `x-request-id`.
     pub request_id: String,
-    /// The generated text.
+    /// Text of all chunks that were read, also of an answer that failed or was truncated.
     pub text: String,
     /// The way in which it ended.
     pub ending: Ending,
--- a/src/commands/error.rs
+++ b/src/commands/error.rs
@@ -42,7 +42,7 @@
     /// A file can't be read.
     #[error("{} can't be read", .file.display())]
     ReadFile {
-        /// The file.
+        /// Path of the unreadable file, as the operator gave it.
         file: PathBuf,
         /// Error of the operating system.
         source: io::Error,
@@ -50,10 +50,10 @@
     /// Standard input can't be read.
     #[error("standard input can't be read")]
     ReadStdin(#[source] io::Error),
-    /// A file is not valid.
+    /// A release note is malformed, or a field of it is unknown, missing or of another type.
     #[error("{}: {detail}", .file.display())]
     InvalidFile {
-        /// The file.
+        /// Path of the release note, as the operator gave it.
         file: PathBuf,
         /// Message of the YAML parser with the location.
         detail: SmolStr,
@@ -90,7 +90,7 @@
     /// The revision was accepted but not confirmed everywhere in time.
     #[error("revision {revision} is accepted, but not confirmed yet in: {zones}")]
     NotConfirmed {
-        /// The revision.
+        /// Revision whose confirmation the command waited for.
         revision: Revision,
         /// Zones that have not confirmed it, separated by commas.
         zones: SmolStr,
--- a/src/coordination/calls.rs
+++ b/src/coordination/calls.rs
@@ -38,26 +38,26 @@
     /// No leader received the request, so it has no effect.
     #[error("no leader of group {group} could be reached")]
     Unreachable {
-        /// The group.
+        /// Group whose leader was sought.
         group: GroupId,
     },
     /// A voter may have received the request, but no reply arrived. A command may be applied, now or
     /// later.
     #[error("group {group} sent no reply; the command may be in force")]
     Uncertain {
-        /// The group.
+        /// Group whose voter may have received the request.
         group: GroupId,
     },
     /// The cluster file names no voters of this group.
     #[error("there is no group {group}")]
     UnknownGroup {
-        /// The group.
+        /// Group that the call named.
         group: GroupId,
     },
     /// The reply is of a kind that doesn't match the request.
     #[error("group {group} sent a reply of another kind")]
     UnexpectedReply {
-        /// The group.
+        /// Group that sent the reply.
         group: GroupId,
     },
 }
--- a/src/coordination/keeper/group.rs
+++ b/src/coordination/keeper/group.rs
@@ -24,7 +24,7 @@
 /// Identifies a call, so that its reply can be returned.
 #[derive(Debug)]
 pub struct Caller {
-    /// The calling instance.
+    /// Instance that sent the call and receives the reply.
     pub instance: InstanceId,
     /// Number of the call at the calling instance.
     pub call: u64,
@@ -37,23 +37,23 @@
     Send {
         /// The receiver.
         to: InstanceId,
-        /// The message.
+        /// Message of the replication protocol, from this replica.
         message: replication::Message,
     },
     /// Store a batch and call [`Group::persisted`] once it is synced.
     Persist(Persist),
     /// Send the reply to a call.
     Reply {
-        /// The call.
+        /// Call that is answered: its sender and number.
         caller: Caller,
-        /// The reply.
+        /// Result of the request, or why the group did not handle it.
         reply: GroupReply,
     },
     /// The state machine has changed; nothing has to be sent or stored.
     Applied,
     /// The role of this replica has changed.
     RoleChanged {
-        /// The new role.
+        /// Role that the replica has after the change.
         role: Role,
         /// Term in which it holds.
         term: Term,
--- a/src/coordination/keeper/machine.rs
+++ b/src/coordination/keeper/machine.rs
@@ -18,7 +18,7 @@
     /// A committed command can't be decoded.
     #[error("a committed command of group {group} can't be decoded")]
     Command {
-        /// The group.
+        /// Group whose log contains the command.
         group: GroupId,
         /// The codec's error.
         #[source]
@@ -27,7 +27,7 @@
     /// A snapshot can't be decoded.
     #[error("a snapshot of group {group} can't be decoded")]
     Snapshot {
-        /// The group.
+        /// Group whose state the snapshot contains.
         group: GroupId,
         /// The codec's error.
         #[source]
--- a/src/coordination/keeper/rebuild.rs
+++ b/src/coordination/keeper/rebuild.rs
@@ -38,7 +38,7 @@
     /// The data folder contains no state of the group.
     #[error("the data folder holds no state of group {group}; rebuild from another keeper")]
     NoStoredState {
-        /// The group.
+        /// Group that was to be rebuilt; this keeper is one of its voters.
         group: GroupId,
     },
     /// The first command of the new formation can't be encoded.
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -332,7 +332,7 @@
 /// The result of [`Node::receive`].
 #[derive(Debug)]
 pub enum Received {
-    /// The message was handled.
+    /// The message was handled; the caller has nothing left to do.
     Handled,
     /// The message was handled; the notices list what changed in the membership, if anything.
     Notices(Vec<Notice>),
--- a/src/protocol/frame.rs
+++ b/src/protocol/frame.rs
@@ -26,7 +26,7 @@
     pub from: InstanceId,
     /// Receiving instance.
     pub to: InstanceId,
-    /// The message.
+    /// Content for the receiver; a frame carries exactly one message.
     pub message: Message,
 }
 
--- a/src/protocol/inference.rs
+++ b/src/protocol/inference.rs
@@ -35,7 +35,7 @@
 /// The parameters of an inference request that routing needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InferenceParams {
-    /// The model.
+    /// Model named by the field `model`, without the adapter after the colon.
     pub model: ModelId,
     /// The requested adapter of the model, if any.
     pub adapter: Option<AdapterId>,
--- a/src/protocol/message.rs
+++ b/src/protocol/message.rs
@@ -41,7 +41,7 @@
         call: u64,
         /// The group that handles the request.
         group: GroupId,
-        /// The request.
+        /// Command or read; only the leader of the group handles it.
         request: GroupRequest,
     },
     /// The answer to a call.
@@ -53,9 +53,9 @@
     },
     /// A message between members of a replication group.
     Replication {
-        /// The group.
+        /// Group of which the sender and the receiver are members.
         group: GroupId,
-        /// The message.
+        /// Message of the replication protocol, for the receiver's replica of the group.
         message: replication::Message,
     },
     /// A message of the membership protocol between instances.
@@ -78,14 +78,14 @@
     Fact(suspects::Fact),
     /// Reserves an upstream for a trial run of one suspect, between entry instances of a zone.
     Reserve {
-        /// The upstream.
+        /// Upstream that is reserved for the trial run.
         upstream: UpstreamId,
         /// Time after which the reservation expires unless [`Message::Free`] ends it before.
         lifetime: Duration,
     },
     /// Ends a reservation.
     Free {
-        /// The upstream.
+        /// Upstream whose reservation by [`Message::Reserve`] ends.
         upstream: UpstreamId,
     },
     /// A new configuration, sent without a request.
@@ -144,7 +144,7 @@
     Record(home::RecordLookup),
     /// The accepted release notes, the newest last.
     History(Vec<configuration_group::Accepted>),
-    /// The newest revision.
+    /// Newest revision of the configuration group, for [`GroupRequest::Revision`].
     Revision(Revision),
     /// The revision at which the home group was founded, if it was.
     #[serde(rename = "Founding")]
--- a/src/protocol/operators.rs
+++ b/src/protocol/operators.rs
@@ -28,15 +28,15 @@
 /// State of a process as it reports it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ProcessStatus {
-    /// The reporting instance.
+    /// Id of the reporting instance in the cluster file.
     pub instance: InstanceId,
     /// `entry` or `keeper`.
     pub kind: SmolStr,
-    /// Its availability zone.
+    /// Availability zone in which the cluster file places the process.
     pub zone: ZoneId,
-    /// Its region.
+    /// Region to which that availability zone belongs.
     pub region: RegionId,
-    /// Its incarnation.
+    /// Number of this start of the process; later starts have higher ones.
     pub incarnation: Incarnation,
     /// Configuration revision in effect in the process.
     pub revision: Revision,
@@ -53,7 +53,7 @@
 /// State of another instance as a process knows it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// The instance.
+    /// Id of the instance that the state is about.
     pub instance: InstanceId,
     /// `up`, `reconnecting`, `dead` or `unheard`.
     pub state: SmolStr,
@@ -83,7 +83,7 @@
 pub struct UpstreamStatus {
     /// The upstream.
     pub id: UpstreamId,
-    /// Its availability zone.
+    /// Availability zone in which it runs, according to its announcement.
     pub zone: ZoneId,
     /// Address at which it accepts requests.
     pub address: SocketAddr,
@@ -130,7 +130,7 @@
 /// Which revision is in effect in one availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneConfirmation {
-    /// The zone.
+    /// Availability zone whose instances are summarized.
     pub zone: ZoneId,
     /// Lowest revision in effect at an instance of the zone; `None` when no instance has reported one.
     pub revision: Option<Revision>,
--- a/src/settings/cluster.rs
+++ b/src/settings/cluster.rs
@@ -96,7 +96,7 @@
 /// The home group of a region.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HomeGroupSettings {
-    /// The region.
+    /// Region that the group belongs to.
     pub region: RegionId,
     /// Voters of the group; volatile keepers are permitted.
     pub voters: Vec<InstanceId>,
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Error)]
 #[error("{}:{line}: {fault}", .file.display())]
 pub struct SettingsError {
-    /// The file.
+    /// Path of the settings file, or of the file it refers to, that has the fault.
     pub file: PathBuf,
     /// Line of the fault, counted from 1; 0 when the file could not be read.
     pub line: u64,
@@ -34,7 +34,7 @@
     /// A value is outside its permitted range.
     #[error("{field}: `{text}` is not valid; give {valid}")]
     Invalid {
-        /// The field.
+        /// Name of the field whose value is rejected.
         field: SmolStr,
         /// The rejected value.
         text: SmolStr,
@@ -44,7 +44,7 @@
     /// An id or address that must be unique occurs more than once.
     #[error("{field}: `{text}` is used more than once; give each its own")]
     Duplicate {
-        /// The field.
+        /// Name of the field in which the value is repeated.
         field: SmolStr,
         /// The repeated value.
         text: SmolStr,
@@ -52,7 +52,7 @@
     /// An id refers to nothing that the settings define.
     #[error("{field}: `{text}` is unknown; valid are {known}")]
     Unknown {
-        /// The field.
+        /// Name of the field that contains the id.
         field: SmolStr,
         /// The rejected id.
         text: SmolStr,
--- a/src/settings/process.rs
+++ b/src/settings/process.rs
@@ -44,7 +44,7 @@
 /// Settings of an entry instance.
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
-    /// The instance.
+    /// Id under which the cluster file lists this entry instance.
     pub instance: InstanceId,
     /// The cluster file.
     pub cluster: ClusterSettings,
@@ -65,7 +65,7 @@
 /// Settings of a keeper.
 #[derive(Debug, Clone)]
 pub struct KeeperSettings {
-    /// The instance.
+    /// Id under which the cluster file lists this keeper.
     pub instance: InstanceId,
     /// The cluster file.
     pub cluster: ClusterSettings,
--- a/src/standin/ledger.rs
+++ b/src/standin/ledger.rs
@@ -26,7 +26,7 @@
 /// The runs of one key: the idempotency key of a call, else its request id.
 #[derive(Debug, Serialize)]
 pub struct Run {
-    /// The key.
+    /// Idempotency key of the calls, or the request id if they have none.
     pub key: SmolStr,
     /// Number of runs.
     pub count: u64,
--- a/src/standin/process.rs
+++ b/src/standin/process.rs
@@ -31,7 +31,7 @@
     Listen {
         /// The upstream.
         id: UpstreamId,
-        /// The address.
+        /// Address for requests or for control at which listening failed.
         address: SocketAddr,
         /// Error of the operating system.
         source: io::Error,
--- a/src/standin/streams.rs
+++ b/src/standin/streams.rs
@@ -28,7 +28,7 @@
     Running,
     /// All tokens were generated.
     Finished,
-    /// The stream was cancelled.
+    /// A client's request or the removal of the stream ended the generation.
     Cancelled,
     /// The deadline passed before the stream got a slot.
     Expired,
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -51,7 +51,7 @@
     /// An operation of the operating system failed.
     #[error("cannot {operation} {path}")]
     Io {
-        /// The failed operation.
+        /// What the operating system was asked to do with `path`.
         operation: Operation,
         /// The file or folder.
         path: PathBuf,
--- a/src/state/writer.rs
+++ b/src/state/writer.rs
@@ -19,7 +19,7 @@
 /// All batches of `group` up to `sequence` are synced.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Synced {
-    /// The group.
+    /// Replication group whose batches are synced.
     pub group: GroupName,
     /// Sequence number of its last synced batch.
     pub sequence: u64,
--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("`{text}` is not a log level; valid are error, warn, info, debug and trace")]
 pub struct LogLevelError {
-    /// The rejected text.
+    /// Text that was parsed, unchanged; levels are written in lower case.
     pub text: SmolStr,
 }
 
--- a/src/transport/http_server.rs
+++ b/src/transport/http_server.rs
@@ -40,7 +40,7 @@
     Listen {
         /// The clients that the server is for.
         role: &'static str,
-        /// The address.
+        /// Address and port to which the listening socket could not be bound.
         address: SocketAddr,
         /// Error of the operating system.
         #[source]
--- a/src/transport/links.rs
+++ b/src/transport/links.rs
@@ -39,7 +39,7 @@
     /// The own address can't be bound.
     #[error("failed to listen for peers at {address}")]
     Listen {
-        /// The own address.
+        /// Address at which this process was to accept messages of its peers.
         address: SocketAddr,
         /// Error of nng.
         #[source]
