--- a/benches/routing/driver/mod.rs
+++ b/benches/routing/driver/mod.rs
@@ -1,7 +1,7 @@
 //! One loop over entry instances, engines and callers.
 
 mod fault;
-mod news;
+mod messages;
 mod request;
 mod serving;
 
--- a/crates/medlarlug-core/src/gateway/patience.rs
+++ b/crates/medlarlug-core/src/gateway/attempt_timeout.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::silence::Source;
+use crate::gateway::stream_timeout::Source;
 
 /// Limit as a multiple of the predicted wait: predictions are rarely off by more.
 const PREDICTION_FACTOR: u32 = 4;
@@ -40,7 +40,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::{patience::{Attempt, limit}, silence::Source};
+/// use medlarlug_core::gateway::{attempt_timeout::{Attempt, limit}, stream_timeout::Source};
 ///
 /// let second = Duration::from_secs(1);
 /// let attempt = Attempt {
--- a/crates/medlarlug-core/src/gateway/cold.rs
+++ b/crates/medlarlug-core/src/gateway/cold.rs
@@ -2,14 +2,14 @@
 //!
 //! The limit holds for all entry instances together. Instances that see the same peers agree on
 //! one of them that sends to a cold upstream, by the highest rank of the pair of upstream and
-//! instance. It sends only while its [`view`](super::view) of the others is settled: behind a cut,
+//! instance. It sends only while its [`keeper_view`](super::keeper_view) of the others is settled: behind a cut,
 //! after a freeze or a start, and while keepers are down, a cold upstream gets nothing and becomes
 //! warm by itself.
 
 use std::time::Duration;
 
 use crate::{
-    gateway::{placing::rank, upstreams::Known},
+    gateway::{placement::rank, upstreams::Known},
     ids::{InstanceId, UpstreamId, ZoneId},
     time::Time,
 };
--- a/crates/medlarlug-core/src/gateway/health.rs
+++ b/crates/medlarlug-core/src/gateway/health.rs
@@ -2,7 +2,7 @@
 //!
 //! An upstream that refuses connections or goes silent is avoided for a while that doubles with
 //! each further failure. One that answers but fails a part of its calls is not avoided: its share
-//! of failures makes it look slower to [`placing`](super::placing), so that it is used last.
+//! of failures makes it look slower to [`placement`](super::placement), so that it is used last.
 
 use std::time::Duration;
 
--- a/crates/medlarlug-core/src/gateway/view.rs
+++ b/crates/medlarlug-core/src/gateway/keeper_view.rs
@@ -8,7 +8,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use crate::{gateway::stall::Stall, time::Time};
+use crate::{gateway::stall_detector::Stall, time::Time};
 
 /// Keepers that tell an instance the signs of life of the others.
 pub const SOURCES: usize = 2;
--- a/crates/medlarlug-core/src/gateway/exchange.rs
+++ b/crates/medlarlug-core/src/gateway/load_exchange.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use crate::{gateway::placing::rank, ids::InstanceId, ids::ZoneId};
+use crate::{gateway::placement::rank, ids::InstanceId, ids::ZoneId};
 
 /// Entry instances of a region up to which each tells all others.
 const DIRECT_INSTANCES: usize = 8;
@@ -60,7 +60,7 @@
     /// The part of `own` among the live entry instances of its region, itself included.
     ///
     /// ```
-    /// use medlarlug_core::gateway::exchange::{Member, Plan, Role};
+    /// use medlarlug_core::gateway::load_exchange::{Member, Plan, Role};
     ///
     /// let zone: medlarlug_core::ids::ZoneId = "riga-a".parse().unwrap();
     /// let member = |at| Member { id: format!("entry-{at}").parse().unwrap(), zone: zone.clone() };
--- a/crates/medlarlug-core/src/gateway/refusing.rs
+++ b/crates/medlarlug-core/src/gateway/load_shedding.rs
@@ -57,7 +57,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::refusing::{Outlook, Verdict, judge};
+/// use medlarlug_core::gateway::load_shedding::{Outlook, Verdict, judge};
 ///
 /// let second = Duration::from_secs(1);
 /// let outlook = Outlook { wait: Some(second), left: second * 5, objective: Some(second) };
--- a/crates/medlarlug-core/src/gateway/peer_loads.rs
+++ b/crates/medlarlug-core/src/gateway/peer_loads.rs
@@ -1,6 +1,6 @@
 //! What the other entry instances of the region have under way at each upstream, as they tell.
 //!
-//! Reports come from single instances, or are sums over several, see [`exchange`](super::exchange).
+//! Reports come from single instances, or are sums over several, see [`load_exchange`](super::load_exchange).
 //! Each replaces the one before from the same source. The total is kept up to date with every
 //! report, since it is asked for each candidate of each call.
 
--- a/crates/medlarlug-core/src/gateway/allotment.rs
+++ b/crates/medlarlug-core/src/gateway/permits.rs
@@ -9,14 +9,14 @@
 //! uneven, and with one permit saved up by each of many instances a burst exceeds it; one instance that sends
 //! alone, as to cold upstreams, serves only the callers that happen to use it.
 //!
-//! An instance whose [`view`](super::view) of the others is not settled gives permits to itself, at an
+//! An instance whose [`keeper_view`](super::keeper_view) of the others is not settled gives permits to itself, at an
 //! equal part of the pace. Such instances begin at a random moment of their turn, so that they don't act
 //! together.
 
 use std::{collections::VecDeque, time::Duration};
 
 use crate::{
-    gateway::{named_limits::NamedLimit, upstreams::Birth},
+    gateway::{upstream_limits::NamedLimit, upstreams::Birth},
     ids::{InstanceId, UpstreamId},
     time::Time,
 };
--- a/crates/medlarlug-core/src/gateway/placing.rs
+++ b/crates/medlarlug-core/src/gateway/placement.rs
@@ -11,10 +11,10 @@
 //! read, and calls that share a part stay on the engine that every instance finds for it by the
 //! same rank, until waiting there has grown well above reading it again elsewhere. A long queue of
 //! prompts stalls the streams of its engine, so it weighs more than the time that it takes, and long
-//! prompts take turns at an engine, see [`turns`](super::turns).
+//! prompts take turns at an engine, see [`prefill_queue`](super::prefill_queue).
 //!
 //! This answers load that is high but bearable. What to do when no upstream can serve in time is
-//! decided by [`refusing`](super::refusing).
+//! decided by [`load_shedding`](super::load_shedding).
 
 use std::time::Duration;
 
@@ -242,7 +242,7 @@
     /// send to the same upstreams.
     ///
     /// ```
-    /// use medlarlug_core::{gateway::placing::*, time::Time};
+    /// use medlarlug_core::{gateway::placement::*, time::Time};
     ///
     /// let id = "engine-1".parse().unwrap();
     /// let only = Candidate { id: &id, slots: 8, memory: 0, failures: 0.0, distance: Default::default() };
--- a/crates/medlarlug-core/src/gateway/turns.rs
+++ b/crates/medlarlug-core/src/gateway/prefill_queue.rs
@@ -41,7 +41,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::turns::{Turn, turn};
+/// use medlarlug_core::gateway::prefill_queue::{Turn, turn};
 ///
 /// let objective = Duration::from_secs(1);
 /// assert_eq!(turn(true, Duration::ZERO, objective, 1), Turn::Go);
--- a/crates/medlarlug-core/src/gateway/away.rs
+++ b/crates/medlarlug-core/src/gateway/remote_region.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::placing::{Demand, READ_RATE};
+use crate::gateway::placement::{Demand, READ_RATE};
 
 /// Prompt tokens of the call for which a region tells the wait.
 pub const USUAL_PROMPT: u32 = 2_000;
@@ -38,7 +38,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::{away::{Region, cost}, placing::Demand};
+/// use medlarlug_core::gateway::{remote_region::{Region, cost}, placement::Demand};
 ///
 /// let told = Duration::from_millis(80);
 /// let region = Region { told, unread: 0, upstreams: 4 };
--- a/crates/medlarlug-core/src/gateway/budget.rs
+++ b/crates/medlarlug-core/src/gateway/retry_budget.rs
@@ -5,7 +5,7 @@
 //! takes in itself, so that this part of the sum holds whoever freezes, joins or is cut off.
 //!
 //! The allowance is divided by the most entry instances that were ever known, and an instance has a
-//! share once its [`view`](super::view) of the others was complete. Half of the allowance is never
+//! share once its [`keeper_view`](super::keeper_view) of the others was complete. Half of the allowance is never
 //! handed out.
 //!
 //! What an instance has spent is forgotten when it restarts. Its successor repeats no call until a
@@ -139,7 +139,7 @@
 /// out. What was paid for a request that reached nobody is kept for the next one.
 ///
 /// ```
-/// use medlarlug_core::gateway::budget::Spending;
+/// use medlarlug_core::gateway::retry_budget::Spending;
 ///
 /// let mut spending = Spending::default();
 /// assert!(spending.is_covered());
--- a/crates/medlarlug-core/src/gateway/stall.rs
+++ b/crates/medlarlug-core/src/gateway/stall_detector.rs
@@ -13,7 +13,7 @@
 /// Notices stalls by the time between two turns of a loop.
 ///
 /// ```
-/// use medlarlug_core::{gateway::stall::Stall, time::Time};
+/// use medlarlug_core::{gateway::stall_detector::Stall, time::Time};
 /// use std::time::Duration;
 ///
 /// let mut stall = Stall::new(Duration::from_millis(300));
--- a/crates/medlarlug-core/src/gateway/silence.rs
+++ b/crates/medlarlug-core/src/gateway/stream_timeout.rs
@@ -32,7 +32,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use medlarlug_core::gateway::silence::{Source, limit};
+/// use medlarlug_core::gateway::stream_timeout::{Source, limit};
 ///
 /// let pause = Duration::from_millis(600);
 /// assert_eq!(limit(Source::Upstream, pause, true), Some(pause * 3));
--- a/crates/medlarlug-core/src/gateway/named_limits.rs
+++ b/crates/medlarlug-core/src/gateway/upstream_limits.rs
@@ -5,7 +5,7 @@
 //! the limit was last named, and one to an older request can lower a limit, but not raise it.
 //!
 //! Instances of a region tell each other of changes. How they divide a limit is up to
-//! [`allotment`](super::allotment).
+//! [`permits`](super::permits).
 
 use std::{fmt, str::FromStr};
 
@@ -25,7 +25,7 @@
 /// Requests a second that an upstream takes from all entry instances together.
 ///
 /// ```
-/// use medlarlug_core::gateway::named_limits::NamedLimit;
+/// use medlarlug_core::gateway::upstream_limits::NamedLimit;
 ///
 /// assert_eq!("1.7".parse::<NamedLimit>().unwrap().to_string(), "1.7/s");
 /// assert_eq!("0".parse::<NamedLimit>().unwrap(), NamedLimit::LOWEST);
@@ -108,7 +108,7 @@
 ///
 /// ```
 /// use medlarlug_core::{
-///     gateway::{named_limits::{NamedLimits, Said}, upstreams::Birth},
+///     gateway::{upstream_limits::{NamedLimits, Said}, upstreams::Birth},
 ///     time::Time,
 /// };
 ///
--- a/crates/medlarlug-core/src/membership/core.rs
+++ b/crates/medlarlug-core/src/membership/core.rs
@@ -8,8 +8,8 @@
     membership::{
         Effect, Event, Heartbeat, InstanceKind, Message, Notice, Seed, Settings, Status, Target,
         UpstreamKey, UpstreamNews,
+        dead_peers::LostTable,
         hash::StableHasher,
-        lost::LostTable,
         peers::{Peer, PeerTable},
         speaker::Held,
         timing::{HEARTBEAT, SUMMARY_PERIOD, SYNC_INTERVAL, WATCH_ALL},
--- a/crates/medlarlug-core/src/membership/mod.rs
+++ b/crates/medlarlug-core/src/membership/mod.rs
@@ -11,14 +11,14 @@
 //! Instances watch each other by heartbeats. A silent connection is replaced by a new one first;
 //! an instance counts as dead only when the new connection is silent as well.
 
-pub mod awaited;
 mod core;
+mod dead_peers;
 pub mod dump;
 mod hash;
 pub mod load;
-mod lost;
 pub mod message;
 pub mod peers;
+pub mod pending_responses;
 mod query;
 mod speaker;
 pub mod summary;
@@ -32,7 +32,6 @@
     ids::{Incarnation, InstanceId, RegionId, UpstreamId, ZoneId},
 };
 
-pub use awaited::Awaited;
 pub use core::Membership;
 pub use dump::MembershipDump;
 pub use message::{
@@ -40,6 +39,7 @@
     UpstreamKey, UpstreamNews, ZoneNews,
 };
 pub use peers::{Peer, PeerState};
+pub use pending_responses::Awaited;
 pub use query::EntryView;
 pub use summary::{QueueTime, Sketch, Target, TargetSummary};
 pub use timing::TICK;
--- a/crates/medlarlug-core/src/replication/election.rs
+++ b/crates/medlarlug-core/src/replication/election.rs
@@ -242,7 +242,7 @@
             }
             Body::Chunk { at, members, offset, total, data, round } => {
                 if self.follow(&asker.0, now, out) {
-                    let part = super::transfer::Part { at, members, offset, total, data };
+                    let part = super::snapshot_transfer::Part { at, members, offset, total, data };
                     self.on_chunk(asker, part, round, out);
                 }
             }
--- a/crates/medlarlug-core/src/replication/mod.rs
+++ b/crates/medlarlug-core/src/replication/mod.rs
@@ -107,7 +107,7 @@
 mod message;
 mod progress;
 mod replica;
-mod transfer;
+mod snapshot_transfer;
 
 pub use self::{
     config::Config,
--- a/crates/medlarlug-core/src/replication/replica.rs
+++ b/crates/medlarlug-core/src/replication/replica.rs
@@ -18,7 +18,7 @@
     log::Log,
     membership::{FormationId, MemberKey, Membership},
     message::{Body, Entry, Envelope, HardState, Message, Payload},
-    transfer::Incoming,
+    snapshot_transfer::Incoming,
 };
 
 /// The part of a replica with the state that belongs to it.
--- a/crates/medlarlug-core/src/routing/dump.rs
+++ b/crates/medlarlug-core/src/routing/dump.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     ids::{UpstreamId, ZoneId},
-    routing::{learned::Learned, router::Router},
+    routing::{destination_stats::Learned, router::Router},
     time::Time,
 };
 
--- a/crates/medlarlug-core/src/routing/local.rs
+++ b/crates/medlarlug-core/src/routing/local.rs
@@ -11,7 +11,7 @@
     membership::{Target, Upstream},
     release::Configuration,
     routing::{
-        learned::Learned,
+        destination_stats::Learned,
         predict::{Prediction, predict},
         request::RequestFacts,
         residency::Permit,
--- a/crates/medlarlug-core/src/routing/mod.rs
+++ b/crates/medlarlug-core/src/routing/mod.rs
@@ -12,12 +12,12 @@
 //! * [`router`]: the core that decides and learns.
 
 mod affinity;
-mod away;
+mod destination_stats;
 pub mod dump;
-mod learned;
 mod local;
 mod predict;
-mod refuse;
+mod refusal;
+mod remote;
 pub mod request;
 pub mod residency;
 pub mod route;
--- a/crates/medlarlug-core/src/routing/predict.rs
+++ b/crates/medlarlug-core/src/routing/predict.rs
@@ -5,7 +5,7 @@
         Upstream,
         load::{PROMPT_SPEED, slot_time},
     },
-    routing::{learned::Learned, request::RequestFacts},
+    routing::{destination_stats::Learned, request::RequestFacts},
     time::Time,
     units::Tokens,
 };
--- a/crates/medlarlug-core/src/routing/away.rs
+++ b/crates/medlarlug-core/src/routing/remote.rs
@@ -8,7 +8,7 @@
     ids::ZoneId,
     membership::{Row, load::PROMPT_SPEED},
     routing::{
-        learned::Learned,
+        destination_stats::Learned,
         local::within_deadline,
         request::{Origin, RequestFacts},
         residency::Permit,
--- a/crates/medlarlug-core/src/routing/router.rs
+++ b/crates/medlarlug-core/src/routing/router.rs
@@ -11,7 +11,7 @@
     release::Configuration,
     routing::{
         affinity::Affinity,
-        learned::Learned,
+        destination_stats::Learned,
         request::{Forwarded, Origin, RequestFacts},
         residency::ConfigurationLease,
         route::{Choice, Crossing, Departure, Refusal, Route},
--- a/crates/medlarlug-core/src/suspects/trials.rs
+++ b/crates/medlarlug-core/src/suspects/trials.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     fingerprint::Fingerprint,
-    gateway::placing::rank,
+    gateway::placement::rank,
     ids::InstanceId,
     suspects::{FACT_LIFETIME, QUARANTINE_LIFETIME},
     time::Time,
--- a/crates/medlarlug-core/tests/testsuite/gateway/patience.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/attempt_timeout.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use medlarlug_core::gateway::{
-    patience::{Attempt, limit},
-    silence::Source,
+    attempt_timeout::{Attempt, limit},
+    stream_timeout::Source,
 };
 
 fn attempt() -> Attempt {
--- a/crates/medlarlug-core/tests/testsuite/gateway/view.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/keeper_view.rs
@@ -5,8 +5,8 @@
 use medlarlug_core::{
     gateway::{
         cold::{Observations, Process, Suspicions},
+        keeper_view::View,
         upstreams::Upstreams,
-        view::View,
     },
     time::Time,
 };
--- a/crates/medlarlug-core/tests/testsuite/gateway/limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/limits.rs
@@ -5,9 +5,9 @@
 
 use medlarlug_core::{
     gateway::{
-        budget::{RetryBounds, RetryWindow, Share, Spending},
         cold::{ColdSends, Evacuations, Observations, Process, Suspicions, sender},
         health::{CallEnd, Healths},
+        retry_budget::{RetryBounds, RetryWindow, Share, Spending},
         upstreams::Upstreams,
     },
     ids::{InstanceId, ZoneId},
--- a/crates/medlarlug-core/tests/testsuite/gateway/exchange.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/load_exchange.rs
@@ -4,7 +4,7 @@
 
 use medlarlug_core::{
     gateway::{
-        exchange::{Member, Plan, Role},
+        load_exchange::{Member, Plan, Role},
         peer_loads::{LoadReport, PeerLoads, Source, UpstreamKey},
     },
     ids::InstanceId,
--- a/crates/medlarlug-core/tests/testsuite/gateway/refusing.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/load_shedding.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use assert_matches::assert_matches;
-use medlarlug_core::gateway::refusing::{Outlook, Verdict, judge};
+use medlarlug_core::gateway::load_shedding::{Outlook, Verdict, judge};
 
 fn outlook(wait_ms: Option<u64>, left_ms: u64) -> Outlook {
     Outlook {
--- a/crates/medlarlug-core/tests/testsuite/gateway/mod.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/mod.rs
@@ -1,21 +1,21 @@
 //! Decisions of a gateway in front of upstreams that announce themselves.
 
-mod allotment;
 mod announcements;
+mod attempt_timeout;
 mod availability;
-mod away;
 mod contacts;
-mod exchange;
 mod fixture;
 mod handover;
+mod keeper_view;
 mod limits;
-mod named_limits;
-mod patience;
-mod placing;
+mod load_exchange;
+mod load_shedding;
+mod permits;
+mod placement;
+mod prefill_queue;
 mod publication;
-mod refusing;
-mod silence;
-mod stall;
+mod remote_region;
+mod stall_detector;
+mod stream_timeout;
 mod table;
-mod turns;
-mod view;
+mod upstream_limits;
--- a/crates/medlarlug-core/tests/testsuite/gateway/allotment.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/permits.rs
@@ -4,8 +4,8 @@
 
 use medlarlug_core::{
     gateway::{
-        allotment::{Allotter, PERMIT_LIFETIME, Pace, Permits, Want},
-        named_limits::NamedLimit,
+        permits::{Allotter, PERMIT_LIFETIME, Pace, Permits, Want},
+        upstream_limits::NamedLimit,
         upstreams::Birth,
     },
     ids::{InstanceId, UpstreamId},
--- a/crates/medlarlug-core/tests/testsuite/gateway/placing.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/placement.rs
@@ -5,7 +5,7 @@
 use medlarlug_core::{
     gateway::{
         peer_loads::{LoadReport, Source, UpstreamKey},
-        placing::{Candidate, Choice, Demand, Loads, PromptPart},
+        placement::{Candidate, Choice, Demand, Loads, PromptPart},
     },
     ids::UpstreamId,
     time::Time,
--- a/crates/medlarlug-core/tests/testsuite/gateway/turns.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/prefill_queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use medlarlug_core::{
-    gateway::turns::{Turn, TurnWaits, turn},
+    gateway::prefill_queue::{Turn, TurnWaits, turn},
     time::Time,
 };
 
--- a/crates/medlarlug-core/tests/testsuite/gateway/away.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/remote_region.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use medlarlug_core::gateway::{
-    away::{Region, cost},
-    placing::{Demand, PromptPart},
+    placement::{Demand, PromptPart},
+    remote_region::{Region, cost},
 };
 
 const TOLD: Duration = Duration::from_millis(50);
--- a/crates/medlarlug-core/tests/testsuite/gateway/stall.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/stall_detector.rs
@@ -5,7 +5,7 @@
 use medlarlug_core::{
     gateway::{
         cold::{Observations, Process, Suspicions},
-        stall::Stall,
+        stall_detector::Stall,
         upstreams::{Upstream, Upstreams},
     },
     time::Time,
--- a/crates/medlarlug-core/tests/testsuite/gateway/silence.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/stream_timeout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use medlarlug_core::gateway::silence::{Source, limit};
+use medlarlug_core::gateway::stream_timeout::{Source, limit};
 
 const PAUSE: Duration = Duration::from_millis(600);
 
--- a/crates/medlarlug-core/tests/testsuite/gateway/named_limits.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/upstream_limits.rs
@@ -2,7 +2,7 @@
 
 use medlarlug_core::{
     gateway::{
-        named_limits::{NamedLimit, NamedLimits, Said},
+        upstream_limits::{NamedLimit, NamedLimits, Said},
         upstreams::Birth,
     },
     ids::UpstreamId,
--- a/crates/medlarlug-gateway/src/entry/attempt.rs
+++ b/crates/medlarlug-gateway/src/entry/attempt.rs
@@ -14,7 +14,7 @@
         availability::Rest,
         handover::{Attempts, Report},
         health::CallEnd,
-        placing::Choice,
+        placement::Choice,
         table::RouteKind,
         upstreams::Birth,
     },
--- a/crates/medlarlug-gateway/src/entry/call.rs
+++ b/crates/medlarlug-gateway/src/entry/call.rs
@@ -6,7 +6,7 @@
 use hyper::{HeaderMap, Method, header, http::request};
 use medlarlug_core::{
     fingerprint::Fingerprint,
-    gateway::placing::{Demand, PromptPart},
+    gateway::placement::{Demand, PromptPart},
 };
 use smol_str::SmolStr;
 
--- a/crates/medlarlug-gateway/src/entry/choice.rs
+++ b/crates/medlarlug-gateway/src/entry/choice.rs
@@ -5,11 +5,11 @@
 use medlarlug_core::{
     gateway::{
         availability::Availability,
-        away,
         cold::{self, FRESH_FOR, Process},
         contacts::Contact,
-        placing::{Candidate, Choice, Demand},
-        silence::Source,
+        placement::{Candidate, Choice, Demand},
+        remote_region,
+        stream_timeout::Source,
         table::{Route, RouteTable, ServiceName},
         upstreams::{Birth, Known, UpstreamState},
     },
@@ -281,7 +281,7 @@
             let told = Duration::from_millis(waits[at.ok()?].wait_ms.into());
             let unread = self.away_unread(region);
             let upstreams = self.upstreams_in(region, service);
-            Some(away::cost(away::Region { told, unread, upstreams }, demand))
+            Some(remote_region::cost(remote_region::Region { told, unread, upstreams }, demand))
         };
         let fit: Vec<&Contact> = fit.collect();
         let mut regions: Vec<&RegionId> = fit.iter().map(|it| &it.card.region).collect();
--- a/crates/medlarlug-gateway/src/entry/limited.rs
+++ b/crates/medlarlug-gateway/src/entry/limited.rs
@@ -1,7 +1,7 @@
 //! Upstreams that name a limit on the requests of all entry instances together.
 //!
 //! What an instance hears of a limit goes to all instances of the region, and each request to such an
-//! upstream uses a permit; see [`medlarlug_core::gateway::allotment`]. Questions, permits and news travel
+//! upstream uses a permit; see [`medlarlug_core::gateway::permits`]. Questions, permits and news travel
 //! as datagrams: a lost one is asked again, or made up for by the next answer.
 
 use std::{
@@ -14,9 +14,9 @@
 use hyper::{HeaderMap, header::HeaderName};
 use medlarlug_core::{
     gateway::{
-        allotment::{Allotter, Grant, Pace, Permits, Want},
         cold,
-        named_limits::{LimitError, NamedLimit, NamedLimits, Said},
+        permits::{Allotter, Grant, Pace, Permits, Want},
+        upstream_limits::{LimitError, NamedLimit, NamedLimits, Said},
         upstreams::{Birth, Known},
     },
     ids::{InstanceId, UpstreamId},
@@ -27,7 +27,7 @@
 use tokio::{net::UdpSocket, sync::Notify, time::timeout};
 
 use super::{Entry, call::Call, plan::Plan};
-use crate::{loads, metrics as names};
+use crate::{load_exchange, metrics as names};
 
 /// Time between two rounds of the allotter while instances wait for permits: the way of a datagram between
 /// availability zones.
@@ -314,7 +314,9 @@
 pub(super) async fn run(entry: Rc<Entry>, socket: Rc<UdpSocket>) {
     loop {
         let (messages, has_more) = entry.limit_round();
-        messages.into_iter().for_each(|(to, message)| loads::send_limit(&socket, message, to));
+        messages
+            .into_iter()
+            .for_each(|(to, message)| load_exchange::send_limit(&socket, message, to));
         let noted = entry.limited.noted.notified();
         match has_more {
             // A round comes in any case.
--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -41,18 +41,18 @@
 use medlarlug_core::{
     gateway::{
         availability::Availabilities,
-        away::USUAL_PROMPT,
-        budget::RetryWindow,
         cold::{ColdSends, Suspicions},
         contacts::{Card, Contacts, Part, RegionWait, Spare, Status},
-        exchange::Member,
         health::Healths,
+        keeper_view::{SOURCES, View},
+        load_exchange::Member,
         peer_loads::{LoadReport, Source},
-        placing::{Demand, Loads},
+        placement::{Demand, Loads},
+        prefill_queue::TurnWaits,
+        remote_region::USUAL_PROMPT,
+        retry_budget::RetryWindow,
         table::{RouteTable, ServiceName, TableVersion},
-        turns::TurnWaits,
         upstreams::{Birth, Effect, UpstreamState, Upstreams},
-        view::{SOURCES, View},
     },
     ids::{InstanceId, RegionId, UpstreamId, ZoneId},
     time::Time,
@@ -68,10 +68,10 @@
 pub use serve::Ended;
 
 use crate::{
-    follower::{Links, Owner, chain},
     headers::HeaderNames,
+    keeper_links::{Links, Owner, chain},
     link::{Head, Message, News},
-    loads::{self, Exchange},
+    load_exchange::{self, Exchange},
     metrics as names,
     settings::{LONGEST_AGE, NodeSettings},
 };
@@ -189,17 +189,17 @@
         entry.links.follow(&entry);
         task::spawn_local(upkeep(entry.clone()));
         let address = entry.card().internal;
-        let socket = loads::open(address).await.map_err(|source| ServerError::Listen {
+        let socket = load_exchange::open(address).await.map_err(|source| ServerError::Listen {
             role: "load reports",
             address,
             source,
         })?;
         let socket = Rc::new(socket);
-        task::spawn_local(loads::tell(entry.clone(), socket.clone()));
-        task::spawn_local(loads::tell_changes(entry.clone(), socket.clone()));
-        task::spawn_local(loads::pass_changes_on(entry.clone(), socket.clone()));
+        task::spawn_local(load_exchange::tell(entry.clone(), socket.clone()));
+        task::spawn_local(load_exchange::tell_changes(entry.clone(), socket.clone()));
+        task::spawn_local(load_exchange::pass_changes_on(entry.clone(), socket.clone()));
         task::spawn_local(limited::run(entry.clone(), socket.clone()));
-        task::spawn_local(loads::hear(entry.clone(), socket));
+        task::spawn_local(load_exchange::hear(entry.clone(), socket));
         let this = entry.clone();
         task::spawn_local(http_server::serve(internal, limits(), stop, move |request, _| {
             serve::forwarded(this.clone(), request)
--- a/crates/medlarlug-gateway/src/entry/plan.rs
+++ b/crates/medlarlug-gateway/src/entry/plan.rs
@@ -4,13 +4,13 @@
 
 use medlarlug_core::{
     gateway::{
-        budget::Spending,
+        attempt_timeout,
         handover::{Attempts, Handover},
-        patience,
-        placing::Choice,
-        silence::{self, Source},
+        placement::Choice,
+        prefill_queue::{self, Turn},
+        retry_budget::Spending,
+        stream_timeout::{self, Source},
         table::{Route, RouteTable, ServiceName},
-        turns::{self, Turn},
     },
     time::Time,
 };
@@ -157,7 +157,7 @@
         let now = entry.now();
         let waited = now - self.began;
         let is_free = entry.loads.borrow().is_free(now, choice, entry.exchange.instances());
-        let turn = turns::turn(is_free, waited, self.route.objective, self.route.priority);
+        let turn = prefill_queue::turn(is_free, waited, self.route.objective, self.route.priority);
         if turn != Turn::Wait {
             entry.turn_waits.borrow_mut().count(now, waited);
         }
@@ -177,7 +177,7 @@
         let source = hop.source();
         // Nothing is left after another instance, see `count_broken`.
         let is_left = source == Source::Upstream && self.attempts.may_send();
-        silence::limit(source, self.route.pause, self.route.kind.is_repeatable() && is_left)
+        stream_timeout::limit(source, self.route.pause, self.route.kind.is_repeatable() && is_left)
     }
 
     /// Whether the call goes to model engines.
@@ -216,7 +216,7 @@
             }
         }
         let left = self.end - entry.now();
-        let patience = patience::limit(patience::Attempt {
+        let patience = attempt_timeout::limit(attempt_timeout::Attempt {
             source: hop.source(),
             wait: hop.wait(),
             objective: self.route.objective,
--- a/crates/medlarlug-gateway/src/entry/serve.rs
+++ b/crates/medlarlug-gateway/src/entry/serve.rs
@@ -7,11 +7,11 @@
 use medlarlug::transport::body::{self, Answer, BodyError};
 use medlarlug_core::{
     gateway::{
-        budget::{Balance, Share, Spending},
         handover::{Attempts, Handover, Report},
-        refusing::{self, Outlook, Verdict},
+        load_shedding::{self, Outlook, Verdict},
+        prefill_queue::Turn,
+        retry_budget::{Balance, Share, Spending},
         table::ServiceName,
-        turns::Turn,
     },
     time::Time,
 };
@@ -108,8 +108,8 @@
         let spread = rand::rng().random();
         let interval = self.permit_interval(&self.limited_upstreams(plan));
         match (self.rest_left(&plan.service), interval) {
-            (_, Some(interval)) => Some(refusing::after(interval, left, spread)),
-            (Some(rest), None) => Some(refusing::after_rest(rest, spread)),
+            (_, Some(interval)) => Some(load_shedding::after(interval, left, spread)),
+            (Some(rest), None) => Some(load_shedding::after_rest(rest, spread)),
             (None, None) => None,
         }
     }
@@ -133,7 +133,7 @@
     fn with_window<T>(
         &self,
         service: &ServiceName,
-        act: impl FnOnce(&mut medlarlug_core::gateway::budget::RetryWindow) -> T,
+        act: impl FnOnce(&mut medlarlug_core::gateway::retry_budget::RetryWindow) -> T,
     ) -> T {
         let mut windows = self.windows.borrow_mut();
         let at = match windows.binary_search_by(|it| it.0.cmp(service)) {
@@ -314,7 +314,8 @@
         }
         let wait = hop.as_ref().map(Hop::wait);
         let objective = plan.is_on_engines().then_some(plan.route.objective);
-        let mut verdict = refusing::judge(Outlook { wait, left, objective }, rand::rng().random());
+        let mut verdict =
+            load_shedding::judge(Outlook { wait, left, objective }, rand::rng().random());
         if verdict == Verdict::Serve {
             match plan.turn(entry, hop.as_ref()) {
                 Turn::Go => {}
@@ -323,7 +324,8 @@
                     continue;
                 }
                 Turn::Refuse => {
-                    let after = refusing::after(plan.route.objective, left, rand::rng().random());
+                    let after =
+                        load_shedding::after(plan.route.objective, left, rand::rng().random());
                     verdict = Verdict::Refuse { after };
                 }
             }
@@ -352,7 +354,9 @@
                         None => entry.time_back(plan, left).unwrap_or(after),
                         Some(_) => after,
                     },
-                    Verdict::Serve => refusing::after(Duration::ZERO, left, rand::rng().random()),
+                    Verdict::Serve => {
+                        load_shedding::after(Duration::ZERO, left, rand::rng().random())
+                    }
                 };
                 tracing::info!(
                     request = %call.id,
--- a/crates/medlarlug-gateway/src/keeper/loops.rs
+++ b/crates/medlarlug-gateway/src/keeper/loops.rs
@@ -14,7 +14,7 @@
 
 use super::Keeper;
 use crate::{
-    follower::chain,
+    keeper_links::chain,
     link::{self, LinkReceiver},
 };
 
--- a/crates/medlarlug-gateway/src/keeper/mod.rs
+++ b/crates/medlarlug-gateway/src/keeper/mod.rs
@@ -33,7 +33,7 @@
     gateway::{
         cold::Suspicions,
         contacts::{Card, Contacts, Part, Status},
-        stall::Stall,
+        stall_detector::Stall,
         table::RouteTable,
         upstreams::{Effect, Renewal, UpstreamState, Upstreams},
     },
@@ -53,7 +53,7 @@
 
 use self::facts::KeptFacts;
 use crate::{
-    follower::{Links, Owner, chain},
+    keeper_links::{Links, Owner, chain},
     link::{Head, Message, News},
     settings::{LONGEST_AGE, NO_TABLE, NodeSettings, address_of, instance_at},
     subscribers::{Knowledge, Subscribers},
--- a/crates/medlarlug-gateway/src/lib.rs
+++ b/crates/medlarlug-gateway/src/lib.rs
@@ -21,6 +21,6 @@
 pub mod metrics;
 pub mod settings;
 
-mod follower;
-mod loads;
+mod keeper_links;
+mod load_exchange;
 mod subscribers;
--- a/crates/medlarlug-gateway/src/loads.rs
+++ b/crates/medlarlug-gateway/src/load_exchange.rs
@@ -1,6 +1,6 @@
 //! Tells the entry instances of the own region what this one has under way at upstreams.
 //!
-//! Who tells whom is decided by [`exchange`]. The messages are datagrams. Most hold all there is to
+//! Who tells whom is decided by [`load_exchange`]. The messages are datagrams. Most hold all there is to
 //! tell and replace the one before, so a lost one costs nothing but time. A long prompt changes the
 //! queue of its engine so much that others have to know before they place their own, and so does a
 //! call to a plain service with few places: these are told at once, as the load of that upstream
@@ -16,7 +16,7 @@
 
 use medlarlug_core::{
     gateway::{
-        exchange::{Member, Plan, Role, SILENCE},
+        load_exchange::{Member, Plan, Role, SILENCE},
         peer_loads::{LoadReport, Source, UpstreamKey, find},
     },
     ids::{InstanceId, UpstreamId, ZoneId},
--- a/crates/medlarlug-gateway/src/settings.rs
+++ b/crates/medlarlug-gateway/src/settings.rs
@@ -8,8 +8,8 @@
 
 use medlarlug_core::{
     gateway::{
-        budget::RetryBounds,
         contacts::{Card, Part},
+        retry_budget::RetryBounds,
         table::{RouteTable, TableVersion},
     },
     ids::{IdError, InstanceId, RegionId, ZoneId},
--- a/src/coordination/entry/exchange.rs
+++ b/src/coordination/entry/exchange.rs
@@ -19,9 +19,8 @@
 
 use crate::{
     coordination::entry::{
-        Entry,
+        Entry, connection_recovery,
         forward::{self, Refused},
-        silence,
     },
     protocol::headers,
     telemetry::metrics::CROSSED,
@@ -195,8 +194,8 @@
     let limits = CallLimits { connect: CONNECT_LIMIT, head: call.limit };
     let result = match (&place, &facts.target) {
         (Place::Upstream(_), target @ Target::Model(_)) => {
-            let to = silence::Destination { address, id, target };
-            silence::call(entry, to, request, call, limits).await
+            let to = connection_recovery::Destination { address, id, target };
+            connection_recovery::call(entry, to, request, call, limits).await
         }
         _ => entry.client.call(address, request, call.reuse, limits).await,
     };
--- a/src/coordination/entry/mod.rs
+++ b/src/coordination/entry/mod.rs
@@ -5,14 +5,14 @@
 //! across an `await`.
 //!
 //! * [`process`]: start and loop.
-//! * [`intake`]: requests in flight, and the graceful end.
+//! * [`graceful_shutdown`]: requests in flight, and the graceful end.
 //! * [`callers`]: the callers' HTTP interface.
 //! * [`inference`]: the life of an inference request.
 //! * [`services`]: the life of a call to a plain service, and of a booking.
 //! * [`outcomes`]: questions to plain services about bookings of unknown outcome.
 //! * [`exchange`]: one attempt at an upstream or another zone.
 //! * [`relay`]: delivery of a streamed answer.
-//! * [`silence`]: replacement of connections that have gone silent.
+//! * [`connection_recovery`]: replacement of connections that have gone silent.
 //! * [`internal`]: announcements of upstreams and requests forwarded by other zones.
 //! * [`admission`]: admission to the zone's upstreams.
 //! * [`cooldown`]: upstreams at which new connections have just failed.
@@ -23,12 +23,13 @@
 pub mod admission;
 pub mod attempt;
 pub mod callers;
+pub mod connection_recovery;
 pub mod cooldown;
 pub mod crashes;
 pub mod exchange;
 pub mod forward;
+pub mod graceful_shutdown;
 pub mod inference;
-pub mod intake;
 pub mod internal;
 pub mod journal;
 pub mod orders;
@@ -37,7 +38,6 @@
 pub mod records;
 pub mod relay;
 pub mod services;
-pub mod silence;
 
 use std::{
     cell::{Cell, RefCell},
@@ -62,7 +62,10 @@
 pub use crate::coordination::entry::process::{EntryError, run};
 use crate::{
     coordination::{
-        entry::{admission::ZoneAdmission, cooldown::Cooldowns, intake::Intake, journal::Journal},
+        entry::{
+            admission::ZoneAdmission, cooldown::Cooldowns, graceful_shutdown::Intake,
+            journal::Journal,
+        },
         node::{InForce, Node, Received},
         operators::ProcessPart,
     },
--- a/src/coordination/entry/relay.rs
+++ b/src/coordination/entry/relay.rs
@@ -21,9 +21,8 @@
 
 use crate::{
     coordination::entry::{
-        Entry,
+        Entry, connection_recovery,
         exchange::{Exchange, Place},
-        silence,
     },
     protocol::{Problem, events::EventSplitter, headers},
     telemetry::metrics::CROSSED,
@@ -335,7 +334,7 @@
     /// A stream that has begun can't be had elsewhere; another one is sent elsewhere, unless the
     /// engine is only busy.
     fn may_wait(&self) -> bool {
-        self.has_begun || silence::is_announced(&self.entry, self.address)
+        self.has_begun || connection_recovery::is_announced(&self.entry, self.address)
     }
 
     fn request(&self, method: Method, path: &str) -> Option<Request<Full<Bytes>>> {
