--- a/benches/routing/deployment.rs
+++ b/benches/routing/deployment.rs
@@ -17,7 +17,7 @@
     pub entries: [usize; 3],
     pub engines: usize,
     /// One-way delay between regions, in seconds.
-    pub cross_region_delay: f64,
+    pub region_delay: f64,
     /// One-way delay between a caller and its entry instance, in seconds.
     pub client_delay: f64,
     pub latency_weight: f64,
@@ -36,7 +36,7 @@
     zones: [("riga-a", "riga"), ("liepaja-a", "kurzeme"), ("daugavpils-a", "latgale")],
     entries: [3, 3, 2],
     engines: 12,
-    cross_region_delay: 0.055,
+    region_delay: 0.055,
     client_delay: 0.001,
     latency_weight: 10.0,
     cost_weight: 1.0,
@@ -51,7 +51,7 @@
     zones: [("kochi-a", "kochi"), ("kollam-a", "kollam"), ("kozhikode-a", "kozhikode")],
     entries: [3, 3, 2],
     engines: 18,
-    cross_region_delay: 0.055,
+    region_delay: 0.055,
     client_delay: 0.003,
     latency_weight: 1.0,
     cost_weight: 3.0,
@@ -161,7 +161,7 @@
                 items.push(Item::Link(Link {
                     from: id(name),
                     to: id(other),
-                    delay_ms: (self.cross_region_delay * 1_000.0) as u32,
+                    delay_ms: (self.region_delay * 1_000.0) as u32,
                     price: price(LINK_PRICE),
                 }));
             }
--- a/benches/routing/driver/messages.rs
+++ b/benches/routing/driver/messages.rs
@@ -43,7 +43,7 @@
                 let delay = if zones.0 == zones.1 {
                     ZONE_DELAY_SECONDS
                 } else {
-                    self.deployment.cross_region_delay
+                    self.deployment.region_delay
                 };
                 let event = Box::new(MembershipEvent::Message { from, message });
                 self.after(delay, SimulationEvent::Deliver { entry: to, event });
--- a/benches/routing/driver/request.rs
+++ b/benches/routing/driver/request.rs
@@ -103,7 +103,7 @@
                     );
                 } else {
                     self.after(
-                        self.deployment.cross_region_delay,
+                        self.deployment.region_delay,
                         SimulationEvent::ReachZone { request_index, zone },
                     );
                 }
@@ -139,7 +139,7 @@
             _ => {
                 request.caller_request.exclude_zone(id(self.deployment.zones[zone].0));
                 self.after(
-                    self.deployment.cross_region_delay,
+                    self.deployment.region_delay,
                     SimulationEvent::ForwardRefused { request_index },
                 );
             }
--- a/benches/routing/driver/serving.rs
+++ b/benches/routing/driver/serving.rs
@@ -25,7 +25,7 @@
     }
 
     pub(super) fn started(&mut self, engine: usize, started: Started) {
-        let Started { request_index, first_token_at, end_at, prefill_tokens, is_hit } = started;
+        let Started { request_index, token_at, end_at, prefill_tokens, is_hit } = started;
         let epoch = self.engines[engine].epoch;
         self.requests[request_index].is_started = true;
         if self.is_measured(request_index) {
@@ -33,7 +33,7 @@
             self.figures.cache_hits += usize::from(is_hit);
             self.figures.cost += prefill_tokens as f64 / 1_000.0 * PROMPT_PRICE;
         }
-        self.at(first_token_at, SimulationEvent::FirstToken { request_index });
+        self.at(token_at, SimulationEvent::FirstToken { request_index });
         self.at(end_at, SimulationEvent::End { request_index, engine, epoch });
     }
 
@@ -45,7 +45,7 @@
         if self.engines[engine].epoch != epoch || request.is_over {
             return;
         }
-        let return_delay = if request.is_remote { self.deployment.cross_region_delay } else { 0.0 };
+        let return_delay = if request.is_remote { self.deployment.region_delay } else { 0.0 };
         let time_to_first_token = self.now - request.arrived
             + return_delay
             + ZONE_DELAY_SECONDS
@@ -54,7 +54,7 @@
         let is_measured = self.is_measured(request_index);
         self.requests[request_index].is_over = true;
         if is_measured {
-            self.figures.first_token_times.push(time_to_first_token);
+            self.figures.token_times.push(time_to_first_token);
             self.figures.within_deadline +=
                 usize::from(time_to_first_token <= self.deployment.deadline);
             self.figures.remote += usize::from(self.requests[request_index].is_remote);
--- a/benches/routing/engine.rs
+++ b/benches/routing/engine.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Started {
     pub request_index: usize,
-    pub first_token_at: f64,
+    pub token_at: f64,
     pub end_at: f64,
     pub prefill_tokens: u64,
     pub is_hit: bool,
@@ -40,7 +40,7 @@
     pub reports_idle: bool,
     running: u32,
     queue: VecDeque<Job>,
-    prefill_free_at: f64,
+    prefill_free: f64,
     cache: VecDeque<Fingerprint>,
     cached: Vec<Fingerprint>,
     evicted: Vec<Fingerprint>,
@@ -82,12 +82,11 @@
         let is_hit = self.use_prefix(job.prefix);
         let prefill_tokens =
             if is_hit { job.prompt_tokens - job.prefix_tokens } else { job.prompt_tokens };
-        let begin = now.max(self.prefill_free_at);
-        let first_token_at =
-            begin + prefill_tokens as f64 / PREFILL_TOKENS_PER_SECOND * self.slowdown;
-        self.prefill_free_at = first_token_at;
-        let end_at = first_token_at + job.answer_tokens / STREAM_TOKENS_PER_SECOND * self.slowdown;
-        Started { request_index: job.request_index, first_token_at, end_at, prefill_tokens, is_hit }
+        let begin = now.max(self.prefill_free);
+        let token_at = begin + prefill_tokens as f64 / PREFILL_TOKENS_PER_SECOND * self.slowdown;
+        self.prefill_free = token_at;
+        let end_at = token_at + job.answer_tokens / STREAM_TOKENS_PER_SECOND * self.slowdown;
+        Started { request_index: job.request_index, token_at, end_at, prefill_tokens, is_hit }
     }
 
     fn use_prefix(&mut self, prefix: Fingerprint) -> bool {
@@ -112,7 +111,7 @@
             return LoadReport { cached, evicted, ..LoadReport::default() };
         }
         let queued: u64 = self.queue.iter().map(|it| it.prompt_tokens).sum();
-        let in_prefill = ((self.prefill_free_at - now).max(0.0) * PREFILL_TOKENS_PER_SECOND) as u64;
+        let in_prefill = ((self.prefill_free - now).max(0.0) * PREFILL_TOKENS_PER_SECOND) as u64;
         LoadReport {
             running: self.running,
             waiting: self.queue.len() as u32,
--- a/benches/routing/figures.rs
+++ b/benches/routing/figures.rs
@@ -2,7 +2,7 @@
 
 #[derive(Debug, Clone, Default)]
 pub struct Figures {
-    pub first_token_times: Vec<f64>,
+    pub token_times: Vec<f64>,
     pub cost: f64,
     pub requests: usize,
     pub within_deadline: usize,
@@ -32,7 +32,7 @@
 }
 
 pub fn summarize(mut figures: Figures, deadline: f64) -> Summary {
-    let times = &mut figures.first_token_times;
+    let times = &mut figures.token_times;
     times.sort_by(f64::total_cmp);
     let at = |share: f64| percentile(times, share);
     let mut all = times.clone();
--- a/benches/routing/main.rs
+++ b/benches/routing/main.rs
@@ -53,7 +53,7 @@
     let mut total = Figures::default();
     for seed in seeds {
         let run = driver::run(deployment, scenario, is_real, *seed);
-        total.first_token_times.extend(run.first_token_times);
+        total.token_times.extend(run.token_times);
         total.cost += run.cost;
         total.requests += run.requests;
         total.within_deadline += run.within_deadline;
--- a/crates/medlarlug-core/benches/limits.rs
+++ b/crates/medlarlug-core/benches/limits.rs
@@ -134,7 +134,7 @@
 fn bench_queue(teams: &[TeamId]) {
     let mut admission = AdmissionQueue::new(AdmissionPolicy {
         max_wait: Duration::from_secs(5),
-        initial_service_time: Duration::from_millis(25),
+        initial_service: Duration::from_millis(25),
         seed: 1,
     });
     let mut out = Vec::new();
@@ -145,7 +145,7 @@
         team: teams[round as usize * 7 % TEAMS].clone(),
         priority: 0,
         deadline: Time::from_millis(3_600_000),
-        min_time_to_first_byte: Duration::from_millis(20),
+        min_latency: Duration::from_millis(20),
         cost: 1_000,
     };
     for round in 0..200 {
--- a/crates/medlarlug-core/src/admission/mod.rs
+++ b/crates/medlarlug-core/src/admission/mod.rs
@@ -29,7 +29,7 @@
     /// Maximum predicted wait for a slot; a request with a longer one is refused.
     pub max_wait: Duration,
     /// Initial estimate of the service time of a request of mean cost; measurements then adjust it.
-    pub initial_service_time: Duration,
+    pub initial_service: Duration,
     /// Seed of the jitter on the retry delay of refusals.
     pub seed: u64,
 }
@@ -38,7 +38,7 @@
     fn default() -> AdmissionPolicy {
         AdmissionPolicy {
             max_wait: Duration::from_secs(5),
-            initial_service_time: Duration::from_millis(500),
+            initial_service: Duration::from_millis(500),
             seed: 1,
         }
     }
@@ -56,7 +56,7 @@
     /// Time by which the answer has to begin.
     pub deadline: Time,
     /// Minimum time from the start of the request to the first byte of its answer.
-    pub min_time_to_first_byte: Duration,
+    pub min_latency: Duration,
     /// Amount of work, in thousandths of a mean request: a mean request costs 1,000.
     pub cost: u32,
 }
--- a/crates/medlarlug-core/src/admission/queue.rs
+++ b/crates/medlarlug-core/src/admission/queue.rs
@@ -54,7 +54,7 @@
 ///     team: "survey".parse().unwrap(),
 ///     priority: 0,
 ///     deadline: Time::from_millis(1_700),
-///     min_time_to_first_byte: Duration::from_millis(200),
+///     min_latency: Duration::from_millis(200),
 ///     cost: 1_000,
 /// };
 /// admission.handle(Time::ZERO, Event::Arrived(arrival), &mut out);
@@ -85,7 +85,7 @@
             virtual_time: 0,
             starts: 0,
             arrivals: 0,
-            service_seconds: policy.initial_service_time.as_secs_f64(),
+            service_seconds: policy.initial_service.as_secs_f64(),
             jitter: RetryJitter::new(policy.seed),
             policy,
         }
@@ -221,8 +221,7 @@
         let Some(wait) = self.predict(ahead) else {
             return false;
         };
-        wait <= self.policy.max_wait
-            && now + wait + arrival.min_time_to_first_byte <= arrival.deadline
+        wait <= self.policy.max_wait && now + wait + arrival.min_latency <= arrival.deadline
     }
 
     /// Predicted wait for a slot behind requests of total cost `ahead`; `None` without capacity.
@@ -268,5 +267,5 @@
 
 /// Whether the deadline would be missed even if the request started at `now`.
 fn is_too_late(now: Time, arrival: &Arrival) -> bool {
-    now + arrival.min_time_to_first_byte > arrival.deadline
+    now + arrival.min_latency > arrival.deadline
 }
--- a/crates/medlarlug-core/src/configuration_group/draining.rs
+++ b/crates/medlarlug-core/src/configuration_group/draining.rs
@@ -49,7 +49,7 @@
         configuration: &Configuration,
         is_rollout_complete: bool,
     ) -> Vec<ItemKey> {
-        let last_note = configuration.last_note_revision;
+        let last_note = configuration.note_revision;
         let since = match self.in_effect {
             Some((in_effect, since)) if in_effect == last_note => since,
             _ if is_rollout_complete => {
--- a/crates/medlarlug-core/src/follower.rs
+++ b/crates/medlarlug-core/src/follower.rs
@@ -140,7 +140,7 @@
     /// Time between two requests.
     pub poll_interval: Duration,
     /// Time between two requests while no configuration is in force.
-    pub startup_poll_interval: Duration,
+    pub startup_interval: Duration,
     /// Age of the last confirmation from which requests may no longer cross regions.
     pub lease: Duration,
 }
@@ -149,7 +149,7 @@
     fn default() -> Timing {
         Timing {
             poll_interval: Duration::from_secs(1),
-            startup_poll_interval: Duration::from_millis(200),
+            startup_interval: Duration::from_millis(200),
             lease: Duration::from_secs(8),
         }
     }
@@ -190,7 +190,7 @@
     next_peer: usize,
     token: u64,
     pending: Vec<(u64, Time)>,
-    next_request_at: Time,
+    next_request: Time,
     needs_full: bool,
     /// The changes that led to the current configuration, oldest first.
     recent: VecDeque<Change>,
@@ -220,7 +220,7 @@
             next_peer: start_index(start),
             token: start,
             pending: Vec::new(),
-            next_request_at: Time::ZERO,
+            next_request: Time::ZERO,
             needs_full: false,
             recent: VecDeque::new(),
             unconfirmed: None,
@@ -281,12 +281,12 @@
             Event::ResponseReceived(answer) => self.on_response(answer, out),
             Event::Confirmed(confirmation) => {
                 self.confirm(now, confirmation, out);
-                self.next_request_at = self.next_request_at.max(now + self.timing.poll_interval);
+                self.next_request = self.next_request.max(now + self.timing.poll_interval);
             }
             Event::Saved(saved) => self.on_saved(*saved, out),
             Event::Tick => {}
         }
-        if now >= self.next_request_at {
+        if now >= self.next_request {
             self.send_request(now, out);
         }
     }
@@ -298,8 +298,8 @@
         self.token += 1;
         let is_starting = self.configuration().is_none();
         let interval =
-            if is_starting { self.timing.startup_poll_interval } else { self.timing.poll_interval };
-        self.next_request_at = now + interval;
+            if is_starting { self.timing.startup_interval } else { self.timing.poll_interval };
+        self.next_request = now + interval;
         if self.pending.len() == MAX_PENDING_REQUESTS {
             self.pending.remove(0);
         }
--- a/crates/medlarlug-core/src/gateway/placement.rs
+++ b/crates/medlarlug-core/src/gateway/placement.rs
@@ -42,7 +42,7 @@
     /// Length of the prompt in tokens; zero for plain services.
     pub prompt_tokens: u32,
     /// Maximum length of the answer in tokens.
-    pub max_output_tokens: u32,
+    pub output_tokens: u32,
     /// Priority of the call; engines prefill prompts of priority 0 first.
     pub priority: u8,
 }
--- a/crates/medlarlug-core/src/limits/divider.rs
+++ b/crates/medlarlug-core/src/limits/divider.rs
@@ -39,7 +39,7 @@
     policy: LimitPolicy,
     buckets: Vec<Bucket>,
     /// Indices into `buckets`, sorted by the key of the team.
-    buckets_by_key: Vec<(TeamKey, usize)>,
+    key_buckets: Vec<(TeamKey, usize)>,
     peers: Peers,
     sequence: u64,
     joined_at: Option<Time>,
@@ -50,7 +50,7 @@
     settled: bool,
     next_bucket: usize,
     is_full_due: bool,
-    last_full_sequence: u64,
+    full_sequence: u64,
     jitter: RetryJitter,
 }
 
@@ -63,7 +63,7 @@
             jitter: RetryJitter::new(policy.seed),
             policy,
             buckets: Vec::new(),
-            buckets_by_key: Vec::new(),
+            key_buckets: Vec::new(),
             peers: Peers::default(),
             sequence: 0,
             joined_at: None,
@@ -73,7 +73,7 @@
             settled: false,
             next_bucket: 0,
             is_full_due: true,
-            last_full_sequence: 0,
+            full_sequence: 0,
         }
     }
 
@@ -148,8 +148,8 @@
         }
         self.buckets.sort_by(|a, b| a.limit.team.cmp(&b.limit.team));
         let keys = self.buckets.iter().enumerate().map(|(place, it)| (it.key, place));
-        self.buckets_by_key = keys.collect();
-        self.buckets_by_key.sort_unstable();
+        self.key_buckets = keys.collect();
+        self.key_buckets.sort_unstable();
         // The demand of a removed team has ended, which only a full report conveys.
         self.is_full_due |= old.iter().any(|it| it.reported() > DemandLevel(0));
         self.update_all_shares(now);
@@ -193,7 +193,7 @@
         self.sequence += 1;
         let full = std::mem::take(&mut self.is_full_due);
         if full {
-            self.last_full_sequence = self.sequence;
+            self.full_sequence = self.sequence;
         }
         self.measure_demand(now, interval, full);
         let since = self.sequence.saturating_sub(REPORTS_PER_CHANGE - 1).max(1);
@@ -243,7 +243,7 @@
             from: self.id.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
-            base: self.last_full_sequence,
+            base: self.full_sequence,
             entries,
         }
     }
@@ -285,10 +285,10 @@
 
     fn update_listed_shares(&mut self, now: Time, entries: &[DemandEntry]) {
         for entry in entries {
-            let first = self.buckets_by_key.partition_point(|it| it.0 < entry.team);
-            let last = self.buckets_by_key.partition_point(|it| it.0 <= entry.team);
+            let first = self.key_buckets.partition_point(|it| it.0 < entry.team);
+            let last = self.key_buckets.partition_point(|it| it.0 <= entry.team);
             for index in first..last {
-                self.update_share(now, self.buckets_by_key[index].1);
+                self.update_share(now, self.key_buckets[index].1);
             }
         }
     }
--- a/crates/medlarlug-core/src/membership/core.rs
+++ b/crates/medlarlug-core/src/membership/core.rs
@@ -54,7 +54,7 @@
     pub(super) peers: PeerTable,
     pub(super) zones: ZoneTable,
     pub(super) region_outbox: Outbox,
-    pub(super) cross_region_outbox: Outbox,
+    pub(super) remote_outbox: Outbox,
     pub(super) relay_queue: RelayQueue,
     pub(super) reported_targets: Vec<Target>,
     pub(super) contact_rotation: usize,
@@ -62,7 +62,7 @@
     pub(super) next_summary: Time,
     pub(super) next_sync: Time,
     pub(super) reported_dead: ReportedDead,
-    pub(super) next_dead_report: Time,
+    pub(super) next_report: Time,
 }
 
 impl Membership {
@@ -88,7 +88,7 @@
             peers: PeerTable::new(watched),
             zones,
             region_outbox: Outbox::within_region(region_zones),
-            cross_region_outbox: Outbox::cross_region(cross_region_zones),
+            remote_outbox: Outbox::cross_region(cross_region_zones),
             relay_queue: RelayQueue::default(),
             reported_targets: Vec::new(),
             contact_rotation: seed,
@@ -96,7 +96,7 @@
             next_summary: now,
             next_sync: now,
             reported_dead: ReportedDead::default(),
-            next_dead_report: now,
+            next_report: now,
             settings,
         }
     }
--- a/crates/medlarlug-core/src/membership/dead_peers.rs
+++ b/crates/medlarlug-core/src/membership/dead_peers.rs
@@ -74,10 +74,10 @@
     /// `is_urgent`, otherwise periodically.
     pub(super) fn report_dead_peers(&mut self, now: Time, is_urgent: bool, out: &mut Vec<Effect>) {
         self.reported_dead.expire(now);
-        if !is_urgent && now < self.next_dead_report {
+        if !is_urgent && now < self.next_report {
             return;
         }
-        self.next_dead_report = now + DEAD_REPORT_INTERVAL;
+        self.next_report = now + DEAD_REPORT_INTERVAL;
         let dead = self.dead_entries();
         if dead.is_empty() || !self.is_speaker() {
             return;
--- a/crates/medlarlug-core/src/membership/speaker.rs
+++ b/crates/medlarlug-core/src/membership/speaker.rs
@@ -42,7 +42,7 @@
         self.contact_rotation += 1;
         let for_region = self.region_outbox.take(now, &rows, &entries);
         let for_region = for_region.map(|rows| self.own_update(entries.clone(), rows));
-        if let Some(rows) = self.cross_region_outbox.take(now, &rows, &entries) {
+        if let Some(rows) = self.remote_outbox.take(now, &rows, &entries) {
             let update = self.own_update(entries, rows);
             let rotation = self.contact_rotation;
             let contacts =
--- a/crates/medlarlug-core/src/membership/upstreams.rs
+++ b/crates/medlarlug-core/src/membership/upstreams.rs
@@ -31,7 +31,7 @@
     key: UpstreamKey,
     unsent: Unsent,
     /// When an instance of higher rank last relayed a renewal of it.
-    relayed_by_peer_at: Option<Time>,
+    peer_relay: Option<Time>,
     /// When this instance last relayed a renewal of it.
     relayed_at: Option<Time>,
     pending: PendingEvents,
@@ -73,7 +73,7 @@
             warm: WarmSet::default(),
             properties_hash,
             unsent,
-            relayed_by_peer_at: None,
+            peer_relay: None,
             relayed_at: None,
             pending: PendingEvents::default(),
         };
@@ -120,7 +120,7 @@
     /// Whether another instance relays the renewals. Of all instances that the upstream announces
     /// itself to, the one with the highest rank does, so that each renewal is sent once.
     fn is_relayed_by_peer(&self, now: Time) -> bool {
-        self.relayed_by_peer_at.is_some_and(|relayed_at| now - relayed_at < RELAY_TIMEOUT)
+        self.peer_relay.is_some_and(|relayed_at| now - relayed_at < RELAY_TIMEOUT)
     }
 
     fn version(&self) -> (Incarnation, u64) {
@@ -270,7 +270,7 @@
                 // Without this check, the instance whose tick comes first would relay every
                 // renewal.
                 if is_preferred {
-                    self.upstreams[index].relayed_by_peer_at = Some(now);
+                    self.upstreams[index].peer_relay = Some(now);
                     self.upstreams[index].unsent = Unsent::Nothing;
                 }
                 self.apply_renewal(index, sequence, now.saturating_sub(age.into()), load)
--- a/crates/medlarlug-core/src/membership/zones.rs
+++ b/crates/medlarlug-core/src/membership/zones.rs
@@ -199,7 +199,7 @@
     /// Whether rows include the sketch of cached prefixes.
     includes_warm: bool,
     budget_bytes: f64,
-    bytes_per_second: f64,
+    byte_rate: f64,
     filled_at: Time,
 }
 
@@ -227,16 +227,9 @@
         )
     }
 
-    fn new(refresh: Duration, bytes_per_second: f64, includes_warm: bool) -> Outbox {
+    fn new(refresh: Duration, byte_rate: f64, includes_warm: bool) -> Outbox {
         let (budget_bytes, filled_at) = (MAX_SAVED_BYTES, Time::ZERO);
-        Outbox {
-            sent: Vec::new(),
-            refresh,
-            includes_warm,
-            budget_bytes,
-            bytes_per_second,
-            filled_at,
-        }
+        Outbox { sent: Vec::new(), refresh, includes_warm, budget_bytes, byte_rate, filled_at }
     }
 
     /// Takes the rows that are to be sent now: new and considerably changed ones, then those due
@@ -279,7 +272,7 @@
     }
 
     fn fill(&mut self, now: Time) {
-        let earned = (now - self.filled_at).as_secs_f64() * self.bytes_per_second;
+        let earned = (now - self.filled_at).as_secs_f64() * self.byte_rate;
         self.budget_bytes = (self.budget_bytes + earned).min(MAX_SAVED_BYTES);
         self.filled_at = now;
     }
--- a/crates/medlarlug-core/src/orders/issuer.rs
+++ b/crates/medlarlug-core/src/orders/issuer.rs
@@ -20,11 +20,11 @@
     /// Interval of requests for the lease.
     pub renewal_interval: Duration,
     /// Longest time between the sending of an order and its arrival at an engine.
-    pub max_delivery_time: Duration,
-    /// Time after which an order counts as unanswered; at least `max_delivery_time`.
+    pub delivery_time: Duration,
+    /// Time after which an order counts as unanswered; at least `delivery_time`.
     pub answer_timeout: Duration,
     /// Largest relative difference in speed between two clocks of the region: 0.01 is 1 %.
-    pub max_clock_drift: f64,
+    pub clock_drift: f64,
     /// Loads per second that the weight store of the region permits.
     pub load_rate: Rate,
     /// Loads that may be started at once after a pause.
@@ -36,9 +36,9 @@
         Timing {
             lease_duration: Duration::from_secs(10),
             renewal_interval: Duration::from_secs(3),
-            max_delivery_time: Duration::from_secs(5),
+            delivery_time: Duration::from_secs(5),
             answer_timeout: Duration::from_secs(30),
-            max_clock_drift: 0.01,
+            clock_drift: 0.01,
             load_rate: Rate::try_from(0.5).expect("above zero"),
             load_burst: 2,
         }
@@ -122,8 +122,8 @@
 /// has timed out, so that orders can't overtake each other.
 ///
 /// For engines that don't check fencing tokens, safety rests on two bounds: the speeds of clocks
-/// differ by [`Timing::max_clock_drift`] at most, and an order arrives within
-/// [`Timing::max_delivery_time`] of the [`Effect::Send`] or never.
+/// differ by [`Timing::clock_drift`] at most, and an order arrives within
+/// [`Timing::delivery_time`] of the [`Effect::Send`] or never.
 ///
 /// ```
 /// use medlarlug_core::{
@@ -144,7 +144,7 @@
     sequence: u64,
     token: u64,
     lease_requests: Vec<(u64, Time)>,
-    next_lease_request: Time,
+    lease_request: Time,
     waiting: Vec<WaitingTask>,
     in_flight: Vec<InFlightOrder>,
 }
@@ -162,7 +162,7 @@
             sequence: 0,
             token: 0,
             lease_requests: Vec::new(),
-            next_lease_request: Time::ZERO,
+            lease_request: Time::ZERO,
             waiting: Vec::new(),
             in_flight: Vec::new(),
         }
@@ -200,7 +200,7 @@
                     .retain(|it| it.order.fence != fence || it.order.task.upstream != upstream);
             }
         }
-        if now >= self.next_lease_request {
+        if now >= self.lease_request {
             self.request_lease(now, out);
         }
         self.expire_orders(now, out);
@@ -209,7 +209,7 @@
 
     fn request_lease(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.token += 1;
-        self.next_lease_request = now + self.timing.renewal_interval;
+        self.lease_request = now + self.timing.renewal_interval;
         if self.lease_requests.len() == MAX_PENDING_LEASE_REQUESTS {
             self.lease_requests.remove(0);
         }
@@ -223,7 +223,7 @@
             return;
         };
         let (_, requested_at) = self.lease_requests.remove(found);
-        let until = requested_at + duration.div_f64(1.0 + self.timing.max_clock_drift);
+        let until = requested_at + duration.div_f64(1.0 + self.timing.clock_drift);
         match &mut self.lease {
             Some(lease) if lease.term == term => lease.until = lease.until.max(until),
             Some(lease) if lease.term > term => {}
@@ -240,7 +240,7 @@
 
     /// The longest delivery time of an order, as this process's clock may measure it.
     fn max_delivery_time(&self) -> Duration {
-        self.timing.max_delivery_time.mul_f64(1.0 + self.timing.max_clock_drift)
+        self.timing.delivery_time.mul_f64(1.0 + self.timing.clock_drift)
     }
 
     fn add_task(&mut self, task: Task, fencing: bool) {
--- a/crates/medlarlug-core/src/release/configuration.rs
+++ b/crates/medlarlug-core/src/release/configuration.rs
@@ -25,7 +25,7 @@
     pub revision: Revision,
     /// Revision that the last release note produced. Later revisions changed nothing that a note lists.
     #[serde(rename = "edited")]
-    pub last_note_revision: Revision,
+    pub note_revision: Revision,
     items: Vec<Item>,
     draining: Vec<Item>,
     homes: Vec<TeamHome>,
@@ -51,7 +51,7 @@
         items.sort_by_key(Item::key);
         let mut configuration = Configuration {
             revision,
-            last_note_revision: revision,
+            note_revision: revision,
             items,
             draining: Vec::new(),
             homes: Vec::new(),
--- a/crates/medlarlug-core/src/release/note.rs
+++ b/crates/medlarlug-core/src/release/note.rs
@@ -153,7 +153,7 @@
     /// `current`, if an added item already exists, if a changed or withdrawn item does not exist, or if the
     /// resulting configuration would be inconsistent.
     pub fn apply(&self, current: &Configuration) -> Result<Configuration, NoteError> {
-        if self.base() < current.last_note_revision || self.base() > current.revision {
+        if self.base() < current.note_revision || self.base() > current.revision {
             return Err(NoteError::Stale { base: self.base(), current: current.revision });
         }
         let mut next = current.clone();
@@ -178,7 +178,7 @@
             found.ok_or_else(|| NoteError::Missing(key.clone()))?;
         }
         next.revision = current.revision.next();
-        next.last_note_revision = next.revision;
+        next.note_revision = next.revision;
         next.update_homes();
         validation::check(&next)?;
         Ok(next)
--- a/crates/medlarlug-core/src/replication/config.rs
+++ b/crates/medlarlug-core/src/replication/config.rs
@@ -21,10 +21,10 @@
     pub heartbeat_interval: Duration,
     /// Shortest time without a message from a leader after which a voter campaigns. A voter that
     /// received one more recently refuses its vote to others.
-    pub election_timeout_min: Duration,
+    pub election_min: Duration,
     /// Longest time without a message from a leader after which a voter campaigns; the actual timeout
     /// is drawn at random between the two. A leader without a majority steps down after this time.
-    pub election_timeout_max: Duration,
+    pub election_max: Duration,
     /// Whether a voter asks for pre-votes before it raises the term.
     pub pre_vote: bool,
     /// Whether a leader steps down when a majority no longer answers it.
@@ -54,13 +54,13 @@
     /// let key = MemberKey { id: "keeper-1".parse().unwrap(), storage: StorageId(7) };
     /// let founders = vec![key.id.clone()];
     /// let config = Config::new(key, founders).with_heartbeat_interval(Duration::from_millis(250));
-    /// assert_eq!(config.election_timeout_max, Duration::from_secs(2));
+    /// assert_eq!(config.election_max, Duration::from_secs(2));
     /// ```
     pub fn with_heartbeat_interval(self, heartbeat_interval: Duration) -> Config {
         Config {
             heartbeat_interval,
-            election_timeout_min: heartbeat_interval * 4,
-            election_timeout_max: heartbeat_interval * 8,
+            election_min: heartbeat_interval * 4,
+            election_max: heartbeat_interval * 8,
             ..self
         }
     }
@@ -87,8 +87,8 @@
             founders,
             may_form: true,
             heartbeat_interval: Duration::from_millis(100),
-            election_timeout_min: Duration::from_millis(500),
-            election_timeout_max: Duration::from_millis(1_000),
+            election_min: Duration::from_millis(500),
+            election_max: Duration::from_millis(1_000),
             pre_vote: true,
             check_quorum: true,
             batch_bytes: 256 * 1024,
--- a/crates/medlarlug-core/src/replication/election.rs
+++ b/crates/medlarlug-core/src/replication/election.rs
@@ -37,7 +37,7 @@
             return self.start_election(false, now, out);
         }
         self.leader = None;
-        self.pre_vote_started_at = Some(now);
+        self.campaigned_at = Some(now);
         let old_role = self.role();
         self.state = State::PreCandidate(vec![self.config.key.clone()]);
         if old_role != Role::Follower {
@@ -100,8 +100,8 @@
     /// votes.
     fn takes_precedence(&self, requester: &MemberKey, last: Position, now: Time) -> bool {
         let is_asking = matches!(self.state, State::PreCandidate(_));
-        let limit = self.config.election_timeout_min / 2;
-        let is_recent = self.pre_vote_started_at.is_some_and(|started| now - started < limit);
+        let limit = self.config.election_min / 2;
+        let is_recent = self.campaigned_at.is_some_and(|started| now - started < limit);
         is_asking && is_recent && (self.log.last(), &self.config.key) > (last, requester)
     }
 
@@ -273,7 +273,7 @@
             return false;
         }
         self.become_follower(self.hard.term, Some(from.id.clone()), now, out);
-        self.last_leader_contact = Some(now);
+        self.leader_contact = Some(now);
         self.reset_election_deadline(now);
         true
     }
--- a/crates/medlarlug-core/src/replication/formation.rs
+++ b/crates/medlarlug-core/src/replication/formation.rs
@@ -37,8 +37,8 @@
 impl Replica {
     /// Sends a hello to the founders, and to a leader that was named, while no leader sends messages.
     pub(super) fn send_hellos(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let limit = self.config.election_timeout_max;
-        let has_leader = self.last_leader_contact.is_some_and(|heard| now - heard < limit);
+        let limit = self.config.election_max;
+        let has_leader = self.leader_contact.is_some_and(|heard| now - heard < limit);
         if has_leader || now < self.next_hello {
             return;
         }
@@ -111,7 +111,7 @@
 
     /// Hello that proves that the founder `id` has new storage and answers this replica.
     fn new_founder_hello(&self, id: &InstanceId, now: Time) -> Option<&Hello> {
-        let limit = self.config.election_timeout_max;
+        let limit = self.config.election_max;
         let applicant = self.applicants.iter().find(|a| a.hello.key.id == *id)?;
         let hello = &applicant.hello;
         let is_unformed = hello.formation.is_none() && hello.founders == self.config.founders;
@@ -165,8 +165,8 @@
             return false;
         };
         leader.progress(key).is_some_and(|progress| {
-            let is_responsive = progress.has_answered
-                && now - progress.last_contact < self.config.election_timeout_min;
+            let is_responsive =
+                progress.has_answered && now - progress.last_contact < self.config.election_min;
             is_responsive && progress.match_index >= leader.majority_index.max(self.commit)
         })
     }
@@ -185,7 +185,7 @@
     fn next_replacement_change(&self, now: Time) -> Option<Change> {
         let members = self.log.membership()?;
         let applicant = self.applicants.iter().find_map(|applicant| {
-            let is_fresh = now - applicant.received_at < self.config.election_timeout_max;
+            let is_fresh = now - applicant.received_at < self.config.election_max;
             is_fresh.then(|| self.admitted_member(&applicant.hello, members)).flatten()
         });
         if let Some(member) = applicant {
--- a/crates/medlarlug-core/src/replication/leader.rs
+++ b/crates/medlarlug-core/src/replication/leader.rs
@@ -153,7 +153,7 @@
         let State::Leader(leader) = &self.state else {
             return false;
         };
-        let limit = self.config.election_timeout_max;
+        let limit = self.config.election_max;
         let is_in_contact = |key: &MemberKey| {
             let is_responsive = |progress: &Progress| now - progress.last_contact < limit;
             *key == self.config.key || leader.progress(key).is_some_and(is_responsive)
@@ -293,8 +293,8 @@
     }
 
     pub(super) fn transfer_leadership(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let deadline = now + self.config.election_timeout_min;
-        let limit = self.config.election_timeout_min;
+        let deadline = now + self.config.election_min;
+        let limit = self.config.election_min;
         let (State::Leader(leader), Some(members)) = (&mut self.state, self.log.membership())
         else {
             return;
--- a/crates/medlarlug-core/src/replication/mod.rs
+++ b/crates/medlarlug-core/src/replication/mod.rs
@@ -39,7 +39,7 @@
 //! # Formation
 //!
 //! The first of the configured founders forms the group once it has received, within
-//! [`Config::election_timeout_max`], a hello from *every* founder that says that the founder's
+//! [`Config::election_max`], a hello from *every* founder that says that the founder's
 //! storage belongs to no group. Each hello must name the first founder's own storage, which rules
 //! out a message from before a restart. One founder that kept its storage is thus enough to keep a
 //! majority that lost theirs from forming a second, empty group.
--- a/crates/medlarlug-core/src/replication/replica.rs
+++ b/crates/medlarlug-core/src/replication/replica.rs
@@ -66,11 +66,11 @@
     pub(super) state: State,
     pub(super) leader: Option<InstanceId>,
     /// When the replica last received a message from the leader.
-    pub(super) last_leader_contact: Option<Time>,
+    pub(super) leader_contact: Option<Time>,
     /// When to campaign next.
     pub(super) election_deadline: Time,
     /// When the replica last asked for pre-votes.
-    pub(super) pre_vote_started_at: Option<Time>,
+    pub(super) campaigned_at: Option<Time>,
     /// When to send the next hello.
     pub(super) next_hello: Time,
     /// Leader that the last hello named; receives the next hello.
@@ -122,9 +122,9 @@
             log,
             state: State::Follower,
             leader: None,
-            last_leader_contact: None,
+            leader_contact: None,
             election_deadline: now,
-            pre_vote_started_at: None,
+            campaigned_at: None,
             next_hello: now,
             leader_hint: None,
             applicants: Vec::new(),
@@ -226,22 +226,22 @@
     }
 
     pub(super) fn reset_election_deadline(&mut self, now: Time) {
-        let min = self.config.election_timeout_min;
-        let spread = self.config.election_timeout_max.saturating_sub(min);
+        let min = self.config.election_min;
+        let spread = self.config.election_max.saturating_sub(min);
         self.election_deadline = now + min + spread.mul_f64(self.rng.random::<f64>());
     }
 
     /// Sets the deadline after a campaign of this replica; shorter, since no leader is expected.
     pub(super) fn reset_campaign_deadline(&mut self, now: Time) {
-        let min = self.config.election_timeout_min;
+        let min = self.config.election_min;
         self.election_deadline = now + min.mul_f64(0.5 + 0.5 * self.rng.random::<f64>());
     }
 
     /// Whether the replica leads or received a message from a leader too recently to help replace it.
     pub(super) fn has_live_leader(&self, now: Time) -> bool {
-        let min = self.config.election_timeout_min;
+        let min = self.config.election_min;
         matches!(self.state, State::Leader(_))
-            || self.last_leader_contact.is_some_and(|heard| now - heard < min)
+            || self.leader_contact.is_some_and(|heard| now - heard < min)
     }
 
     pub(super) fn set_term(&mut self, term: Term, vote: Option<MemberKey>) {
--- a/crates/medlarlug-core/src/replication/snapshot_transfer.rs
+++ b/crates/medlarlug-core/src/replication/snapshot_transfer.rs
@@ -40,7 +40,7 @@
         let State::Leader(leader) = &self.state else {
             return false;
         };
-        let limit = self.config.election_timeout_max;
+        let limit = self.config.election_max;
         leader.progress.iter().any(|progress| {
             let is_sending = matches!(progress.mode, Mode::Snapshot { .. });
             is_sending && now - progress.last_contact < limit
--- a/crates/medlarlug-core/src/retry.rs
+++ b/crates/medlarlug-core/src/retry.rs
@@ -105,7 +105,7 @@
     /// Time by which the answer has to begin.
     pub deadline: Time,
     /// Minimum duration of an attempt; a retry needs that much time before the deadline.
-    pub min_attempt_time: Duration,
+    pub attempt_time: Duration,
     made: u32,
     zone_refusals: u32,
     may_have_run: bool,
@@ -128,13 +128,13 @@
         idempotent: bool,
         forwarded: bool,
         deadline: Time,
-        min_attempt_time: Duration,
+        attempt_time: Duration,
     ) -> Attempts {
         Attempts {
             idempotent,
             forwarded,
             deadline,
-            min_attempt_time,
+            attempt_time,
             made: 0,
             zone_refusals: 0,
             may_have_run: false,
@@ -181,7 +181,7 @@
         jitter: &mut RetryJitter,
     ) -> Decision {
         self.count(failure);
-        let is_in_time = now + self.min_attempt_time < self.deadline;
+        let is_in_time = now + self.attempt_time < self.deadline;
         if !self.may_retry(failure) || !is_in_time || !budget.take() {
             return Decision::GiveUp(self.refusal(jitter));
         }
--- a/crates/medlarlug-core/src/routing/destination_stats.rs
+++ b/crates/medlarlug-core/src/routing/destination_stats.rs
@@ -29,12 +29,12 @@
     tokens: Tokens,
     base: f64,
     predicted: f64,
-    first_token_at: Option<Time>,
+    token_at: Option<Time>,
 }
 
 impl InFlightRequest {
     fn awaits_first_token(&self) -> bool {
-        self.first_token_at.is_none()
+        self.token_at.is_none()
     }
 }
 
@@ -107,14 +107,8 @@
         predicted: f64,
     ) {
         self.last_sent = now;
-        let request = InFlightRequest {
-            attempt_id,
-            sent_at: now,
-            tokens,
-            base,
-            predicted,
-            first_token_at: None,
-        };
+        let request =
+            InFlightRequest { attempt_id, sent_at: now, tokens, base, predicted, token_at: None };
         self.requests.push(request);
     }
 
@@ -123,7 +117,7 @@
         let Some(request) = self.requests.iter_mut().find(|it| it.attempt_id == attempt_id) else {
             return;
         };
-        request.first_token_at = Some(now);
+        request.token_at = Some(now);
         let took = (now - request.sent_at).as_secs_f64();
         let ratio = took.max(MIN_SECONDS) / request.base.max(MIN_SECONDS);
         self.failures = 0;
@@ -145,8 +139,8 @@
         let Some(request) = self.remove(attempt_id) else {
             return;
         };
-        if let Some(first_token_at) = request.first_token_at {
-            return self.slot_times.record(now, (now - first_token_at).as_secs_f64());
+        if let Some(token_at) = request.token_at {
+            return self.slot_times.record(now, (now - token_at).as_secs_f64());
         }
         let ratio = (now - request.sent_at).as_secs_f64() / request.base.max(MIN_SECONDS);
         if ratio > self.latency_ratio(now) {
@@ -185,7 +179,7 @@
     /// time from the load report, counts as several ended requests.
     pub(super) fn slot_seconds(&self, now: Time, reported: f64) -> f64 {
         let slot_times = self.slot_times.aged(now);
-        let running = self.requests.iter().filter_map(|it| it.first_token_at);
+        let running = self.requests.iter().filter_map(|it| it.token_at);
         let running: f64 = running.map(|it| (now - it).as_secs_f64()).sum();
         let seconds = reported * REPORTED_SLOT_TIME_WEIGHT + slot_times.seconds + running;
         seconds / (REPORTED_SLOT_TIME_WEIGHT + slot_times.count)
--- a/crates/medlarlug-core/src/routing/local.rs
+++ b/crates/medlarlug-core/src/routing/local.rs
@@ -188,8 +188,8 @@
     }
 
     pub(super) fn next_attempt_id(&mut self) -> AttemptId {
-        self.last_attempt_id += 1;
-        AttemptId(self.last_attempt_id)
+        self.last_attempt += 1;
+        AttemptId(self.last_attempt)
     }
 
     fn refresh_index(&mut self, now: Time, view: View<'_>) {
--- a/crates/medlarlug-core/src/routing/router.rs
+++ b/crates/medlarlug-core/src/routing/router.rs
@@ -47,7 +47,7 @@
 pub struct Router {
     pub(super) started_at: Time,
     pub(super) random: ChaCha8Rng,
-    pub(super) last_attempt_id: u64,
+    pub(super) last_attempt: u64,
     pub(super) targets: Vec<TargetIndex>,
     pub(super) indexed_version: Option<(u64, Revision)>,
     pub(super) upstreams: Vec<UpstreamStats>,
@@ -92,12 +92,12 @@
     attempt_id: AttemptId,
     destination: Destination,
     sent_at: Time,
-    awaits_first_token: bool,
+    awaits_token: bool,
 }
 
 impl Attempt {
     fn is_expired(&self, now: Time) -> bool {
-        let lifetime = if self.awaits_first_token { FIRST_TOKEN_TIMEOUT } else { ATTEMPT_TIMEOUT };
+        let lifetime = if self.awaits_token { FIRST_TOKEN_TIMEOUT } else { ATTEMPT_TIMEOUT };
         now - self.sent_at >= lifetime
     }
 }
@@ -125,7 +125,7 @@
         Router {
             started_at: now,
             random: ChaCha8Rng::seed_from_u64(seed),
-            last_attempt_id: 0,
+            last_attempt: 0,
             targets: Vec::new(),
             indexed_version: None,
             upstreams: Vec::new(),
@@ -224,7 +224,7 @@
             Event::Failed(_) => stats.record_failure(now, attempt_id),
         }
         match event {
-            Event::FirstToken(_) => self.attempts[at].awaits_first_token = false,
+            Event::FirstToken(_) => self.attempts[at].awaits_token = false,
             Event::Ended(_) | Event::Failed(_) => {
                 self.attempts.remove(at);
             }
@@ -233,10 +233,8 @@
 
     fn add_attempt(&mut self, now: Time, attempt_id: AttemptId, destination: Destination) {
         let at = self.attempts.partition_point(|it| it.attempt_id < attempt_id);
-        self.attempts.insert(
-            at,
-            Attempt { attempt_id, destination, sent_at: now, awaits_first_token: true },
-        );
+        self.attempts
+            .insert(at, Attempt { attempt_id, destination, sent_at: now, awaits_token: true });
     }
 
     /// Drops attempts whose end was never reported, so that they don't count as overdue forever.
--- a/crates/medlarlug-core/src/stream/mod.rs
+++ b/crates/medlarlug-core/src/stream/mod.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamPolicy {
     /// Maximum wait for the first byte on a connection.
-    pub first_byte_timeout: Duration,
+    pub start_timeout: Duration,
     /// Maximum wait between two chunks.
     pub chunk_timeout: Duration,
     /// Whether the upstream can resume a stream by offset.
@@ -39,18 +39,18 @@
     /// Whether the request may run more than once; if not, it is never sent to another upstream.
     pub idempotent: bool,
     /// Consecutive connections without a delivered byte after which the answer fails.
-    pub max_fruitless_connections: u32,
+    pub max_fruitless: u32,
 }
 
 impl Default for StreamPolicy {
     fn default() -> StreamPolicy {
         StreamPolicy {
-            first_byte_timeout: Duration::from_secs(10),
+            start_timeout: Duration::from_secs(10),
             chunk_timeout: Duration::from_secs(2),
             resumable: true,
             continuable: false,
             idempotent: true,
-            max_fruitless_connections: 4,
+            max_fruitless: 4,
         }
     }
 }
--- a/crates/medlarlug-core/src/stream/tracker.rs
+++ b/crates/medlarlug-core/src/stream/tracker.rs
@@ -100,7 +100,7 @@
     pub fn timeout_at(&self) -> Time {
         let timeout = match self.phase {
             Phase::Flowing => self.policy.chunk_timeout,
-            _ => self.policy.first_byte_timeout,
+            _ => self.policy.start_timeout,
         };
         self.last_activity + timeout * 2u32.saturating_pow(self.fruitless_connections)
     }
@@ -220,7 +220,7 @@
     fn start_connection(&mut self, now: Time, out: &mut Vec<Effect>) -> Option<ConnectionNumber> {
         let next = ConnectionNumber(self.connection.0 + 1);
         self.fruitless_connections += 1;
-        if self.fruitless_connections >= self.policy.max_fruitless_connections {
+        if self.fruitless_connections >= self.policy.max_fruitless {
             self.fail(out);
             return None;
         }
--- a/crates/medlarlug-core/tests/testsuite/admission.rs
+++ b/crates/medlarlug-core/tests/testsuite/admission.rs
@@ -24,7 +24,7 @@
         team: id(team),
         priority: 0,
         deadline: Time::ZERO + HOUR,
-        min_time_to_first_byte: Duration::from_millis(100),
+        min_latency: Duration::from_millis(100),
         cost: 1_000,
     }
 }
@@ -142,10 +142,7 @@
 
             for request in &harness.started[starts..] {
                 let arrival = known.iter().find(|it| it.request == *request).unwrap();
-                assert!(
-                    now + arrival.min_time_to_first_byte <= arrival.deadline,
-                    "seed {seed}, step {step}"
-                );
+                assert!(now + arrival.min_latency <= arrival.deadline, "seed {seed}, step {step}");
             }
             for (_, refusal) in &harness.refused[refusals..] {
                 assert!(refusal.retry_after >= Duration::from_secs(1), "seed {seed}, step {step}");
--- a/crates/medlarlug-core/tests/testsuite/gateway/placement.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/placement.rs
@@ -41,7 +41,7 @@
         PromptPart { id: 100 + number, tokens: 3_800 },
         PromptPart { id: 1_000_000 + call, tokens: 2_900 },
     ];
-    Demand { parts, prompt_tokens: 9_200, max_output_tokens: 50, priority: 1 }
+    Demand { parts, prompt_tokens: 9_200, output_tokens: 50, priority: 1 }
 }
 
 /// A report without urgent tokens.
@@ -158,7 +158,7 @@
     let ids = ids(2);
     let mut candidates = engines(&ids);
     candidates[0].round_trip = Duration::from_millis(16);
-    let query = Demand { prompt_tokens: 800, max_output_tokens: 300, ..Demand::default() };
+    let query = Demand { prompt_tokens: 800, output_tokens: 300, ..Demand::default() };
     let mut loads = Loads::default();
 
     let idle = loads.choose(Time::ZERO, &query, &candidates, 2).unwrap();
@@ -286,7 +286,7 @@
 fn long_prompt_waits_for_admission_and_a_short_one_does_not() {
     let ids = ids(1);
     let mut loads = Loads::default();
-    let short = Demand { prompt_tokens: 800, max_output_tokens: 300, ..Demand::default() };
+    let short = Demand { prompt_tokens: 800, output_tokens: 300, ..Demand::default() };
     let first = loads.choose(Time::ZERO, &session(1, 1), &engines(&ids), 1).unwrap();
     let second = loads.choose(Time::ZERO, &session(2, 2), &engines(&ids), 1).unwrap();
     let query = loads.choose(Time::ZERO, &short, &engines(&ids), 1).unwrap();
--- a/crates/medlarlug-core/tests/testsuite/gateway/remote_region.rs
+++ b/crates/medlarlug-core/tests/testsuite/gateway/remote_region.rs
@@ -17,7 +17,7 @@
 fn session() -> Demand {
     let part = |id, tokens| PromptPart { id, tokens };
     let parts = vec![part(1, 2_500), part(2, 3_800), part(3, 2_900)];
-    Demand { parts, prompt_tokens: 9_200, max_output_tokens: 50, priority: 1 }
+    Demand { parts, prompt_tokens: 9_200, output_tokens: 50, priority: 1 }
 }
 
 #[test]
--- a/crates/medlarlug-core/tests/testsuite/orders.rs
+++ b/crates/medlarlug-core/tests/testsuite/orders.rs
@@ -35,7 +35,7 @@
     /// Real time until which the process is suspended.
     suspended_until: Duration,
     /// Real time until which it reaches engines but not the home group.
-    cut_off_until: Duration,
+    isolated_until: Duration,
 }
 
 impl Process {
@@ -86,7 +86,7 @@
                 clock_speed: rng.random_range(0.996..1.004),
                 started: Duration::ZERO,
                 suspended_until: Duration::ZERO,
-                cut_off_until: Duration::ZERO,
+                isolated_until: Duration::ZERO,
             })
             .collect();
         let mut world = World {
@@ -144,7 +144,7 @@
 
     fn cut_off(&mut self, index: usize) {
         let duration = Duration::from_millis(self.rng.random_range(0..30_000));
-        self.processes[index].cut_off_until = self.real + duration;
+        self.processes[index].isolated_until = self.real + duration;
     }
 
     /// The home group loses its state and is founded again.
@@ -187,7 +187,7 @@
                 Effect::Send(order) => {
                     self.loads.extend(order.task.kind.is_load().then_some(self.real));
                     let message = Message::Order { from: index, incarnation, order };
-                    self.send(self.timing.max_delivery_time, message);
+                    self.send(self.timing.delivery_time, message);
                 }
                 Effect::TimedOut(_) => {}
             }
@@ -214,7 +214,7 @@
         for (_, message) in due {
             match message {
                 Message::Acquire { from: index, .. } | Message::Grant { to: index, .. }
-                    if self.processes[index].cut_off_until > real => {}
+                    if self.processes[index].isolated_until > real => {}
                 Message::Acquire { from, incarnation, token, duration } => {
                     self.acquire(from, incarnation, token, duration);
                 }
@@ -253,7 +253,7 @@
             let is_ordered = accepted.windows(2).all(|pair| pair[0] < pair[1]);
             assert!(is_ordered, "seed {seed}: engine {engine} accepted {accepted:?}");
         }
-        let rate = self.timing.load_rate.get() * (1.0 + self.timing.max_clock_drift);
+        let rate = self.timing.load_rate.get() * (1.0 + self.timing.clock_drift);
         for (first, start) in self.loads.iter().enumerate() {
             for (last, end) in self.loads.iter().enumerate().skip(first) {
                 let permitted =
--- a/crates/medlarlug-core/tests/testsuite/replication/cluster.rs
+++ b/crates/medlarlug-core/tests/testsuite/replication/cluster.rs
@@ -67,20 +67,20 @@
     pub drop: f64,
     pub duplicate: f64,
     pub delay_micros: (u64, u64),
-    pub sync_delay_micros: (u64, u64),
+    pub sync_micros: (u64, u64),
 }
 
 pub const RELIABLE: NetworkConditions = NetworkConditions {
     drop: 0.0,
     duplicate: 0.0,
     delay_micros: (500, 5_000),
-    sync_delay_micros: (500, 4_000),
+    sync_micros: (500, 4_000),
 };
 pub const UNRELIABLE: NetworkConditions = NetworkConditions {
     drop: 0.08,
     duplicate: 0.05,
     delay_micros: (500, 80_000),
-    sync_delay_micros: (500, 60_000),
+    sync_micros: (500, 60_000),
 };
 
 const TICK_MICROS: u64 = 25_000;
@@ -100,7 +100,7 @@
     actions: Vec<Option<Action>>,
     free_slots: Vec<usize>,
     order: u64,
-    last_storage_id: u64,
+    last_storage: u64,
 }
 
 impl Cluster {
@@ -123,7 +123,7 @@
             actions: Vec::new(),
             free_slots: Vec::new(),
             order: 0,
-            last_storage_id: 0,
+            last_storage: 0,
         };
         let spare = [(id("spare"), true)];
         let all = founders.into_iter().zip(durable.iter().copied()).chain(spare);
@@ -153,8 +153,8 @@
     }
 
     fn new_storage_id(&mut self) -> StorageId {
-        self.last_storage_id += 1;
-        StorageId(self.last_storage_id)
+        self.last_storage += 1;
+        StorageId(self.last_storage)
     }
 
     pub fn founder_count(&self) -> usize {
@@ -376,7 +376,7 @@
         let sequence = batch.sequence;
         let start = self.nodes[node].start_count;
         self.nodes[node].unsynced.push(batch);
-        let (min, max) = self.network.sync_delay_micros;
+        let (min, max) = self.network.sync_micros;
         let delay = self.rng.random_range(min..max);
         if self.fault == Fault::EarlySync {
             self.handle(node, Event::Persisted { sequence });
--- a/crates/medlarlug-core/tests/testsuite/replication/failures.rs
+++ b/crates/medlarlug-core/tests/testsuite/replication/failures.rs
@@ -241,7 +241,7 @@
             drop: 0.01,
             duplicate: 0.0,
             delay_micros: (54_000, 58_000),
-            sync_delay_micros: (500, 8_000),
+            sync_micros: (500, 8_000),
         };
         cluster.run(Duration::from_secs(2));
         let leader = cluster.leader().expect("a leader");
--- a/crates/medlarlug-core/tests/testsuite/stream.rs
+++ b/crates/medlarlug-core/tests/testsuite/stream.rs
@@ -255,8 +255,7 @@
 
 #[test]
 fn first_byte_has_its_own_timeout() {
-    let policy =
-        StreamPolicy { first_byte_timeout: Duration::from_secs(9), ..StreamPolicy::default() };
+    let policy = StreamPolicy { start_timeout: Duration::from_secs(9), ..StreamPolicy::default() };
     let tracker = tracker(policy);
 
     assert_eq!(tracker.timeout_at(), Time::from_millis(9_000));
@@ -275,8 +274,7 @@
 
 #[test]
 fn timeout_doubles_with_each_fruitless_connection() {
-    let policy =
-        StreamPolicy { first_byte_timeout: Duration::from_secs(2), ..StreamPolicy::default() };
+    let policy = StreamPolicy { start_timeout: Duration::from_secs(2), ..StreamPolicy::default() };
     let mut tracker = tracker(policy);
 
     let moments = timeouts(&mut tracker);
--- a/crates/medlarlug-gateway/src/entry/call.rs
+++ b/crates/medlarlug-gateway/src/entry/call.rs
@@ -139,5 +139,5 @@
     let mut counts = counts.split(',').map(|count| count.trim().parse().unwrap_or(0));
     let prompt = counts.next().unwrap_or(0);
     let output = counts.next().unwrap_or(0);
-    Demand { parts: parts.collect(), prompt_tokens: prompt, max_output_tokens: output, priority: 0 }
+    Demand { parts: parts.collect(), prompt_tokens: prompt, output_tokens: output, priority: 0 }
 }
--- a/crates/medlarlug-gateway/src/entry/mod.rs
+++ b/crates/medlarlug-gateway/src/entry/mod.rs
@@ -117,7 +117,7 @@
     /// Newest replicated state that a keeper has sent; the table may not have arrived yet.
     head: RefCell<PublicationHead>,
     /// The version that was requested, and when.
-    fetch_in_flight: Cell<Option<(TableVersion, Time)>>,
+    pending_fetch: Cell<Option<(TableVersion, Time)>>,
     upstreams: RefCell<Upstreams>,
     contacts: RefCell<Contacts>,
     /// Which keepers this instance receives updates from.
@@ -167,7 +167,7 @@
             clock,
             table: RefCell::default(),
             head: RefCell::default(),
-            fetch_in_flight: Cell::default(),
+            pending_fetch: Cell::default(),
             upstreams: RefCell::default(),
             contacts: RefCell::default(),
             view: RefCell::default(),
@@ -472,11 +472,11 @@
         let now = self.now();
         let own = self.version();
         let is_requested = self
-            .fetch_in_flight
+            .pending_fetch
             .get()
             .is_some_and(|(requested, when)| requested >= version && now - when < FETCH_TIMEOUT);
         if version > own && !is_requested && self.links.send(from, &Message::Fetch(version)) {
-            self.fetch_in_flight.set(Some((version, now)));
+            self.pending_fetch.set(Some((version, now)));
         }
     }
 
--- a/crates/medlarlug-gateway/src/load_exchange.rs
+++ b/crates/medlarlug-gateway/src/load_exchange.rs
@@ -91,7 +91,7 @@
     to_forward: RefCell<Vec<UpstreamKey>>,
     /// The part of `to_forward` that was reported by the own zone; changes from other zones are not
     /// sent back to them.
-    from_own_zone: RefCell<Vec<UpstreamKey>>,
+    zone_updates: RefCell<Vec<UpstreamKey>>,
     has_to_forward: Notify,
     /// When the preferred collector last sent an aggregate.
     aggregate_received: Cell<Option<Time>>,
@@ -115,7 +115,7 @@
         }
         insert_sorted(&mut self.to_forward.borrow_mut(), upstream);
         if is_own_zone {
-            insert_sorted(&mut self.from_own_zone.borrow_mut(), upstream);
+            insert_sorted(&mut self.zone_updates.borrow_mut(), upstream);
         }
         self.has_to_forward.notify_one();
     }
@@ -230,11 +230,11 @@
     loop {
         exchange.has_to_forward.notified().await;
         let to_forward = std::mem::take(&mut *exchange.to_forward.borrow_mut());
-        let from_own_zone = std::mem::take(&mut *exchange.from_own_zone.borrow_mut());
+        let zone_updates = std::mem::take(&mut *exchange.zone_updates.borrow_mut());
         if let Some(Role::Collector { place }) = exchange.role.get() {
             send_aggregate(&entry, &socket, Some(&to_forward));
-            if place == 0 && !from_own_zone.is_empty() {
-                send_zone_aggregate(&entry, &socket, Some(&from_own_zone));
+            if place == 0 && !zone_updates.is_empty() {
+                send_zone_aggregate(&entry, &socket, Some(&zone_updates));
             }
         }
         sleep(FORWARD_INTERVAL).await;
--- a/src/coordination/entry/admission.rs
+++ b/src/coordination/entry/admission.rs
@@ -65,7 +65,7 @@
         team: facts.team.clone(),
         priority: facts.priority,
         deadline: now + facts.deadline,
-        min_time_to_first_byte: MIN_SERVICE_TIME,
+        min_latency: MIN_SERVICE_TIME,
         cost,
     };
     Candidate { arrival, target: facts.target.clone() }
--- a/src/coordination/entry/callers.rs
+++ b/src/coordination/entry/callers.rs
@@ -367,7 +367,7 @@
         return Ok(None);
     };
     let text = value.to_str().unwrap_or_default();
-    let longest = entry.settings.limits.idempotency_key_bytes;
+    let longest = entry.settings.limits.key_limit;
     if text.len() > longest {
         let title = format!("the Idempotency-Key has more than {longest} bytes");
         return Err(refuse(400, "key-too-long", &title));
--- a/src/coordination/entry/inference/job.rs
+++ b/src/coordination/entry/inference/job.rs
@@ -83,7 +83,7 @@
 
 /// Size of an inference request for fair queueing, in tokens.
 pub fn cost_of(params: &InferenceParams) -> u32 {
-    let tokens = params.prompt_tokens.0.saturating_add(params.max_answer_tokens.0);
+    let tokens = params.prompt_tokens.0.saturating_add(params.answer_tokens.0);
     u32::try_from(tokens).unwrap_or(u32::MAX)
 }
 
--- a/src/coordination/entry/orders.rs
+++ b/src/coordination/entry/orders.rs
@@ -36,7 +36,7 @@
 /// Time for the home group to answer a request for the lease.
 const LEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time-outs of sending one order; their sum is below [`Timing::max_delivery_time`].
+/// Time-outs of sending one order; their sum is below [`Timing::delivery_time`].
 const ORDER_LIMITS: CallLimits =
     CallLimits { connect: Duration::from_secs(1), head: Duration::from_secs(3) };
 
--- a/src/coordination/entry/relay.rs
+++ b/src/coordination/entry/relay.rs
@@ -93,8 +93,8 @@
     /// Creates a relay of the answer whose head is in `exchange`.
     pub fn new(entry: Rc<Entry>, id: RequestId, exchange: Exchange) -> Relay {
         let is_upstream = matches!(exchange.destination, Destination::Upstream(_));
-        let (resumable, first_byte_timeout) = (is_upstream, FIRST_EVENT_TIMEOUT);
-        let policy = StreamPolicy { resumable, first_byte_timeout, ..StreamPolicy::default() };
+        let (resumable, start_timeout) = (is_upstream, FIRST_EVENT_TIMEOUT);
+        let policy = StreamPolicy { resumable, start_timeout, ..StreamPolicy::default() };
         let tracker = StreamTracker::new(id.clone(), policy, entry.node.now());
         let number = ConnectionNumber::default();
         let source = Source {
--- a/src/coordination/keeper/duties/confirmations.rs
+++ b/src/coordination/keeper/duties/confirmations.rs
@@ -127,7 +127,7 @@
 
 async fn remove_drained(keeper: &Keeper, newest: &Configuration, draining: &mut DrainTracker) {
     let node = &keeper.node;
-    let rollout = keeper.confirmations.rollout(node, newest.last_note_revision);
+    let rollout = keeper.confirmations.rollout(node, newest.note_revision);
     let is_rollout_complete = rollout.is_some_and(|it| it.is_complete());
     let items = draining.removable_items(node.now(), newest, is_rollout_complete);
     if items.is_empty() {
--- a/src/coordination/keeper/group.rs
+++ b/src/coordination/keeper/group.rs
@@ -81,7 +81,7 @@
     // Replies of applied commands whose tickets are not known yet, by index in ascending order.
     buffered_replies: VecDeque<(LogIndex, GroupReply)>,
     // When the last action on a home group was proposed in this leadership.
-    last_proposed_at: Option<Time>,
+    proposed_at: Option<Time>,
     snapshot_index: LogIndex,
 }
 
@@ -96,7 +96,7 @@
             last_ticket: 0,
             pending_calls: Vec::new(),
             buffered_replies: VecDeque::new(),
-            last_proposed_at: None,
+            proposed_at: None,
             snapshot_index,
         }
     }
@@ -218,7 +218,7 @@
 
     /// Time since the previous action that this leadership proposed; zero for the first one.
     fn time_since_last_proposal(&mut self, now: Time) -> Duration {
-        let previous = self.last_proposed_at.replace(now);
+        let previous = self.proposed_at.replace(now);
         previous.map_or(Duration::ZERO, |previous| now - previous)
     }
 
@@ -257,7 +257,7 @@
                 out.push(Output::Applied);
             }
             Effect::RoleChanged { role, term } => {
-                self.last_proposed_at = None;
+                self.proposed_at = None;
                 out.push(Output::RoleChanged { role, term });
             }
         }
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -65,7 +65,7 @@
     /// The configuration, as released.
     pub configuration: Configuration,
     // The team of each bearer key, sorted by the fingerprint of the key.
-    team_of_key: Vec<(Fingerprint, TeamId)>,
+    key_teams: Vec<(Fingerprint, TeamId)>,
 }
 
 impl ActiveConfiguration {
@@ -73,16 +73,16 @@
         let keys_of_team = |team: &Team| -> Vec<(Fingerprint, TeamId)> {
             team.keys.iter().map(|key| (*key, team.id.clone())).collect()
         };
-        let mut team_of_key: Vec<(Fingerprint, TeamId)> =
+        let mut key_teams: Vec<(Fingerprint, TeamId)> =
             configuration.teams().flat_map(keys_of_team).collect();
-        team_of_key.sort();
-        ActiveConfiguration { configuration, team_of_key }
+        key_teams.sort();
+        ActiveConfiguration { configuration, key_teams }
     }
 
     /// The team that owns the bearer key with this fingerprint.
     pub fn team_of_key(&self, key: Fingerprint) -> Option<&Team> {
-        let found = self.team_of_key.binary_search_by(|it| it.0.cmp(&key)).ok()?;
-        self.configuration.team(&self.team_of_key[found].1)
+        let found = self.key_teams.binary_search_by(|it| it.0.cmp(&key)).ok()?;
+        self.configuration.team(&self.key_teams[found].1)
     }
 }
 
--- a/src/protocol/inference.rs
+++ b/src/protocol/inference.rs
@@ -44,7 +44,7 @@
     /// Estimated number of tokens of the prompt.
     pub prompt_tokens: Tokens,
     /// Most tokens that the answer may have; the assumed length if the caller sets no limit.
-    pub max_answer_tokens: Tokens,
+    pub answer_tokens: Tokens,
     /// Fingerprints of the prompt's prefixes.
     pub prefixes: Vec<Fingerprint>,
 }
@@ -91,7 +91,7 @@
     /// let body = br#"{"model": "net-scribe", "prompt": "mesh sizes", "max_tokens": 9}"#;
     /// let params = InferenceParams::parse(body).unwrap();
     /// assert_eq!(params.model.as_str(), "net-scribe");
-    /// assert_eq!(params.max_answer_tokens.0, 9);
+    /// assert_eq!(params.answer_tokens.0, 9);
     /// ```
     ///
     /// # Errors
@@ -104,13 +104,13 @@
             None => (raw.model.parse()?, None),
         };
         let text = prompt_text(&raw).ok_or(InferenceError::NoPrompt)?;
-        let max_answer_tokens = raw.max_completion_tokens.or(raw.max_tokens);
+        let answer_tokens = raw.max_completion_tokens.or(raw.max_tokens);
         Ok(InferenceParams {
             model,
             adapter,
             stream: raw.stream,
             prompt_tokens: Tokens(text.len() as u64 / BYTES_PER_TOKEN + 1),
-            max_answer_tokens: Tokens(max_answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS)),
+            answer_tokens: Tokens(answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS)),
             prefixes: prefixes(&text),
         })
     }
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -28,7 +28,7 @@
     /// refused with status 408.
     pub receive_timeout: Duration,
     /// Longest `Idempotency-Key`; a longer one is refused with status 400.
-    pub idempotency_key_bytes: usize,
+    pub key_limit: usize,
 }
 
 impl Default for Limits {
@@ -39,7 +39,7 @@
             connections: 4_096,
             requests: 10_000,
             receive_timeout: Duration::from_secs(10),
-            idempotency_key_bytes: 128,
+            key_limit: 128,
         }
     }
 }
@@ -75,8 +75,7 @@
             checked("connections", raw.connections, defaults.connections.into(), 1, 1_000_000)?;
         let requests =
             checked("requests", raw.requests, defaults.requests.into(), 1, 1_000_000_000)?;
-        let idempotency_key_bytes =
-            checked("key_bytes", raw.key_bytes, defaults.idempotency_key_bytes as u64, 1, 4 * KIB)?;
+        let key_limit = checked("key_bytes", raw.key_bytes, defaults.key_limit as u64, 1, 4 * KIB)?;
         Ok(Limits {
             header: ByteSize(checked(
                 "header_bytes",
@@ -89,7 +88,7 @@
             connections: connections as u32,
             requests: requests as u32,
             receive_timeout: Duration::from_secs(receive_seconds),
-            idempotency_key_bytes: idempotency_key_bytes as usize,
+            key_limit: key_limit as usize,
         })
     }
 }
--- a/src/standin/batch.rs
+++ b/src/standin/batch.rs
@@ -27,7 +27,7 @@
     waiting: Vec<Job>,
     running: Vec<Job>,
     /// Time at which the prefill of all admitted jobs is done.
-    prefill_free_at: Instant,
+    prefill_free: Instant,
     /// Tokens generated since [`Batch::take_generated`] was last called.
     generated_tokens: u64,
 }
@@ -52,7 +52,7 @@
             prefill_rate,
             waiting: Vec::new(),
             running: Vec::new(),
-            prefill_free_at: Instant::now(),
+            prefill_free: Instant::now(),
             generated_tokens: 0,
         }
     }
@@ -64,7 +64,7 @@
 
     /// Queues `stream`, of whose prompt `uncached_prompt` tokens are not in the prefix cache.
     pub fn push(&mut self, stream: Rc<Stream>, priority: u8, uncached_prompt: Tokens) {
-        let job = Job { stream, priority, uncached_prompt, prefill_done: self.prefill_free_at };
+        let job = Job { stream, priority, uncached_prompt, prefill_done: self.prefill_free };
         let index = self.waiting.partition_point(|it| it.priority >= priority);
         self.waiting.insert(index, job);
     }
@@ -114,8 +114,8 @@
         while self.running.len() < self.slots && !self.waiting.is_empty() {
             let mut job = self.waiting.remove(0);
             let seconds = job.uncached_prompt.0 as f64 / self.prefill_rate.get() * slowdown;
-            self.prefill_free_at = self.prefill_free_at.max(now) + Duration::from_secs_f64(seconds);
-            job.prefill_done = self.prefill_free_at;
+            self.prefill_free = self.prefill_free.max(now) + Duration::from_secs_f64(seconds);
+            job.prefill_done = self.prefill_free;
             job.stream.set_phase(Phase::Running);
             self.running.push(job);
         }
--- a/src/standin/faults.rs
+++ b/src/standin/faults.rs
@@ -67,12 +67,12 @@
 pub struct FaultState {
     frozen_until: Option<Instant>,
     // Calls that each fault still applies to.
-    calls_to_drop: u32,
-    answers_to_lose: u32,
-    answers_to_delay: u32,
+    dropped_calls: u32,
+    lost_answers: u32,
+    delayed_answers: u32,
     answer_delay: Duration,
-    answers_to_misdeliver: u32,
-    calls_to_refuse: u32,
+    misdelivered_answers: u32,
+    refused_calls: u32,
     /// Factor by which all work takes longer.
     pub slowdown: f64,
 }
@@ -96,12 +96,12 @@
     fn default() -> FaultState {
         FaultState {
             frozen_until: None,
-            calls_to_drop: 0,
-            answers_to_lose: 0,
-            answers_to_delay: 0,
+            dropped_calls: 0,
+            lost_answers: 0,
+            delayed_answers: 0,
             answer_delay: Duration::ZERO,
-            answers_to_misdeliver: 0,
-            calls_to_refuse: 0,
+            misdelivered_answers: 0,
+            refused_calls: 0,
             slowdown: 1.0,
         }
     }
@@ -114,14 +114,14 @@
             Fault::Freeze { for_ms } => {
                 self.frozen_until = Some(now + Duration::from_millis(*for_ms))
             }
-            Fault::DropCall { count } => self.calls_to_drop = *count,
-            Fault::LoseAnswer { count } => self.answers_to_lose = *count,
+            Fault::DropCall { count } => self.dropped_calls = *count,
+            Fault::LoseAnswer { count } => self.lost_answers = *count,
             Fault::LateAnswer { count, delay_ms } => {
-                self.answers_to_delay = *count;
+                self.delayed_answers = *count;
                 self.answer_delay = Duration::from_millis(*delay_ms);
             }
-            Fault::CrossedAnswer { count } => self.answers_to_misdeliver = *count,
-            Fault::Refuse { count } => self.calls_to_refuse = *count,
+            Fault::CrossedAnswer { count } => self.misdelivered_answers = *count,
+            Fault::Refuse { count } => self.refused_calls = *count,
             Fault::Slow { factor } if *factor > 0.0 => self.slowdown = *factor,
             Fault::Clear => *self = FaultState::default(),
             _ => {}
@@ -140,22 +140,18 @@
             *count = count.saturating_sub(1);
             applies
         };
-        if take(&mut self.calls_to_drop) {
+        if take(&mut self.dropped_calls) {
             return AnswerFault { dropped: true, ..AnswerFault::default() };
         }
-        if take(&mut self.calls_to_refuse) {
+        if take(&mut self.refused_calls) {
             return AnswerFault { refused: true, ..AnswerFault::default() };
         }
         AnswerFault {
             dropped: false,
-            lost: take(&mut self.answers_to_lose),
-            misdelivered: take(&mut self.answers_to_misdeliver),
+            lost: take(&mut self.lost_answers),
+            misdelivered: take(&mut self.misdelivered_answers),
             refused: false,
-            delay: if take(&mut self.answers_to_delay) {
-                self.answer_delay
-            } else {
-                Duration::ZERO
-            },
+            delay: if take(&mut self.delayed_answers) { self.answer_delay } else { Duration::ZERO },
         }
     }
 }
--- a/tests/testsuite/budget.rs
+++ b/tests/testsuite/budget.rs
@@ -134,10 +134,10 @@
 
     let bytes = frame_bytes(Message::Push(Box::new(Update::Full(configuration))));
 
-    let bytes_per_second = 2_000_000_000 / 8 / 100; // a hundredth of a link of 2 Gbit/s
+    let byte_rate = 2_000_000_000 / 8 / 100; // a hundredth of a link of 2 Gbit/s
     assert!(bytes <= MAX_FRAME_BYTES / 8, "{bytes} B is more than an eighth of the longest frame");
     assert!(
-        bytes <= bytes_per_second * CHANGE_LIMIT_SECONDS,
+        bytes <= byte_rate * CHANGE_LIMIT_SECONDS,
         "{bytes} B takes more than a hundredth of a link"
     );
 }
